--- a/system/config-store/src/disk.rs
+++ b/system/config-store/src/disk.rs
@@ -7,7 +7,7 @@
 //! says hold a write in part. Journals are bounded by the
 //! machine's disk, which two programs share.
 
-use fennelscale_replication::{Item, Memory, Progress, Vows, Writes};
+use fennelscale_replication::{AcceptorState, DiskWrites, Item, PersistedState, Progress};
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     /// When there can be no files there, or the disk fails.
-    pub fn open(folder: &Path, size: u64) -> Result<(Self, Memory), OpenError> {
+    pub fn open(folder: &Path, size: u64) -> Result<(Self, PersistedState), OpenError> {
         let report = |error: &dyn std::fmt::Display| {
             let at = folder.display();
             OpenError::Unusable(miette::miette!(
@@ -237,7 +237,7 @@
     ///
     /// # Errors
     /// When the disk has no room for a trial, or fails.
-    fn without_torn_end(place: &Path, size: u64) -> Result<Option<(Self, Memory)>, Unreadable> {
+    fn without_torn_end(place: &Path, size: u64) -> Result<Option<(Self, PersistedState)>, Unreadable> {
         let failed = |error: std::io::Error| Unreadable::Disk(error.to_string());
         let Some(journal) = newest_journal(place) else { return Ok(None) };
         let bytes = beginning(&place.join(&journal)).map_err(failed)?;
@@ -262,7 +262,7 @@
         Ok(Some(read))
     }
 
-    fn read(place: &Path, size: u64) -> Result<(Self, Memory), Unreadable> {
+    fn read(place: &Path, size: u64) -> Result<(Self, PersistedState), Unreadable> {
         let journal = (size / JOURNAL_SHARE).max(JOURNAL_LEAST);
         let database = Database::builder(place)
             .worker_threads(1)
@@ -270,7 +270,7 @@
             .max_journaling_size(journal)
             .open()?;
         let records = database.keyspace("records", KeyspaceCreateOptions::default)?;
-        let mut memory = Memory::default();
+        let mut memory = PersistedState::default();
         let (mut sums, mut digest) = (Sums::default(), None);
         for record in records.iter() {
             let (key, value) = record.into_inner()?;
@@ -282,7 +282,7 @@
             }
             sums.set(name, &value);
             match name {
-                VOWS => memory.vows = Some(unsealed::<Vows>(&value).ok_or_else(broken)?),
+                VOWS => memory.acceptor = Some(unsealed::<AcceptorState>(&value).ok_or_else(broken)?),
                 PROGRESS => memory.progress = unsealed::<Progress>(&value).ok_or_else(broken)?,
                 _ => drop(memory.items.insert(name.to_owned(), unsealed::<Item>(&value).ok_or_else(broken)?)),
             }
@@ -297,13 +297,13 @@
     ///
     /// # Errors
     /// When the disk is full or fails: nothing of them may be promised then.
-    pub fn write(&self, writes: &Writes) -> Result<(), String> {
-        if writes.vows.is_none() && writes.progress.is_none() && writes.items.is_empty() {
+    pub fn write(&self, writes: &DiskWrites) -> Result<(), String> {
+        if writes.acceptor.is_none() && writes.progress.is_none() && writes.items.is_empty() {
             return Ok(());
         }
         let mut batch = self.database.batch();
         let mut sums = self.sums.borrow_mut();
-        let vows = writes.vows.iter().map(|vows| (VOWS, sealed(vows)));
+        let vows = writes.acceptor.iter().map(|vows| (VOWS, sealed(vows)));
         let items = writes.items.iter().map(|(name, item)| (name.as_str(), sealed(item)));
         let progress = writes.progress.iter().map(|progress| (PROGRESS, sealed(progress)));
         for (name, record) in vows.chain(progress).chain(items) {
--- a/system/config-store/src/disk/tests.rs
+++ b/system/config-store/src/disk/tests.rs
@@ -2,34 +2,38 @@
 use crate::store::Store;
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, Entry, Epoch, Stamp, Told};
-use fennelscale_replication::{Book, Origin, Out};
+use fennelscale_replication::{Origin, Output, Replica};
 use proptest::prelude::*;
 use rustix::process::{Resource, Rlimit, Signal, getrlimit, setrlimit};
 use std::collections::BTreeMap;
 
-fn writes(round: u64) -> Writes {
-    let vows = Vows { promised: Epoch { round, seat: Host(1) }, joined: Epoch::default() };
+fn writes(round: u64) -> DiskWrites {
+    let vows = AcceptorState { promised: Epoch { round, seat: Host(1) }, joined: Epoch::default() };
     let entry = Entry { revision: round, body: Some("{}".into()), ..Entry::default() };
     let item = Item { chosen: Some(entry), pending: None };
     let progress = Progress { position: Stamp { turn: round, ..Stamp::default() }, ..Progress::default() };
-    Writes { vows: Some(vows), progress: Some(progress), items: vec![(format!("r:{}", round % 3), item)] }
+    DiskWrites {
+        acceptor: Some(vows),
+        progress: Some(progress),
+        items: vec![(format!("r:{}", round % 3), item)],
+    }
 }
 
 #[test]
 fn what_was_written_is_there_at_the_next_start() {
     let folder = std::env::temp_dir().join(format!("config-store-{}", std::process::id()));
     let (disk, memory) = Disk::open(&folder, 256_000_000).unwrap();
-    assert_eq!(memory, Memory::default());
+    assert_eq!(memory, PersistedState::default());
     (1..8).for_each(|round| disk.write(&writes(round)).unwrap());
     drop(disk);
     let (disk, memory) = Disk::open(&folder, 256_000_000).unwrap();
-    assert_eq!(memory.vows, writes(7).vows);
+    assert_eq!(memory.acceptor, writes(7).acceptor);
     assert_eq!(memory.items["r:2"], writes(5).items[0].1);
     // A record that does not check out: the whole counts as forgotten, and is kept aside.
     disk.records.insert("r:2", b"torn".as_slice()).unwrap();
     drop(disk);
     let (_, memory) = Disk::open(&folder, 256_000_000).unwrap();
-    assert_eq!(memory, Memory::default());
+    assert_eq!(memory, PersistedState::default());
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -129,7 +133,7 @@
 static RUNS: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
 
 /// Power is lost after so many synced writes and before the next ones were: what a start finds.
-fn after_a_loss(synced: u64, open: u64, torn: &Torn) -> Memory {
+fn after_a_loss(synced: u64, open: u64, torn: &Torn) -> PersistedState {
     let run = RUNS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let place = std::env::temp_dir().join(format!("config-store-torn-{}-{run}", std::process::id()));
     let (folder, again) = (place.join("before"), place.join("after"));
@@ -155,7 +159,7 @@
     disk.write(&writes(40)).unwrap();
     drop(disk);
     let (_, next) = Disk::open(&again, 256_000_000).unwrap();
-    assert_eq!(next.vows, writes(40).vows, "{torn:?}");
+    assert_eq!(next.acceptor, writes(40).acceptor, "{torn:?}");
     std::fs::remove_dir_all(&place).unwrap();
     memory
 }
@@ -191,7 +195,7 @@
         assert!(written.is_err() || kept == Some(SYNCED + 1), "{room} bytes of room: promised and gone");
         disk.write(&writes(40)).unwrap();
         drop(disk);
-        assert_eq!(Disk::open(&folder, 256_000_000).unwrap().1.vows, writes(40).vows, "{room}");
+        assert_eq!(Disk::open(&folder, 256_000_000).unwrap().1.acceptor, writes(40).acceptor, "{room}");
         std::fs::remove_dir_all(&folder).unwrap();
         if written.is_ok() {
             break;
@@ -263,9 +267,9 @@
 }
 
 /// What the disk held after so many writes.
-fn state(rounds: u64) -> Memory {
-    let mut memory = Memory::default();
-    (1..=rounds).map(writes).for_each(|writes| memory.take(writes));
+fn state(rounds: u64) -> PersistedState {
+    let mut memory = PersistedState::default();
+    (1..=rounds).map(writes).for_each(|writes| memory.apply(writes));
     memory
 }
 
@@ -285,25 +289,25 @@
 fn suspends_and_goes_on() {
     let folder = std::env::temp_dir().join(format!("config-store-suspended-{}", std::process::id()));
     let me = fennelscale_messages::depot::Seat { host: Host(1), zone: "z".into(), region: "r".into() };
-    let place = fennelscale_replication::Place {
-        me,
+    let place = fennelscale_replication::ReplicaConfig {
+        local: me,
         seeds: vec![Host(1)],
         bootstrap: true,
-        tolerance: (0, 0, 0),
-        life: 1,
+        fault_tolerance: (0, 0, 0),
+        incarnation: 1,
     };
     let mut store = Store::open(place, &folder, 256_000_000, 0.0).unwrap();
     let mut now = 0.0;
     // It founds by itself.
-    while !store.book().is_some_and(Book::is_voting) {
+    while !store.book().is_some_and(Replica::is_voting) {
         now += 100.0;
-        store.with(now, Book::tick).unwrap();
+        store.with(now, Replica::tick).unwrap();
     }
     let position = store.book().unwrap().position();
     limit(Some(0));
     let note = |store: &mut Store, now: f64, text: &str| {
         let ask = Ask::Note("n".into(), text.into());
-        store.with(now, |book, now| book.call(now, Origin::Registry(1), ask))
+        store.with(now, |book, now| book.submit(now, Origin::Registry(1), ask))
     };
     assert!(note(&mut store, now, "lost").is_err(), "a write that does not come to the disk");
     assert!(store.book().is_none());
@@ -314,7 +318,7 @@
     let book = store.book().unwrap();
     assert_eq!((book.position(), book.is_voting(), book.item("m:n")), (position, true, None));
     let outs = note(&mut store, now + 2100.0, "kept").unwrap();
-    assert!(outs.contains(&Out::Answer(1, Told::Done)), "{outs:?}");
+    assert!(outs.contains(&Output::Answer(1, Told::Done)), "{outs:?}");
     // Another disk in its place, an empty one: the life that was there at the first start founds nothing on it.
     limit(Some(0));
     assert!(note(&mut store, now + 2200.0, "lost").is_err());
@@ -322,7 +326,7 @@
     std::fs::rename(&folder, folder.with_extension("kept")).unwrap();
     store.reopen(now + 3000.0).unwrap();
     for tick in 0..100 {
-        store.with(now + 3000.0 + 100.0 * f64::from(tick), Book::tick).unwrap();
+        store.with(now + 3000.0 + 100.0 * f64::from(tick), Replica::tick).unwrap();
     }
     assert!(!store.book().unwrap().is_voting());
     drop(store);
--- a/system/config-store/src/lib.rs
+++ b/system/config-store/src/lib.rs
@@ -11,7 +11,7 @@
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Order, Report, Seat, Told, Word};
 use fennelscale_node_settings::{Port, Settings};
-use fennelscale_replication::{Book, Origin, Out, Place};
+use fennelscale_replication::{Origin, Output, Replica, ReplicaConfig};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -52,12 +52,12 @@
     let folder = settings.data.as_ref().ok_or_else(|| unusable("dataDirectory"))?;
     let host = Host::of(settings.ip).ok_or_else(|| unusable("ipAddress (IPv4)"))?;
     let life = fennelscale_messages::mix(u64::from(std::process::id()) ^ start::life());
-    let place = Place {
-        me: Seat { host, zone: settings.zone.clone(), region: settings.region.clone() },
+    let place = ReplicaConfig {
+        local: Seat { host, zone: settings.zone.clone(), region: settings.region.clone() },
         seeds: settings.seeds.iter().filter_map(|seed| Host::of(seed.ip())).collect(),
         bootstrap: settings.bootstrap,
-        tolerance: (settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions),
-        life: life >> 24,
+        fault_tolerance: (settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions),
+        incarnation: life >> 24,
     };
     let store = Store::open(place, folder, settings.limits.disk, 0.0)?;
     let others = start::listen(settings.own(Port::Depot)).await?;
@@ -73,7 +73,7 @@
         spawn(store.clone().reopen());
     }
     let heard = store.clone();
-    hear(others, move |from, word: Word| heard.with(|book, now| book.word(now, from, word)));
+    hear(others, move |from, word: Word| heard.with(|book, now| book.receive(now, from, word)));
     // The registry of this machine is the one caller; it listens, as it may start later or again.
     let at = settings.own(Port::Shelf);
     let calls = store.clone();
@@ -107,7 +107,7 @@
 
 impl ConfigStore {
     /// Gives the machine an input; what it writes is safe before anything of it is sent.
-    fn with(self: &Rc<Self>, input: impl FnOnce(&mut Book, f64)) {
+    fn with(self: &Rc<Self>, input: impl FnOnce(&mut Replica, f64)) {
         let now = self.now();
         let outs = self.store.borrow_mut().with(now, input);
         match outs {
@@ -120,15 +120,15 @@
         }
     }
 
-    fn carry_out(&self, outs: Vec<Out>) {
+    fn carry_out(&self, outs: Vec<Output>) {
         for out in outs {
             match out {
-                Out::Send(to, word) => self.peers.send(to, &word),
-                Out::Answer(id, told) => self.report(&Report::Answer(id, told)),
-                Out::News(entries) => self.report(&Report::Items { whole: false, entries }),
-                Out::Seats(seats) => self.report(&Report::Seats(seats)),
-                Out::Fresh(fresh) => self.report(&Report::Fresh(fresh)),
-                Out::Log(event, about) => tracing::info!(event, about),
+                Output::Send(to, word) => self.peers.send(to, &word),
+                Output::Answer(id, told) => self.report(&Report::Answer(id, told)),
+                Output::Chosen(entries) => self.report(&Report::Items { whole: false, entries }),
+                Output::Members(seats) => self.report(&Report::Seats(seats)),
+                Output::UpToDate(fresh) => self.report(&Report::Fresh(fresh)),
+                Output::Log(event, about) => tracing::info!(event, about),
             }
         }
     }
@@ -151,8 +151,8 @@
     /// Tells the registry all that this store holds.
     fn report_all(&self) {
         let reports = self.store.borrow().book().map(|book| {
-            let items = Report::Items { whole: true, entries: book.all() };
-            [Report::Seats(book.seats().clone()), items, Report::Fresh(book.is_fresh())]
+            let items = Report::Items { whole: true, entries: book.published_entries() };
+            [Report::Seats(book.members().clone()), items, Report::Fresh(book.is_up_to_date())]
         });
         reports.iter().flatten().for_each(|report| self.report(report));
     }
@@ -160,11 +160,11 @@
     /// Tells the others, and goes when nothing is left to hand over: until then this member votes.
     async fn leave(self: &Rc<Self>, grace: Duration) {
         let until = Instant::now() + grace.mul_f64(HANDS_OVER);
-        self.with(|book, now| book.leave(now));
+        self.with(|book, now| book.begin_leave(now));
         sleep(FAREWELL).await;
         let mut said = None;
         loop {
-            let waits = self.store.borrow().book().and_then(|book| book.waits_to_leave(self.now()));
+            let waits = self.store.borrow().book().and_then(|book| book.leave_blocker(self.now()));
             if waits.is_none() || Instant::now() >= until {
                 tracing::info!(event = "leaves", unfinished = waits);
                 return;
@@ -196,7 +196,7 @@
                 Order::Call(id, _) if self.store.borrow().book().is_none() => {
                     self.report(&Report::Answer(id, Told::Unclear));
                 }
-                Order::Call(id, ask) => self.with(|book, now| book.call(now, Origin::Registry(id), ask)),
+                Order::Call(id, ask) => self.with(|book, now| book.submit(now, Origin::Registry(id), ask)),
                 // Nothing is promised of events: without them the store goes on.
                 Order::Keep(events) => {
                     if let Err(error) = self.diary.borrow_mut().keep(&events) {
--- a/system/config-store/src/store.rs
+++ b/system/config-store/src/store.rs
@@ -5,17 +5,17 @@
 //! a write again, as after a kill.
 
 use crate::disk::{Disk, OpenError};
-use fennelscale_replication::{Book, Out, Place, Writes};
+use fennelscale_replication::{DiskWrites, Output, Replica, ReplicaConfig};
 use std::path::{Path, PathBuf};
 
 /// A store.
 pub struct Store {
-    place: Place,
+    place: ReplicaConfig,
     folder: PathBuf,
     /// Bytes of the disk.
     size: u64,
     /// None while the disk takes no writes.
-    running: Option<(Book, Disk)>,
+    running: Option<(Replica, Disk)>,
 }
 
 impl Store {
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// When there can be no files there.
-    pub fn open(place: Place, folder: &Path, size: u64, now: f64) -> miette::Result<Self> {
+    pub fn open(place: ReplicaConfig, folder: &Path, size: u64, now: f64) -> miette::Result<Self> {
         let mut store = Self { place, folder: folder.to_path_buf(), size, running: None };
         match store.start(now) {
             Ok(running) => store.running = Some(running),
@@ -33,14 +33,14 @@
         Ok(store)
     }
 
-    fn start(&self, now: f64) -> Result<(Book, Disk), OpenError> {
+    fn start(&self, now: f64) -> Result<(Replica, Disk), OpenError> {
         let (disk, memory) = Disk::open(&self.folder, self.size)?;
-        tracing::info!(event = "disk-read", items = memory.items.len(), blank = memory.vows.is_none());
-        Ok((Book::new(self.place.clone(), memory, now), disk))
+        tracing::info!(event = "disk-read", items = memory.items.len(), blank = memory.acceptor.is_none());
+        Ok((Replica::new(self.place.clone(), memory, now), disk))
     }
 
     /// The state machine; none while the disk takes no writes.
-    pub fn book(&self) -> Option<&Book> {
+    pub fn book(&self) -> Option<&Replica> {
         self.running.as_ref().map(|(book, _)| book)
     }
 
@@ -48,16 +48,16 @@
     ///
     /// # Errors
     /// When the disk did not take the write: the store is suspended.
-    pub fn with(&mut self, now: f64, input: impl FnOnce(&mut Book, f64)) -> Result<Vec<Out>, String> {
+    pub fn with(&mut self, now: f64, input: impl FnOnce(&mut Replica, f64)) -> Result<Vec<Output>, String> {
         let Some((book, disk)) = self.running.as_mut() else { return Ok(Vec::new()) };
         input(book, now);
-        if let Err(error) = disk.write(&book.writes()) {
+        if let Err(error) = disk.write(&book.take_writes()) {
             self.running = None;
             return Err(error);
         }
         // What the first start asks for is on the disk by now. A disk that comes back empty later is one that was lost.
         self.place.bootstrap = false;
-        Ok(book.outs())
+        Ok(book.take_outputs())
     }
 
     /// Tries to go on from what is on the disk.
@@ -68,7 +68,7 @@
         let (book, disk) = self.start(now).map_err(|error| error.to_string())?;
         // A record that is written in any case: shows whether there is room.
         let progress = Some(book.progress());
-        disk.write(&Writes { progress, ..Writes::default() })?;
+        disk.write(&DiskWrites { progress, ..DiskWrites::default() })?;
         self.running = Some((book, disk));
         Ok(())
     }
--- a/system/experiments/src/capacity.rs
+++ b/system/experiments/src/capacity.rs
@@ -5,7 +5,7 @@
 use fennelscale_messages::news::{Backend, Down, Listing, Member};
 use fennelscale_messages::{Host, frame};
 use fennelscale_proxy::held::{Held, Place};
-use fennelscale_replication::{Book, Item, Memory, Origin, Out, Progress};
+use fennelscale_replication::{Item, Origin, Output, PersistedState, Progress, Replica};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -121,25 +121,26 @@
 }
 
 /// A store of one seat with a configuration on its disk, which writes.
-fn store(entries: &[(String, Entry)]) -> Book {
+fn store(entries: &[(String, Entry)]) -> Replica {
     let me = Seat { host: Host(1), zone: "z".into(), region: "r".into() };
-    let place = fennelscale_replication::Place {
-        me,
+    let place = fennelscale_replication::ReplicaConfig {
+        local: me,
         seeds: vec![Host(1)],
         bootstrap: true,
-        tolerance: (0, 0, 0),
-        life: 1,
+        fault_tolerance: (0, 0, 0),
+        incarnation: 1,
     };
     let item =
         |(name, entry): &(String, Entry)| (name.clone(), Item { chosen: Some(entry.clone()), pending: None });
     let items = entries.iter().map(item).collect();
-    let mut book = Book::new(place, Memory { vows: None, progress: Progress::default(), items }, 0.0);
+    let mut book =
+        Replica::new(place, PersistedState { acceptor: None, progress: Progress::default(), items }, 0.0);
     let mut now = 0.0;
     while !book.is_voting() {
         now += 100.0;
         book.tick(now);
-        book.writes();
-        book.outs();
+        book.take_writes();
+        book.take_outputs();
     }
     book
 }
@@ -159,18 +160,18 @@
     let begun = Instant::now();
     for revision in 2..2 + CHANGES {
         let ask = Ask::Change(vec![item(revision as usize * 7 % items, revision)]);
-        book.call(10_000.0, Origin::Registry(revision), ask);
-        black_box(book.writes());
-        let outs = book.outs();
-        assert!(outs.iter().any(|out| matches!(out, Out::Answer(..))), "a change is acknowledged");
+        book.submit(10_000.0, Origin::Registry(revision), ask);
+        black_box(book.take_writes());
+        let outs = book.take_outputs();
+        assert!(outs.iter().any(|out| matches!(out, Output::Answer(..))), "a change is acknowledged");
     }
     point("store: us a change", begun.elapsed().as_secs_f64() * 1e6 / CHANGES as f64);
     let (mut after, mut chunks, mut bytes) = (String::new(), 0.0, 0.0);
     let begun = Instant::now();
     loop {
-        book.word(10_000.0, Host(2), Word::Fetch { since: Stamp::default(), after });
-        let sent = book.outs().into_iter().find_map(|out| match out {
-            Out::Send(_, Word::Chunk(chunk)) => Some(chunk),
+        book.receive(10_000.0, Host(2), Word::Fetch { since: Stamp::default(), after });
+        let sent = book.take_outputs().into_iter().find_map(|out| match out {
+            Output::Send(_, Word::Chunk(chunk)) => Some(chunk),
             _ => None,
         });
         let Some(Chunk { since, after: of, entries, next, position }) = sent else { break };
--- a/system/model-checker/src/mutants.rs
+++ b/system/model-checker/src/mutants.rs
@@ -3,7 +3,7 @@
 use crate::scenarios::Scenario;
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, CallId, Chunk, Word};
-use fennelscale_replication::{Memory, SEATS, Vows, Writes};
+use fennelscale_replication::{AcceptorState, DiskWrites, MEMBERS_KEY, PersistedState};
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -102,31 +102,33 @@
     }
 
     /// What of a step's writes comes to the disk.
-    pub(crate) fn writes(self, mut writes: Writes) -> Writes {
+    pub(crate) fn writes(self, mut writes: DiskWrites) -> DiskWrites {
         match self {
-            Self::NoSync => Writes::default(),
-            Self::NoVows => Writes { vows: writes.vows.map(|_| Vows::default()), ..writes },
+            Self::NoSync => DiskWrites::default(),
+            Self::NoVows => {
+                DiskWrites { acceptor: writes.acceptor.map(|_| AcceptorState::default()), ..writes }
+            }
             Self::NoPending => {
                 let items = std::mem::take(&mut writes.items).into_iter().map(|(name, mut item)| {
                     item.pending = None;
                     (name, item)
                 });
-                Writes { items: items.collect(), ..writes }
+                DiskWrites { items: items.collect(), ..writes }
             }
             _ => writes,
         }
     }
 
     /// What a disk holds at a start.
-    pub(crate) fn memory(self, mut memory: Memory) -> Memory {
+    pub(crate) fn memory(self, mut memory: PersistedState) -> PersistedState {
         match self {
             Self::ForgetsLastPromise => {
-                if let Some(vows) = &mut memory.vows {
-                    vows.promised = vows.joined;
+                if let Some(acceptor) = &mut memory.acceptor {
+                    acceptor.promised = acceptor.joined;
                 }
             }
             Self::SeatsByWhoIsAlive => {
-                let seats = memory.items.get_mut(SEATS).and_then(|item| item.chosen.as_mut());
+                let seats = memory.items.get_mut(MEMBERS_KEY).and_then(|item| item.chosen.as_mut());
                 if let Some(body) = seats.and_then(|entry| entry.body.as_mut()) {
                     let lines: Vec<&str> = body.lines().collect();
                     *body = lines[..lines.len().min(1)].join("\n");
@@ -138,12 +140,16 @@
     }
 
     /// What a disk that was lost holds.
-    pub(crate) fn wiped(self, memory: &Memory) -> Memory {
+    pub(crate) fn wiped(self, memory: &PersistedState) -> PersistedState {
         if self != Self::AmnesiacVotes {
-            return Memory::default();
+            return PersistedState::default();
+        }
+        let seats = memory.items.get(MEMBERS_KEY).map(|item| (MEMBERS_KEY.to_owned(), item.clone()));
+        PersistedState {
+            acceptor: Some(AcceptorState::default()),
+            items: seats.into_iter().collect(),
+            ..PersistedState::default()
         }
-        let seats = memory.items.get(SEATS).map(|item| (SEATS.to_owned(), item.clone()));
-        Memory { vows: Some(Vows::default()), items: seats.into_iter().collect(), ..Memory::default() }
     }
 
     /// What becomes of a word that arrives, and from whom it seems to come.
--- a/system/model-checker/src/world.rs
+++ b/system/model-checker/src/world.rs
@@ -10,7 +10,7 @@
 use fennelscale_config::content;
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, Named, Seat, Stamp, Told, Word};
-use fennelscale_replication::{Book, Item, Memory, Millis, Origin, Out, Place};
+use fennelscale_replication::{Item, Millis, Origin, Output, PersistedState, Replica, ReplicaConfig};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 use std::hash::{Hash, Hasher};
@@ -69,8 +69,8 @@
 #[derive(Clone, Debug)]
 struct Node {
     seat: Seat,
-    disk: Memory,
-    book: Option<Book>,
+    disk: PersistedState,
+    book: Option<Replica>,
     life: u64,
     clock: Millis,
     /// The versions that went out as news in this life.
@@ -79,7 +79,7 @@
 
 impl Node {
     fn votes(&self) -> bool {
-        self.book.as_ref().is_some_and(Book::is_voting)
+        self.book.as_ref().is_some_and(Replica::is_voting)
     }
 }
 
@@ -150,7 +150,7 @@
     pub fn unfounded(seats: usize) -> Self {
         let node = |n: usize| Node {
             seat: Seat { host: Host(n as u32 + 1), zone: format!("z{n}"), region: format!("r{n}") },
-            disk: Memory::default(),
+            disk: PersistedState::default(),
             book: None,
             life: 0,
             clock: 0.0,
@@ -208,7 +208,7 @@
         let clock = self.nodes[gone].clock;
         self.crash(gone);
         let seat = Seat { host: Host(self.nodes.len() as u32 + 1), zone, region };
-        let disk = Memory::default();
+        let disk = PersistedState::default();
         self.nodes.push(Node { seat, disk, book: None, life: 0, clock, seen: BTreeMap::new() });
         // The machine that is gone is not yet given up when the world begins, and the empty one has learned by then.
         self.rest(span - LEARNED);
@@ -238,11 +238,17 @@
         let node = &mut self.nodes[n];
         node.life += 1;
         node.seen.clear();
-        let place = Place { me: node.seat.clone(), seeds, bootstrap, tolerance: (1, 0, 0), life: node.life };
+        let place = ReplicaConfig {
+            local: node.seat.clone(),
+            seeds,
+            bootstrap,
+            fault_tolerance: (1, 0, 0),
+            incarnation: node.life,
+        };
         let memory = node.disk.clone();
         let memory = if let Some(mutant) = mutant { mutant.memory(memory) } else { memory };
-        node.book = Some(Book::new(place, memory, node.clock));
-        self.input(n, Book::tick);
+        node.book = Some(Replica::new(place, memory, node.clock));
+        self.input(n, Replica::tick);
     }
 
     fn crash(&mut self, n: usize) {
@@ -254,7 +260,7 @@
     fn wipe(&mut self, n: usize) {
         self.crash(n);
         let disk = &mut self.nodes[n].disk;
-        *disk = self.mutant.map_or_else(Memory::default, |mutant| mutant.wiped(disk));
+        *disk = self.mutant.map_or_else(PersistedState::default, |mutant| mutant.wiped(disk));
         self.wiped += 1;
     }
 
@@ -263,26 +269,26 @@
     }
 
     /// Gives a store an input as its host does: what it writes is on the disk before anything is sent.
-    fn input(&mut self, n: usize, input: impl FnOnce(&mut Book, Millis)) {
+    fn input(&mut self, n: usize, input: impl FnOnce(&mut Replica, Millis)) {
         let node = &mut self.nodes[n];
         let Some(book) = node.book.as_mut() else { return };
         input(book, node.clock);
-        let (writes, outs) = (book.writes(), book.outs());
+        let (writes, outs) = (book.take_writes(), book.take_outputs());
         let writes = if let Some(mutant) = self.mutant { mutant.writes(writes) } else { writes };
-        node.disk.take(writes);
+        node.disk.apply(writes);
         for out in outs {
             match out {
-                Out::Send(_, Word::Beat { .. }) if !self.hears_beats => {}
-                Out::Send(to, word) => {
+                Output::Send(_, Word::Beat { .. }) if !self.hears_beats => {}
+                Output::Send(to, word) => {
                     let (life, to) = (self.nodes[n].life, self.at(to));
                     // Nobody listens at a machine that is down.
                     if let Some(to) = to.filter(|to| self.nodes[*to].book.is_some()) {
                         self.lines.entry((n, life, to)).or_default().push_back(word);
                     }
                 }
-                Out::News(entries) => entries.into_iter().for_each(|entry| self.news(n, entry)),
-                Out::Answer(id, told) => self.answered(id as usize, told),
-                Out::Seats(_) | Out::Fresh(_) | Out::Log(..) => {}
+                Output::Chosen(entries) => entries.into_iter().for_each(|entry| self.news(n, entry)),
+                Output::Answer(id, told) => self.answered(id as usize, told),
+                Output::Members(_) | Output::UpToDate(_) | Output::Log(..) => {}
             }
         }
         self.look();
@@ -342,7 +348,7 @@
     /// On how many disks a version or a newer one is, if that is too few for it to stay.
     fn too_few_disks(&self, name: &str, revision: u64) -> Option<usize> {
         // The newest list of seats that anybody holds says how many are needed.
-        let seats = self.nodes.iter().filter_map(|n| n.book.as_ref()).map(Book::seats);
+        let seats = self.nodes.iter().filter_map(|n| n.book.as_ref()).map(Replica::members);
         let seats = seats.max_by_key(|seats| seats.version)?;
         let listed = |node: &&Node| seats.seats.iter().any(|seat| seat.host == node.seat.host);
         let holds = |node: &&Node| {
@@ -360,8 +366,8 @@
             .nodes
             .iter()
             .filter_map(|n| n.book.as_ref())
-            .filter(|b| b.is_writer())
-            .map(|b| b.vows().promised)
+            .filter(|b| b.is_leader())
+            .map(|b| b.acceptor().promised)
             .collect();
         turns.sort_unstable();
         if turns.windows(2).any(|pair| pair[0] == pair[1]) {
@@ -370,7 +376,7 @@
         let mut lists: BTreeMap<u64, &[Seat]> = BTreeMap::new();
         let books = self.nodes.iter().filter_map(|node| node.book.as_ref());
         let two = books
-            .map(Book::seats)
+            .map(Replica::members)
             .filter(|seats| !seats.seats.is_empty())
             .find(|seats| *lists.entry(seats.version).or_insert(&seats.seats) != seats.seats.as_slice());
         if let Some(version) = two.map(|seats| seats.version) {
@@ -415,7 +421,7 @@
         if matches!(ask, Ask::Evacuate(..)) {
             self.orders.push(id);
         }
-        self.input(at, |book, now| book.call(now, Origin::Registry(id as u64), ask));
+        self.input(at, |book, now| book.submit(now, Origin::Registry(id as u64), ask));
     }
 
     fn deliver(&mut self, from: usize, life: u64, to: usize) {
@@ -428,25 +434,25 @@
         let host = self.nodes[from].seat.host;
         if self.mutant == Some(Mutant::RefusedIsAccepted)
             && let Some(stamp) = written(&word)
-            && self.nodes[to].book.as_ref().is_some_and(|book| book.vows().promised > stamp.epoch)
+            && self.nodes[to].book.as_ref().is_some_and(|book| book.acceptor().promised > stamp.epoch)
         {
             let back = (to, self.nodes[to].life, from);
             return self.lines.entry(back).or_default().push_back(Word::Accepted(stamp));
         }
         if self.mutant == Some(Mutant::RefusedIsPromise)
             && let Word::Refused(_) = word
-            && let Some(epoch) = self.nodes[to].book.as_ref().map(|book| book.vows().promised)
+            && let Some(epoch) = self.nodes[to].book.as_ref().map(|book| book.acceptor().promised)
         {
             let (chosen, pending) = (Vec::new(), Vec::new());
             let promise = Word::Promise { epoch, joined: epoch, chosen, more: false, pending };
-            return self.input(to, |book, now| book.word(now, host, promise));
+            return self.input(to, |book, now| book.receive(now, host, promise));
         }
         if self.mutant == Some(Mutant::ReadsOwnCopy)
             && let Word::Passed(id, Told::Fresh(_)) = word
         {
             // Any copy is as new as that.
             return self.input(to, |book, now| {
-                book.word(now, host, Word::Passed(id, Told::Fresh(Stamp::default())));
+                book.receive(now, host, Word::Passed(id, Told::Fresh(Stamp::default())));
             });
         }
         let words = match self.mutant {
@@ -457,7 +463,7 @@
             None => vec![(host, word)],
         };
         for (host, word) in words {
-            self.input(to, |book, now| book.word(now, host, word));
+            self.input(to, |book, now| book.receive(now, host, word));
         }
     }
 
@@ -512,7 +518,7 @@
                     if votes { (&mut self.left.passes, PASS) } else { (&mut self.left.lessons, LEARNS) };
                 *left -= 1;
                 self.nodes[n].clock += span;
-                self.input(n, Book::tick);
+                self.input(n, Replica::tick);
             }
             Step::Crash(n) => {
                 self.left.crashes -= 1;
@@ -533,7 +539,7 @@
             passed += STEP;
             for n in 0..self.nodes.len() {
                 self.nodes[n].clock += STEP;
-                self.input(n, Book::tick);
+                self.input(n, Replica::tick);
             }
             // Bounded: stores answer words, they do not begin talks of their own but when time passes.
             for _ in 0..10_000 {
@@ -601,20 +607,20 @@
     pub fn states(&self) -> String {
         let line = |(n, node): (usize, &Node)| match &node.book {
             None => {
-                format!("  {n}: down, disk {}\n", if node.disk.vows.is_some() { "kept" } else { "empty" })
+                format!("  {n}: down, disk {}\n", if node.disk.acceptor.is_some() { "kept" } else { "empty" })
             }
             Some(book) => {
-                let seats: Vec<u32> = book.seats().seats.iter().map(|seat| seat.host.0).collect();
-                let role = match (book.is_writer(), book.is_voting()) {
+                let seats: Vec<u32> = book.members().seats.iter().map(|seat| seat.host.0).collect();
+                let role = match (book.is_leader(), book.is_voting()) {
                     (true, _) => "writes",
                     (false, true) => "votes",
                     (false, false) => "does not vote",
                 };
-                let (vows, version) = (book.vows(), book.seats().version);
-                let (round, joined) = (vows.promised.round, vows.joined.round);
+                let (acceptor, version) = (book.acceptor(), book.members().version);
+                let (round, joined) = (acceptor.promised.round, acceptor.joined.round);
                 format!(
                     "  {n}: {role}, promised {round} by {}, joined {joined}, seats {version} {seats:?}\n",
-                    vows.promised.seat.0
+                    acceptor.promised.seat.0
                 )
             }
         };
--- a/system/replication/src/calls.rs
+++ b/system/replication/src/calls.rs
@@ -1,8 +1,8 @@
 //! Callers: what their calls change, who decides on them, and what they are told.
 
-use crate::versions::{self, Standing};
+use crate::versions::{self, VersionStatus};
 use crate::writer::Turn;
-use crate::{Book, Millis, Out, SEATS};
+use crate::{MEMBERS_KEY, Millis, Output, Replica};
 use fennelscale_config::Changes;
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, CallId, Change, Entry, Named, Stamp, Told, Word};
@@ -23,7 +23,7 @@
     /// This machine's registry; its number of the call.
     Registry(u64),
     /// Another store, which passed it on.
-    Seat(Host, CallId),
+    Peer(Host, CallId),
 }
 
 /// A call whose answer is owed.
@@ -78,9 +78,9 @@
     }
 }
 
-impl Book {
+impl Replica {
     /// A call from outside, or one that another store passes on.
-    pub fn call(&mut self, now: Millis, origin: Origin, ask: Ask) {
+    pub fn submit(&mut self, now: Millis, origin: Origin, ask: Ask) {
         let ask = match ask {
             Ask::Evacuate(zone, on, None) => {
                 let seen = self.view(&format!("e:{zone}")).map_or(0, |entry| entry.revision);
@@ -102,7 +102,7 @@
             return self.answer_unclear(ticket);
         }
         let heard = |host: &&Host| {
-            self.peers.get(host).is_some_and(|p| p.votes && !p.leaving && now - p.heard < crate::SILENT)
+            self.peers.get(host).is_some_and(|p| p.votes && !p.leaving && now - p.heard < crate::PEER_TIMEOUT)
         };
         let any = || self.others().iter().filter(heard).copied().next();
         let to = self.writer(now).or_else(|| if self.votes { None } else { any() });
@@ -218,17 +218,17 @@
         let mut facts = Changes::new();
         for change in changes {
             let known = self.view(&change.name);
-            match known.map_or(Standing::Newer, |known| versions::standing(known, &change)) {
-                Standing::Known => continue,
-                Standing::Taken => return Err(conflict(&change)),
-                Standing::Forgotten => return Err(Told::Forgotten),
-                Standing::PassedOver => {
+            match known.map_or(VersionStatus::Newer, |known| versions::status(known, &change)) {
+                VersionStatus::Known => continue,
+                VersionStatus::Taken => return Err(conflict(&change)),
+                VersionStatus::Forgotten => return Err(Told::Forgotten),
+                VersionStatus::PassedOver => {
                     entries.extend(
                         known.map(|known| (change.name.clone(), versions::with_record(known, &change))),
                     );
                     continue;
                 }
-                Standing::Newer => {}
+                VersionStatus::Newer => {}
             }
             let history = known.map_or_else(Vec::new, |known| versions::history_after(&change.name, known));
             let host = self.host_of(&change);
@@ -258,7 +258,7 @@
             (Reply::Done, _) => self.answer(ticket, Told::Done),
             (Reply::Refusal(told), _) => self.answer(ticket, told),
             (Reply::Read, Origin::Registry(_)) => self.answer_items(ticket),
-            (Reply::Read, Origin::Seat(..)) => {
+            (Reply::Read, Origin::Peer(..)) => {
                 let newest = self.newest();
                 self.answer(ticket, Told::Fresh(newest));
             }
@@ -266,7 +266,8 @@
     }
 
     fn answer_items(&mut self, ticket: Ticket) {
-        let standing = self.chosen().filter(|(name, entry)| *name != SEATS && entry.body.is_some());
+        let standing =
+            self.chosen_entries().filter(|(name, entry)| *name != MEMBERS_KEY && entry.body.is_some());
         let standing = standing.map(|(name, entry)| (name.clone(), versions::published(entry))).collect();
         self.answer(ticket, Told::Items(standing));
     }
@@ -277,8 +278,8 @@
 
     pub(crate) fn answer(&mut self, ticket: Ticket, told: Told) {
         match ticket.origin {
-            Origin::Registry(id) => self.out.push(Out::Answer(id, told)),
-            Origin::Seat(host, id) => self.send(host, Word::Passed(id, told)),
+            Origin::Registry(id) => self.out.push(Output::Answer(id, told)),
+            Origin::Peer(host, id) => self.send(host, Word::Passed(id, told)),
         }
     }
 }
--- a/system/replication/src/catch_up.rs
+++ b/system/replication/src/catch_up.rs
@@ -4,7 +4,7 @@
 //! another store after each chunk, or after a start of its own: each name was told by a store that was complete up to some position, so
 //! the asker is complete up to the lowest of these once the last name is through. What is chosen meanwhile is the next transfer's.
 
-use crate::{Book, Millis, SEATS};
+use crate::{MEMBERS_KEY, Millis, Replica};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Chunk, Entry, Named, Stamp, Word};
 use std::ops::Bound;
@@ -36,7 +36,7 @@
     64 + name.len() + entry.host.len() + body + 16 * entry.history.len()
 }
 
-impl Book {
+impl Replica {
     /// What is held as chosen with this stamp or a later one; none if that is more than one chunk.
     pub(crate) fn tail(&self, since: Stamp) -> Option<Vec<Named>> {
         let (mut tail, mut bytes) = (Vec::new(), 0);
@@ -90,7 +90,7 @@
     }
 
     fn transfer_since(&mut self, now: Millis, from: Host, since: Stamp) {
-        if self.transfer.is_some() || from == self.place.me.host {
+        if self.transfer.is_some() || from == self.place.local.host {
             return;
         }
         self.transfer = Some(Transfer { since, after: String::new(), reaches: None, from, asked: now });
@@ -166,7 +166,7 @@
 
     /// Tells another store the list of seats.
     pub(crate) fn tell_seats(&mut self, to: Host) {
-        if let Some(entry) = self.items.get(SEATS).and_then(|item| item.chosen.clone()) {
+        if let Some(entry) = self.items.get(MEMBERS_KEY).and_then(|item| item.chosen.clone()) {
             self.send(to, Word::SeatList(entry));
         }
     }
--- a/system/replication/src/founding.rs
+++ b/system/replication/src/founding.rs
@@ -7,7 +7,7 @@
 //! disks.
 
 use crate::membership::to_text;
-use crate::{Book, Millis, SEATS};
+use crate::{MEMBERS_KEY, Millis, Replica};
 use fennelscale_messages::depot::{Entry, Epoch, Seat, Stamp};
 
 /// The founder waits so long for the others: all machines start together, and nothing is asked of them for seconds.
@@ -19,32 +19,33 @@
 
 /// What a store is to do at the first start of all. Kept on its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
-pub enum Founding {
+pub enum BootstrapRole {
     /// Nothing: it came later, or its disk was lost.
     #[default]
-    No,
+    None,
     /// Takes its seat on the first list: it has forgotten nothing.
-    Member,
+    Participant,
     /// Makes the first list.
-    Founder,
+    Initiator,
 }
 
-impl Book {
+impl Replica {
     /// An empty disk: what the settings say of the first start is kept.
     pub(crate) fn note_first_start(&mut self) {
-        if !self.place.bootstrap || self.progress.founding != Founding::No {
+        if !self.place.bootstrap || self.progress.bootstrap_role != BootstrapRole::None {
             return;
         }
-        let first = self.place.seeds.first() == Some(&self.place.me.host);
-        self.progress.founding = if first { Founding::Founder } else { Founding::Member };
+        let first = self.place.seeds.first() == Some(&self.place.local.host);
+        self.progress.bootstrap_role =
+            if first { BootstrapRole::Initiator } else { BootstrapRole::Participant };
         self.dirty_progress = true;
     }
 
     pub(crate) fn found(&mut self, now: Millis) {
-        let me = self.place.me.clone();
+        let me = self.place.local.clone();
         let (age, many) = (now - self.born, self.candidates.len() + 1);
         let early = age < FOUND || many < FOUND_LEAST && age < FOUND_LATEST;
-        if self.progress.founding != Founding::Founder || early {
+        if self.progress.bootstrap_role != BootstrapRole::Initiator || early {
             return;
         }
         let mut seats: Vec<Seat> = self.candidates.values().map(|candidate| candidate.seat.clone()).collect();
@@ -54,20 +55,20 @@
         let entry = Entry { stamp, revision: 1, body: Some(to_text(&seats)), ..Entry::default() };
         self.log("founded", format!("seats={}", seats.len()));
         self.votes = true;
-        self.vows.promised = self.vows.promised.max(stamp.epoch);
-        self.dirty_vows = true;
-        self.merge(vec![(SEATS.to_owned(), entry)]);
+        self.acceptor.promised = self.acceptor.promised.max(stamp.epoch);
+        self.dirty_acceptor = true;
+        self.merge(vec![(MEMBERS_KEY.to_owned(), entry)]);
         self.reach(stamp.following());
         self.others().into_iter().for_each(|host| self.tell_seats(host));
     }
 
     /// A store that was there at the first start has forgotten nothing: it takes its seat on the first list at once. Whether it did.
     pub(crate) fn takes_first_seat(&mut self) -> bool {
-        if self.progress.founding == Founding::No || self.seats.version != 1 {
+        if self.progress.bootstrap_role == BootstrapRole::None || self.seats.version != 1 {
             return false;
         }
         self.votes = true;
-        self.dirty_vows = true;
+        self.dirty_acceptor = true;
         self.log("seat-taken", "version=1".into());
         true
     }
--- a/system/replication/src/lib.rs
+++ b/system/replication/src/lib.rs
@@ -10,12 +10,12 @@
 //! - Nothing goes out as news before it is chosen; so nobody ever sees a value that might not come to be.
 //! - A call is taken whole or not at all: its entries are one write, taken by each seat in one step of its disk.
 //! - A call that was refused is never in force: who writes next takes from earlier turns only what may have been chosen
-//!   ([`Book::base`]), before it decides on anything.
+//!   ([`Replica::base`]), before it decides on anything.
 //! - Copies merge name by name, the higher stamp stays: order, repetition and loss of words change nothing.
 //!
 //! # What the caller owes
 //!
-//! After each input: take [`Book::writes`], bring them to the disk and sync, and only then carry out [`Book::outs`]. Words to
+//! After each input: take [`Replica::take_writes`], bring them to the disk and sync, and only then carry out [`Replica::take_outputs`]. Words to
 //! one seat go out in order or not at all. `now` never goes back.
 //!
 //! # Inside
@@ -34,7 +34,7 @@
 mod writer;
 
 pub use catch_up::CHUNK_BYTES;
-pub use founding::Founding;
+pub use founding::BootstrapRole;
 pub use position::Progress;
 
 pub use calls::Origin;
@@ -44,18 +44,18 @@
 use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Told, Word};
 use std::collections::{BTreeMap, BTreeSet};
 use writer::Turn;
-pub use writer::{OUT_OF_CONTACT, UNTAKEN};
+pub use writer::{ACCEPT_TIMEOUT, QUORUM_CONTACT_TIMEOUT};
 
 /// Milliseconds of a clock that never goes back.
 pub type Millis = f64;
 
 /// The name of the list of seats.
-pub const SEATS: &str = "m:seats";
+pub const MEMBERS_KEY: &str = "m:seats";
 
 /// Between two beats.
-pub const BEAT: Millis = 400.0;
+pub const HEARTBEAT_INTERVAL: Millis = 400.0;
 /// A seat that was not heard for this long is not counted on: three beats, and the longest way.
-pub const SILENT: Millis = 1300.0;
+pub const PEER_TIMEOUT: Millis = 1300.0;
 /// A write that a living writer does not choose is asked for after this.
 const STUCK: Millis = 2600.0;
 /// Seats that ask by themselves do so one after the other, this far apart.
@@ -72,7 +72,7 @@
 
 /// What a seat must not forget beside its items.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
-pub struct Vows {
+pub struct AcceptorState {
     /// Nothing of earlier turns is taken any more.
     pub promised: Epoch,
     /// The turn whose first write was taken last.
@@ -81,20 +81,20 @@
 
 /// What was on the disk at the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Memory {
+pub struct PersistedState {
     /// What was promised; none on an empty disk.
-    pub vows: Option<Vows>,
+    pub acceptor: Option<AcceptorState>,
     /// How far the copy goes, and how this store was started first.
     pub progress: Progress,
     /// The items.
     pub items: BTreeMap<String, Item>,
 }
 
-impl Memory {
+impl PersistedState {
     /// What a disk holds after a write.
-    pub fn take(&mut self, writes: Writes) {
-        let Writes { vows, progress, items } = writes;
-        self.vows = vows.or(self.vows);
+    pub fn apply(&mut self, writes: DiskWrites) {
+        let DiskWrites { acceptor, progress, items } = writes;
+        self.acceptor = acceptor.or(self.acceptor);
         self.progress = progress.unwrap_or(self.progress);
         self.items.extend(items);
     }
@@ -102,9 +102,9 @@
 
 /// What must be on the disk before anything is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Writes {
+pub struct DiskWrites {
     /// The promises, where they have changed.
-    pub vows: Option<Vows>,
+    pub acceptor: Option<AcceptorState>,
     /// How far the copy goes, with all else that is written.
     pub progress: Option<Progress>,
     /// The items that have changed.
@@ -113,34 +113,34 @@
 
 /// What the host does, once the writes are safe.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Sends a word to a seat.
     Send(Host, Word),
     /// Answers a call of this machine's registry.
     Answer(u64, Told),
     /// Tells the registry of entries that are chosen now.
-    News(Vec<Named>),
+    Chosen(Vec<Named>),
     /// Tells the registry of the seats.
-    Seats(Seats),
+    Members(Seats),
     /// Tells the registry whether this copy is as new as a quorum's, with each beat.
-    Fresh(bool),
+    UpToDate(bool),
     /// A line for the log: the event and what it is about.
     Log(&'static str, String),
 }
 
 /// What the machine is told of its place.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ReplicaConfig {
     /// This machine.
-    pub me: Seat,
+    pub local: Seat,
     /// Machines that are told to be there, in the order of the settings.
     pub seeds: Vec<Host>,
     /// The whole system starts for the first time.
     pub bootstrap: bool,
     /// The machines, zones and regions that may be lost at once.
-    pub tolerance: (usize, usize, usize),
+    pub fault_tolerance: (usize, usize, usize),
     /// A number of this life, for what is drawn by chance.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -157,9 +157,9 @@
 
 /// One store.
 #[derive(Clone, Debug)]
-pub struct Book {
-    place: Place,
-    vows: Vows,
+pub struct Replica {
+    place: ReplicaConfig,
+    acceptor: AcceptorState,
     items: BTreeMap<String, Item>,
     /// What the items say, by the newest word on each.
     standing: Standing,
@@ -202,10 +202,10 @@
     learned: BTreeSet<Host>,
     lesson: BTreeMap<String, Item>,
     dirty: BTreeSet<String>,
-    dirty_vows: bool,
+    dirty_acceptor: bool,
     dirty_progress: bool,
     news: Vec<Named>,
-    out: Vec<Out>,
+    out: Vec<Output>,
 }
 
 /// How many of these seats a write needs: so many that two quorums share two seats, where that many are still there after
@@ -225,13 +225,13 @@
     twice.min(n.saturating_sub(lost)).max(majority).min(n.max(1))
 }
 
-impl Book {
+impl Replica {
     /// A store with what its disk held.
-    pub fn new(place: Place, memory: Memory, now: Millis) -> Self {
-        let Memory { vows, progress, items } = memory;
-        let blank = vows.is_none();
+    pub fn new(place: ReplicaConfig, memory: PersistedState, now: Millis) -> Self {
+        let PersistedState { acceptor, progress, items } = memory;
+        let blank = acceptor.is_none();
         let mut book = Self {
-            vows: vows.unwrap_or_default(),
+            acceptor: acceptor.unwrap_or_default(),
             items,
             standing: Standing::default(),
             digest: 0,
@@ -247,7 +247,7 @@
             peers: BTreeMap::new(),
             contact: BTreeMap::new(),
             candidates: BTreeMap::new(),
-            calls: calls::Calls::new(place.life),
+            calls: calls::Calls::new(place.incarnation),
             round: 0,
             beat_at: now,
             announce_at: now,
@@ -261,17 +261,17 @@
             learned: BTreeSet::new(),
             lesson: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            dirty_vows: false,
+            dirty_acceptor: false,
             dirty_progress: false,
             news: Vec::new(),
             out: Vec::new(),
             place,
         };
-        book.round = book.vows.promised.round;
+        book.round = book.acceptor.promised.round;
         book.index();
-        book.contiguous = position::Contiguous::at_start(book.progress.position, book.vows.joined);
+        book.contiguous = position::Contiguous::at_start(book.progress.position, book.acceptor.joined);
         book.take_seats();
-        book.votes = !blank && book.is_seat(book.place.me.host);
+        book.votes = !blank && book.is_seat(book.place.local.host);
         book.inherited = !book.pending.is_empty();
         if blank {
             book.note_first_start();
@@ -295,52 +295,52 @@
         }
     }
 
-    /// What must be on the disk before [`Self::outs`] are carried out.
-    pub fn writes(&mut self) -> Writes {
-        let vows = std::mem::take(&mut self.dirty_vows).then_some(self.vows);
+    /// What must be on the disk before [`Self::take_outputs`] are carried out.
+    pub fn take_writes(&mut self) -> DiskWrites {
+        let acceptor = std::mem::take(&mut self.dirty_acceptor).then_some(self.acceptor);
         let dirty = std::mem::take(&mut self.dirty);
         // How far the copy goes is told with what it goes by; alone it is not worth a sync.
-        let write = std::mem::take(&mut self.dirty_progress) || vows.is_some() || !dirty.is_empty();
+        let write = std::mem::take(&mut self.dirty_progress) || acceptor.is_some() || !dirty.is_empty();
         let progress = write.then_some(self.progress);
         let item = |name: String| {
             let item = self.items.get(&name).cloned().unwrap_or_default();
             (name, item)
         };
-        Writes { vows, progress, items: dirty.into_iter().map(item).collect() }
+        DiskWrites { acceptor, progress, items: dirty.into_iter().map(item).collect() }
     }
 
     /// What is to be done, in this order.
-    pub fn outs(&mut self) -> Vec<Out> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         let news = std::mem::take(&mut self.news);
         if !news.is_empty() {
-            self.out.push(Out::News(news));
+            self.out.push(Output::Chosen(news));
         }
         std::mem::take(&mut self.out)
     }
 
     /// All that is chosen, for a registry that begins to listen.
-    pub fn all(&self) -> Vec<Named> {
-        let chosen = self.chosen().filter(|(name, _)| *name != SEATS);
+    pub fn published_entries(&self) -> Vec<Named> {
+        let chosen = self.chosen_entries().filter(|(name, _)| *name != MEMBERS_KEY);
         chosen.map(|(name, entry)| (name.clone(), versions::published(entry))).collect()
     }
 
     /// The entries that are chosen, the list of seats among them.
-    pub fn chosen(&self) -> impl Iterator<Item = (&String, &Entry)> {
+    pub fn chosen_entries(&self) -> impl Iterator<Item = (&String, &Entry)> {
         self.items.iter().filter_map(|(name, item)| Some((name, item.chosen.as_ref()?)))
     }
 
     /// The list of seats.
-    pub fn seats(&self) -> &Seats {
+    pub fn members(&self) -> &Seats {
         &self.seats
     }
 
     /// Whether this copy is as new as a quorum's.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_up_to_date(&self) -> bool {
         self.fresh
     }
 
     /// Whether this store is the one that writes.
-    pub fn is_writer(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.turn, Turn::Holding(_))
     }
 
@@ -350,8 +350,8 @@
     }
 
     /// What was promised.
-    pub fn vows(&self) -> Vows {
-        self.vows
+    pub fn acceptor(&self) -> AcceptorState {
+        self.acceptor
     }
 
     /// An item, with what is pending of it.
@@ -364,20 +364,20 @@
     }
 
     fn quorum(&self) -> usize {
-        quorum(&self.seats, self.place.tolerance)
+        quorum(&self.seats, self.place.fault_tolerance)
     }
 
     fn others(&self) -> Vec<Host> {
-        let me = self.place.me.host;
+        let me = self.place.local.host;
         self.seats.seats.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
     }
 
     fn send(&mut self, to: Host, word: Word) {
-        self.out.push(Out::Send(to, word));
+        self.out.push(Output::Send(to, word));
     }
 
     fn log(&mut self, event: &'static str, what: String) {
-        self.out.push(Out::Log(event, what));
+        self.out.push(Output::Log(event, what));
     }
 
     /// The newest word on a name: what is taken in this turn goes before what is chosen.
@@ -392,7 +392,7 @@
         self.standing.set(name, fact);
     }
 
-    /// Time passes; to be told every so often, at least each quarter of a [`BEAT`].
+    /// Time passes; to be told every so often, at least each quarter of a [`HEARTBEAT_INTERVAL`].
     pub fn tick(&mut self, now: Millis) {
         self.membership_tick(now);
         self.transfer_tick(now);
@@ -402,12 +402,12 @@
             return;
         }
         // After a start others are to find soon that this copy is as new as theirs, or not.
-        self.beat_at = now + if self.fresh { BEAT } else { BEAT / 3.0 };
+        self.beat_at = now + if self.fresh { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
         self.look_stuck(now);
         if self.votes {
             let beat = Word::Beat {
                 seats: self.seats.version,
-                promised: self.vows.promised,
+                promised: self.acceptor.promised,
                 votes: true,
                 leaving: self.leaving,
                 unconfirmed: self.inherited,
@@ -426,18 +426,18 @@
     fn look_fresh(&mut self, now: Millis) {
         let position = self.progress.position;
         let covered = |peer: &Peer| {
-            peer.votes && !peer.unconfirmed && now - peer.heard < SILENT && peer.newest <= position
+            peer.votes && !peer.unconfirmed && now - peer.heard < PEER_TIMEOUT && peer.newest <= position
         };
         let heard = self.others().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
         let enough = heard + usize::from(self.votes) >= self.quorum();
         self.fresh = !self.seats.seats.is_empty() && enough && !self.inherited;
         // Said with each beat: the registry goes by it for a while only, since a store that hangs cannot take it back.
-        self.out.push(Out::Fresh(self.fresh));
+        self.out.push(Output::UpToDate(self.fresh));
     }
 
     /// Seats that ask by themselves take their turns, by their place in the list.
     pub(crate) fn place_in_list(&self) -> f64 {
-        self.seats.seats.iter().position(|seat| seat.host == self.place.me.host).unwrap_or(0) as f64
+        self.seats.seats.iter().position(|seat| seat.host == self.place.local.host).unwrap_or(0) as f64
     }
 
     /// A write that was taken here stays unknown where its writer died before it could say that it is chosen, though it may have
@@ -455,7 +455,7 @@
         let since = self.stuck.filter(|(stamp, _)| *stamp == oldest).map_or(now, |(_, since)| since);
         self.stuck = Some((oldest, since));
         // A writer that lives will say so, unless it has forgotten.
-        let wait = if self.writer(now).is_some() { STUCK } else { SILENT };
+        let wait = if self.writer(now).is_some() { STUCK } else { PEER_TIMEOUT };
         if now - since >= wait + self.place_in_list() * APART {
             self.stuck = None;
             self.ask_turn(now);
@@ -463,7 +463,7 @@
     }
 
     /// A word from another store.
-    pub fn word(&mut self, now: Millis, from: Host, word: Word) {
+    pub fn receive(&mut self, now: Millis, from: Host, word: Word) {
         // Only who writes, or asks to, goes by it.
         if !matches!(self.turn, Turn::Idle) && self.is_seat(from) {
             self.contact.insert(from, now);
@@ -501,7 +501,7 @@
             Word::Refused(epoch) => self.on_refused(epoch),
             Word::Behind(epoch, since) => self.on_behind(from, epoch, since),
             Word::Chosen(stamp) => self.choose(stamp.epoch, stamp.turn + 1),
-            Word::SeatList(entry) => self.merge(vec![(SEATS.to_owned(), entry)]),
+            Word::SeatList(entry) => self.merge(vec![(MEMBERS_KEY.to_owned(), entry)]),
             Word::CatchUp => self.begin_transfer(now, from),
             Word::Fetch { since, after } => self.on_fetch(from, since, after),
             Word::Chunk(chunk) => self.on_chunk(now, from, chunk),
@@ -510,7 +510,7 @@
             Word::Learned { promised, joined, chosen, more: false, pending } => {
                 self.on_learned(from, promised, joined, chosen, pending);
             }
-            Word::Pass(id, ask) => self.call(now, Origin::Seat(from, id), ask),
+            Word::Pass(id, ask) => self.submit(now, Origin::Peer(from, id), ask),
             Word::Passed(id, told) => self.on_passed(now, from, id, told),
         }
     }
--- a/system/replication/src/membership.rs
+++ b/system/replication/src/membership.rs
@@ -8,11 +8,11 @@
 //! - *One at a time*: the list changes again only when all seats of it vote, but for those that are gone; never after a mere time.
 //! - *Enough must stay*: no seat is given away unless those that remain and vote are a quorum of the new list. The new seat learns the
 //!   promises of a quorum before it votes, so any old and new quorum share a seat that remembers.
-//! - A member that leaves in order hands over first ([`Book::waits_to_leave`]).
+//! - A member that leaves in order hands over first ([`Replica::leave_blocker`]).
 //! - *Who is not on the list* finds that at the first word with anybody: it passes calls on and votes on nothing.
 
 use crate::writer::Turn;
-use crate::{BEAT, Book, Millis, SEATS, SILENT};
+use crate::{HEARTBEAT_INTERVAL, MEMBERS_KEY, Millis, PEER_TIMEOUT, Replica};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Word};
 
@@ -50,15 +50,15 @@
     text.lines().map(line).collect()
 }
 
-impl Book {
+impl Replica {
     /// Takes the chosen list of seats into use.
     pub(crate) fn take_seats(&mut self) {
-        let entry = self.items.get(SEATS).and_then(|item| item.chosen.as_ref());
+        let entry = self.items.get(MEMBERS_KEY).and_then(|item| item.chosen.as_ref());
         let Some(entry) = entry else { return };
         let seats = entry.body.as_deref().and_then(from_text).unwrap_or_default();
         self.seats = Seats { version: entry.revision, seats };
         self.seated = self.told;
-        let me = self.place.me.host;
+        let me = self.place.local.host;
         if self.votes && !self.is_seat(me) {
             self.votes = false;
             self.log("seat-lost", format!("version={}", self.seats.version));
@@ -86,13 +86,13 @@
     }
 
     pub(crate) fn announce_to(&mut self, host: Host) {
-        let (seat, position) = (self.place.me.clone(), self.progress.position);
+        let (seat, position) = (self.place.local.clone(), self.progress.position);
         self.send(host, Word::Announce { seat, position });
     }
 
     pub(crate) fn membership_tick(&mut self, now: Millis) {
         self.told = now;
-        if self.seats.seats.is_empty() || !self.is_seat(self.place.me.host) {
+        if self.seats.seats.is_empty() || !self.is_seat(self.place.local.host) {
             self.announce(now);
         } else if !self.votes && !self.takes_first_seat() {
             self.learn(now);
@@ -114,12 +114,12 @@
         let others = self.others();
         let mut hosts = self.place.seeds.clone();
         hosts.extend(&others);
-        hosts.retain(|host| *host != self.place.me.host);
+        hosts.retain(|host| *host != self.place.local.host);
         hosts.sort_unstable();
         hosts.dedup();
         hosts.into_iter().for_each(|host| self.announce_to(host));
         if !others.is_empty() {
-            let at = fennelscale_messages::mix(self.place.life ^ now.to_bits()) % others.len() as u64;
+            let at = fennelscale_messages::mix(self.place.incarnation ^ now.to_bits()) % others.len() as u64;
             self.begin_transfer(now, others[at as usize]);
         }
     }
@@ -129,7 +129,7 @@
         if now < self.announce_at {
             return;
         }
-        self.announce_at = now + BEAT;
+        self.announce_at = now + HEARTBEAT_INTERVAL;
         let position = self.progress.position;
         for host in self.others() {
             self.send(host, Word::Learn(position));
@@ -143,7 +143,7 @@
             return;
         }
         let (tail, pending) = (self.tail(since), self.pending());
-        let (promised, joined, more) = (self.vows.promised, self.vows.joined, tail.is_none());
+        let (promised, joined, more) = (self.acceptor.promised, self.acceptor.joined, tail.is_none());
         self.send(from, Word::Learned { promised, joined, chosen: tail.unwrap_or_default(), more, pending });
     }
 
@@ -151,13 +151,13 @@
     pub(crate) fn on_learned(
         &mut self, from: Host, promised: Epoch, joined: Epoch, chosen: Vec<Named>, pending: Vec<Named>,
     ) {
-        if self.votes || !self.is_seat(from) || !self.is_seat(self.place.me.host) {
+        if self.votes || !self.is_seat(from) || !self.is_seat(self.place.local.host) {
             return;
         }
         self.merge(chosen);
         self.round = self.round.max(promised.round);
-        self.vows.promised = self.vows.promised.max(promised);
-        self.vows.joined = self.vows.joined.max(joined);
+        self.acceptor.promised = self.acceptor.promised.max(promised);
+        self.acceptor.joined = self.acceptor.joined.max(joined);
         for (name, entry) in pending {
             let item = self.lesson.entry(name).or_default();
             if item.pending.as_ref().is_none_or(|p| p.stamp < entry.stamp) {
@@ -174,16 +174,18 @@
     fn take_seat(&mut self) {
         // What was taken in turns before the newest that anybody joined, and is not in that one's first write, is void.
         for (name, lesson) in std::mem::take(&mut self.lesson) {
-            let Some(entry) = lesson.pending.filter(|p| p.stamp.epoch >= self.vows.joined) else { continue };
+            let Some(entry) = lesson.pending.filter(|p| p.stamp.epoch >= self.acceptor.joined) else {
+                continue;
+            };
             let chosen = self.items.get(&name).and_then(|item| item.chosen.as_ref());
             if chosen.is_none_or(|c| c.stamp < entry.stamp) {
                 self.set_pending(&name, Some(entry));
             }
         }
-        self.dirty_vows = true;
+        self.dirty_acceptor = true;
         self.votes = true;
         self.turn = Turn::Idle;
-        self.contiguous = crate::position::Contiguous::at_start(self.progress.position, self.vows.joined);
+        self.contiguous = crate::position::Contiguous::at_start(self.progress.position, self.acceptor.joined);
         let from = self.learned.len();
         self.learned.clear();
         self.log("seat-learned", format!("from={from} items={}", self.items.len()));
@@ -191,7 +193,7 @@
 
     /// Whether a seat is to be given away: its machine was silent for long, or is about to go.
     fn is_gone(&self, now: Millis, seat: &Seat) -> bool {
-        if seat.host == self.place.me.host {
+        if seat.host == self.place.local.host {
             return self.leaving;
         }
         // One that was never heard may have its seat since a moment ago.
@@ -201,10 +203,10 @@
 
     /// Whether a seat is there and counts.
     fn counts(&self, now: Millis, host: Host) -> bool {
-        if host == self.place.me.host {
+        if host == self.place.local.host {
             return self.votes;
         }
-        self.peers.get(&host).is_some_and(|peer| peer.votes && now - peer.heard < SILENT)
+        self.peers.get(&host).is_some_and(|peer| peer.votes && now - peer.heard < PEER_TIMEOUT)
     }
 
     /// Whether a machine's copy is complete but for what fits in one message.
@@ -231,7 +233,7 @@
             return None;
         }
         let stay = list.iter().filter(|seat| self.counts(now, seat.host)).count();
-        let needed = crate::quorum(&Seats { version: 0, seats: list.clone() }, self.place.tolerance);
+        let needed = crate::quorum(&Seats { version: 0, seats: list.clone() }, self.place.fault_tolerance);
         (stay >= needed).then_some(list)
     }
 
@@ -250,10 +252,10 @@
                 self.reseat_at = now + RESEAT;
                 let revision = self.seats.version + 1;
                 let entry = Entry { revision, body: Some(to_text(&list)), ..Entry::default() };
-                self.write(now, vec![(SEATS.to_owned(), entry)], Vec::new());
+                self.write(now, vec![(MEMBERS_KEY.to_owned(), entry)], Vec::new());
             }
             Turn::Idle if self.writer(now).is_none() => {
-                self.reseat_at = now + SILENT * (1.0 + self.place_in_list() * 0.3);
+                self.reseat_at = now + PEER_TIMEOUT * (1.0 + self.place_in_list() * 0.3);
                 self.ask_turn(now);
             }
             _ => {}
@@ -261,15 +263,15 @@
     }
 
     /// The process is about to end in order: others may take its place and what it does.
-    pub fn leave(&mut self, now: Millis) {
+    pub fn begin_leave(&mut self, now: Millis) {
         self.leaving = true;
         self.beat_at = now;
         self.tick(now);
     }
 
     /// Why a member that leaves in order should wait, if it should: it goes on voting until then.
-    pub fn waits_to_leave(&self, now: Millis) -> Option<&'static str> {
-        let me = &self.place.me;
+    pub fn leave_blocker(&self, now: Millis) -> Option<&'static str> {
+        let me = &self.place.local;
         let others = self.others().into_iter().filter(|host| self.counts(now, *host)).count();
         if !self.is_seat(me.host) {
             return None;
--- a/system/replication/src/position.rs
+++ b/system/replication/src/position.rs
@@ -11,8 +11,8 @@
 //!
 //! A position is agreed on by being a stamp: it means the same at every store, also while changes go on.
 
-use crate::Book;
-use crate::founding::Founding;
+use crate::Replica;
+use crate::founding::BootstrapRole;
 use fennelscale_messages::depot::{Epoch, Stamp};
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
     /// The copy holds all that was chosen before this.
     pub position: Stamp,
     /// What this store is to do at the first start of all.
-    pub founding: Founding,
+    pub bootstrap_role: BootstrapRole,
 }
 
 /// Writes beyond a gap that are remembered. More than this are never on their way: a writer has as many out as calls may wait.
@@ -63,7 +63,7 @@
     }
 }
 
-impl Book {
+impl Replica {
     /// The stamp after the newest entry that is held as chosen.
     pub(crate) fn newest(&self) -> Stamp {
         self.by_stamp.last().map_or_else(Stamp::default, |(stamp, _)| stamp.following())
--- a/system/replication/src/seat.rs
+++ b/system/replication/src/seat.rs
@@ -1,21 +1,21 @@
 //! What a seat takes: promises, writes, what others hold as chosen.
 
 use crate::position::Contiguous;
-use crate::{Book, Out, SEATS, versions};
+use crate::{MEMBERS_KEY, Output, Replica, versions};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Entry, Epoch, Named, Stamp, Word};
 
-impl Book {
+impl Replica {
     fn touch(&mut self, name: &str) {
         self.dirty.insert(name.to_owned());
     }
 
     pub(crate) fn promise(&mut self, epoch: Epoch) {
-        debug_assert!(epoch >= self.vows.promised, "a promise is never taken back");
+        debug_assert!(epoch >= self.acceptor.promised, "a promise is never taken back");
         self.round = self.round.max(epoch.round);
-        if self.vows.promised != epoch {
-            self.vows.promised = epoch;
-            self.dirty_vows = true;
+        if self.acceptor.promised != epoch {
+            self.acceptor.promised = epoch;
+            self.dirty_acceptor = true;
         }
     }
 
@@ -40,13 +40,13 @@
         if !self.votes || !self.is_seat(from) || epoch.seat != from {
             return;
         }
-        if epoch <= self.vows.promised {
-            let promised = self.vows.promised;
+        if epoch <= self.acceptor.promised {
+            let promised = self.acceptor.promised;
             return self.send(from, Word::Refused(promised));
         }
         self.step_down(epoch);
         self.promise(epoch);
-        let (joined, tail, pending) = (self.vows.joined, self.tail(since), self.pending());
+        let (joined, tail, pending) = (self.acceptor.joined, self.tail(since), self.pending());
         let more = tail.is_none();
         self.send(from, Word::Promise { epoch, joined, chosen: tail.unwrap_or_default(), more, pending });
     }
@@ -56,8 +56,8 @@
         if !self.votes || !self.is_seat(from) || epoch.seat != from {
             return false;
         }
-        if epoch < self.vows.promised {
-            let promised = self.vows.promised;
+        if epoch < self.acceptor.promised {
+            let promised = self.acceptor.promised;
             self.send(from, Word::Refused(promised));
             return false;
         }
@@ -70,14 +70,14 @@
     }
 
     /// A turn begins. What its writer holds as chosen is not written again, so a seat joins only once it holds that too: what
-    /// whoever joined does not hold was never chosen, and that is what later turns go by ([`Book::base`]).
+    /// whoever joined does not hold was never chosen, and that is what later turns go by ([`Replica::base`]).
     pub(crate) fn on_begin(
         &mut self, from: Host, epoch: Epoch, entries: Vec<Named>, digest: u64, lacked: Option<Vec<Named>>,
     ) {
         if !self.may_take(from, epoch) {
             return;
         }
-        if self.vows.joined != epoch {
+        if self.acceptor.joined != epoch {
             match lacked {
                 Some(lacked) => self.merge(lacked),
                 None if digest != self.digest => return self.send_behind(from, epoch),
@@ -97,7 +97,7 @@
         if !self.may_take(from, stamp.epoch) {
             return;
         }
-        if self.vows.joined != stamp.epoch {
+        if self.acceptor.joined != stamp.epoch {
             return self.send_behind(from, stamp.epoch);
         }
         // First what is chosen of this turn: this write may be the next one of a name that waits to be.
@@ -109,9 +109,9 @@
     /// Takes a write. The first of a turn holds all of earlier turns that may have been chosen: the rest is void.
     pub(crate) fn take(&mut self, stamp: Stamp, entries: Vec<Named>) {
         self.promise(stamp.epoch);
-        if stamp.turn == 0 && self.vows.joined != stamp.epoch {
-            self.vows.joined = stamp.epoch;
-            self.dirty_vows = true;
+        if stamp.turn == 0 && self.acceptor.joined != stamp.epoch {
+            self.acceptor.joined = stamp.epoch;
+            self.dirty_acceptor = true;
             self.contiguous = Contiguous::default();
             let before = |name: &&String| {
                 self.items[*name].pending.as_ref().is_some_and(|p| p.stamp.epoch < stamp.epoch)
@@ -119,7 +119,7 @@
             let void: Vec<String> = self.pending.iter().filter(before).cloned().collect();
             void.iter().for_each(|name| self.set_pending(name, None));
         }
-        if self.vows.joined == stamp.epoch {
+        if self.acceptor.joined == stamp.epoch {
             self.contiguous.take(stamp.turn);
         }
         for (name, entry) in entries {
@@ -133,7 +133,7 @@
 
     /// Writes of a turn below this one are chosen.
     pub(crate) fn choose(&mut self, epoch: Epoch, below: u64) {
-        if epoch != self.vows.joined {
+        if epoch != self.acceptor.joined {
             return;
         }
         let ready = |name: &&String| {
@@ -170,10 +170,10 @@
         }
         self.touch(&name);
         self.refact(&name);
-        if name == SEATS {
+        if name == MEMBERS_KEY {
             self.take_seats();
             let seats = self.seats.clone();
-            self.out.push(Out::Seats(seats));
+            self.out.push(Output::Members(seats));
         } else {
             self.news.push((name, versions::published(&entry)));
         }
--- a/system/replication/src/versions.rs
+++ b/system/replication/src/versions.rs
@@ -5,18 +5,18 @@
 //! - *One number, one content*: of two contents under one version of an item at most one is ever confirmed, also where the item has
 //!   moved on or was dropped since. A version that was never given and arrives late is given to its content when it is confirmed.
 //! - *Sent again, told again*: a change that was confirmed is confirmed again or has no clear answer; it is never refused.
-//! - Both hold for the last [`HISTORY`] versions of each item. What is older cannot be told from another content any more: it has no
+//! - Both hold for the last [`HISTORY_LIMIT`] versions of each item. What is older cannot be told from another content any more: it has no
 //!   clear answer, and no effect.
 
 use fennelscale_messages::depot::{Change, Entry, VersionRecord};
 
 /// Versions of one item that are remembered, besides the one that it has. An operator gives up on a call within seconds; in these no
 /// item has so many versions. Costs 16 bytes a version and item.
-pub const HISTORY: usize = 64;
+pub const HISTORY_LIMIT: usize = 64;
 
 /// How a change stands to the item that it names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum VersionStatus {
     /// Its version is higher than any that the item has had.
     Newer,
     /// The very same was taken before.
@@ -41,19 +41,19 @@
 }
 
 /// How a change stands to the entry that is in force.
-pub fn standing(known: &Entry, change: &Change) -> Standing {
+pub fn status(known: &Entry, change: &Change) -> VersionStatus {
     let content = content_of(&change.name, &change.host, change.body.as_deref());
     let own = own_record(&change.name, known);
     if change.revision > known.revision {
-        return Standing::Newer;
+        return VersionStatus::Newer;
     }
     let records = || known.history.iter().chain(std::iter::once(&own));
     if let Some(record) = records().find(|record| record.revision == change.revision) {
-        return if record.content == content { Standing::Known } else { Standing::Taken };
+        return if record.content == content { VersionStatus::Known } else { VersionStatus::Taken };
     }
-    let complete = known.history.len() < HISTORY;
+    let complete = known.history.len() < HISTORY_LIMIT;
     let oldest = known.history.first().map_or(known.revision, |record| record.revision);
-    if complete || change.revision > oldest { Standing::PassedOver } else { Standing::Forgotten }
+    if complete || change.revision > oldest { VersionStatus::PassedOver } else { VersionStatus::Forgotten }
 }
 
 /// The history of the entry that takes the place of this one.
@@ -82,5 +82,5 @@
 }
 
 fn shorten(history: &mut Vec<VersionRecord>) {
-    history.drain(..history.len().saturating_sub(HISTORY));
+    history.drain(..history.len().saturating_sub(HISTORY_LIMIT));
 }
--- a/system/replication/src/writer.rs
+++ b/system/replication/src/writer.rs
@@ -4,7 +4,7 @@
 //! view, and may: nothing else can be taken by a quorum until another has asked a quorum.
 
 use crate::calls::{Origin, Reply, Ticket};
-use crate::{BEAT, Book, Millis, Out};
+use crate::{HEARTBEAT_INTERVAL, Millis, Output, Replica};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, Entry, Epoch, Named, Stamp, Told, Word};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,9 +14,9 @@
 /// A write that is not taken by all is sent again after this.
 const AGAIN: Millis = 500.0;
 /// A writer that has heard no word of a quorum for this long ends its turn: four beats, and some.
-pub const OUT_OF_CONTACT: Millis = 2000.0;
+pub const QUORUM_CONTACT_TIMEOUT: Millis = 2000.0;
 /// One whose write is not taken for this long does so too, whatever it hears: its own words may not arrive.
-pub const UNTAKEN: Millis = 2500.0;
+pub const ACCEPT_TIMEOUT: Millis = 2500.0;
 
 /// Whether this store writes.
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
     /// The turn's first write, for seats that missed it.
     base: Vec<Named>,
     next: u64,
-    /// Writes below this are chosen.
+    /// DiskWrites below this are chosen.
     chosen: u64,
     flights: BTreeMap<u64, Flight>,
     /// The list of seats changes: until that is chosen nothing else is written.
@@ -61,18 +61,18 @@
     sent: Millis,
 }
 
-impl Book {
+impl Replica {
     /// Asks for the turn.
     pub(crate) fn ask_turn(&mut self, now: Millis) {
         if !self.votes || !matches!(self.turn, Turn::Idle) {
             return;
         }
-        let me = self.place.me.host;
-        let epoch = Epoch { round: self.round.max(self.vows.promised.round) + 1, seat: me };
+        let me = self.place.local.host;
+        let epoch = Epoch { round: self.round.max(self.acceptor.promised.round) + 1, seat: me };
         self.promise(epoch);
         self.contact.clear();
         let found = self.pending().into_iter().collect();
-        let (joined, promised) = (self.vows.joined, BTreeSet::from([me]));
+        let (joined, promised) = (self.acceptor.joined, BTreeSet::from([me]));
         self.turn = Turn::Asking(Asking { epoch, since: now, joined, promised, found });
         let position = self.progress.position;
         for host in self.others() {
@@ -131,7 +131,7 @@
 
     /// What a new turn takes over. A value that was chosen is pending or chosen at one of the quorum that promised. What is
     /// older than the newest turn that any of these joined, and is neither chosen there nor in that turn's first write, cannot
-    /// have been: who joins a turn holds all that was chosen before it ([`Book::on_begin`]), by the quorum that its writer asked.
+    /// have been: who joins a turn holds all that was chosen before it ([`Replica::on_begin`]), by the quorum that its writer asked.
     fn base(&self, asking: &Asking) -> Vec<Named> {
         let stamp = Stamp { epoch: asking.epoch, turn: 0 };
         let newer = |name: &str, entry: &Entry| {
@@ -146,12 +146,12 @@
     /// Has entries taken by all seats; their stamps are set here. Callers are answered once they are chosen. A write of nothing is a
     /// round of contact: once it is chosen, no other store can have begun a turn before it was sent.
     pub(crate) fn write(&mut self, now: Millis, mut entries: Vec<Named>, owed: Vec<(Ticket, Reply)>) {
-        let me = self.place.me.host;
+        let me = self.place.local.host;
         let Turn::Holding(holding) = &mut self.turn else { return };
         let stamp = Stamp { epoch: holding.epoch, turn: holding.next };
         holding.next += 1;
         entries.iter_mut().for_each(|(_, entry)| entry.stamp = stamp);
-        if entries.iter().any(|(name, _)| name == crate::SEATS) {
+        if entries.iter().any(|(name, _)| name == crate::MEMBERS_KEY) {
             holding.reseating = Some(stamp.turn);
         }
         let taken = BTreeSet::from([me]);
@@ -220,7 +220,7 @@
             if reseated {
                 let seats = self.seats.seats.len();
                 self.log("seats", format!("version={} seats={seats}", self.seats.version));
-                if !self.is_seat(self.place.me.host) {
+                if !self.is_seat(self.place.local.host) {
                     self.step_down(Epoch { round: u64::MAX, seat: Host(0) });
                     return;
                 }
@@ -261,14 +261,14 @@
     /// Why a writer has to end its turn by itself, if it has to.
     fn out_of_contact(&self, now: Millis) -> Option<&'static str> {
         let Turn::Holding(holding) = &self.turn else { return None };
-        let heard = |host: &Host| self.contact.get(host).is_some_and(|at| now - at < OUT_OF_CONTACT);
+        let heard = |host: &Host| self.contact.get(host).is_some_and(|at| now - at < QUORUM_CONTACT_TIMEOUT);
         // Itself included; its turn began with words of a quorum.
         let contact = 1 + self.others().iter().filter(|host| heard(host)).count();
         if contact < self.quorum() {
             return Some("out-of-contact");
         }
         let oldest = holding.flights.values().next()?;
-        (now - oldest.begun >= UNTAKEN).then_some("not-taken")
+        (now - oldest.begun >= ACCEPT_TIMEOUT).then_some("not-taken")
     }
 
     /// A seat lacks the first write of the turn, or what is chosen since before it: it gets both, and all that is out. One that lacks
@@ -287,7 +287,7 @@
         let rest = rest
             .map(|(turn, flight)| self.word_of(Stamp { epoch, turn: *turn }, flight.entries.clone(), chosen));
         let words: Vec<Word> = std::iter::once(begin).chain(rest).collect();
-        self.out.extend(words.into_iter().map(|word| Out::Send(from, word)));
+        self.out.extend(words.into_iter().map(|word| Output::Send(from, word)));
     }
 
     pub(crate) fn writer_tick(&mut self, now: Millis) {
@@ -320,10 +320,10 @@
 
     /// Who is thought to write, if that was heard lately and is not about to leave.
     pub(crate) fn writer(&self, now: Millis) -> Option<Host> {
-        let seat = self.vows.promised.seat;
+        let seat = self.acceptor.promised.seat;
         let peer = self.peers.get(&seat)?;
-        let counts = self.vows.promised.round > 0 && self.is_seat(seat) && !peer.leaving;
-        (counts && now - peer.heard < 2.5 * BEAT).then_some(seat)
+        let counts = self.acceptor.promised.round > 0 && self.is_seat(seat) && !peer.leaving;
+        (counts && now - peer.heard < 2.5 * HEARTBEAT_INTERVAL).then_some(seat)
     }
 
     /// Decides what a call writes, by the view of who writes.
--- a/system/replication/tests/control_safety.rs
+++ b/system/replication/tests/control_safety.rs
@@ -5,7 +5,7 @@
 
 use fennelscale_messages::depot::{Ask, Change, Told};
 use fennelscale_replication::CHUNK_BYTES;
-use fennelscale_replication::versions::HISTORY;
+use fennelscale_replication::versions::HISTORY_LIMIT;
 use world::{Mutant, World, change, ready};
 
 const STORES: usize = 6;
@@ -63,7 +63,7 @@
     // It hears all the others, and nobody hears it.
     (0..STORES).filter(|n| *n != writer).for_each(|n| world.cut(writer, n, true));
     let id = world.call(writer, Ask::Change(vec![change(1, 5, 1, 1)]));
-    world.run(fennelscale_replication::UNTAKEN + 300.0);
+    world.run(fennelscale_replication::ACCEPT_TIMEOUT + 300.0);
     assert!(!world.is_writer(writer));
     world.run(3000.0);
     assert_eq!(world.told(id), Some(Told::Unclear));
@@ -171,7 +171,7 @@
 fn what_is_older_than_the_history_has_no_clear_answer_and_no_effect() {
     let mut world = World::new(5, STORES, Mutant::None);
     ready(&mut world);
-    let last = 2 + HISTORY as u64;
+    let last = 2 + HISTORY_LIMIT as u64;
     for revision in 1..=last + 1 {
         let id = world.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
         world.run(400.0);
@@ -181,7 +181,7 @@
     assert_eq!(told(&mut world, 2, change(1, 3, 1, 3)), Some(Told::Done));
     assert!(matches!(told(&mut world, 2, change(1, 3, 1, 4)), Some(Told::Conflict(_))));
     let entry = world.item(0, "r:1").and_then(|item| item.chosen).unwrap();
-    assert_eq!((entry.revision, entry.history.len()), (last + 1, HISTORY));
+    assert_eq!((entry.revision, entry.history.len()), (last + 1, HISTORY_LIMIT));
 }
 
 /// A machine is lost and replaced, and the next one is lost the moment the first replacement votes: also with both replaced at once there
--- a/system/replication/tests/schedules.rs
+++ b/system/replication/tests/schedules.rs
@@ -250,7 +250,7 @@
             world.run(1.0);
         }
         assert_eq!(world.told(id), Some(Told::Done));
-        let before = world.vows(writer).map(|vows| vows.joined);
+        let before = world.acceptor(writer).map(|acceptor| acceptor.joined);
         // It loses power at once, what it had sent with it, and is back beside the two and one that took the write.
         world.vanish(writer);
         others[3..].iter().for_each(|n| world.kill(*n));
@@ -261,8 +261,8 @@
         let here = &others[..3];
         for _ in 0..2000 {
             world.run(1.0);
-            let turn = world.vows(writer).map(|vows| vows.joined);
-            let joined = |n: &usize| world.vows(*n).map(|vows| vows.joined) == turn;
+            let turn = world.acceptor(writer).map(|acceptor| acceptor.joined);
+            let joined = |n: &usize| world.acceptor(*n).map(|acceptor| acceptor.joined) == turn;
             if turn > before && here.iter().all(joined) {
                 break;
             }
@@ -343,15 +343,15 @@
 fn a_seat_that_missed_the_first_write_of_a_turn_takes_no_other_of_it() {
     let mut world = World::new(2, 6, Mutant::None);
     ready(&mut world);
-    let vows = world.vows(2).unwrap();
-    let epoch = Epoch { round: vows.promised.round + 5, seat: fennelscale_messages::Host(5) };
+    let acceptor = world.acceptor(2).unwrap();
+    let epoch = Epoch { round: acceptor.promised.round + 5, seat: fennelscale_messages::Host(5) };
     let accept = Word::Accept { stamp: Stamp { epoch, turn: 1 }, entries: Vec::new(), chosen: 0 };
     let (own, position) = (world.digest(2), world.position(2));
     assert_eq!(world.hand(2, 4, accept.clone()), [Word::Behind(epoch, position)]);
     // Nor does it join while it may lack something that its writer holds as chosen.
     let begin = |digest: u64, lacked| Word::Begin { epoch, entries: Vec::new(), digest, lacked };
     assert_eq!(world.hand(2, 4, begin(own ^ 1, None)), [Word::Behind(epoch, position)]);
-    assert_eq!(world.vows(2).unwrap().joined, vows.joined);
+    assert_eq!(world.acceptor(2).unwrap().joined, acceptor.joined);
     assert_eq!(
         world.hand(2, 4, begin(own ^ 1, Some(Vec::new()))),
         [Word::Accepted(Stamp { epoch, turn: 0 })]
--- a/system/replication/tests/world/mod.rs
+++ b/system/replication/tests/world/mod.rs
@@ -5,7 +5,7 @@
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, Change, Seat, Told, Word};
 use fennelscale_messages::mix;
-use fennelscale_replication::{Book, Item, Memory, Origin, Out, Place, Vows};
+use fennelscale_replication::{AcceptorState, Item, Origin, Output, PersistedState, Replica, ReplicaConfig};
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP: f64 = 50.0;
@@ -31,8 +31,8 @@
 
 struct Node {
     seat: Seat,
-    disk: Memory,
-    book: Option<Book>,
+    disk: PersistedState,
+    book: Option<Replica>,
     lives: u64,
     /// Versions that went out as news in this life.
     seen: BTreeMap<String, u64>,
@@ -83,7 +83,7 @@
 }
 
 fn node(n: usize, zone: usize) -> Node {
-    let (disk, seen) = (Memory::default(), BTreeMap::new());
+    let (disk, seen) = (PersistedState::default(), BTreeMap::new());
     Node { seat: seat(n, zone), disk, book: None, lives: 0, seen, gone: false }
 }
 
@@ -136,14 +136,14 @@
         }
         node.lives += 1;
         node.seen.clear();
-        let place = Place {
-            me: node.seat.clone(),
+        let place = ReplicaConfig {
+            local: node.seat.clone(),
             seeds,
             bootstrap,
-            tolerance: (1, 1, 1),
-            life: mix(n as u64 ^ node.lives << 32) >> 24,
+            fault_tolerance: (1, 1, 1),
+            incarnation: mix(n as u64 ^ node.lives << 32) >> 24,
         };
-        node.book = Some(Book::new(place, node.disk.clone(), now));
+        node.book = Some(Replica::new(place, node.disk.clone(), now));
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -154,11 +154,14 @@
         self.kill(n);
         let forgets = self.mutant != Mutant::AmnesiacVotes;
         let node = &mut self.nodes[n];
-        let (vows, seats) = (node.disk.vows, node.disk.items.remove(fennelscale_replication::SEATS));
-        node.disk = Memory::default();
+        let (acceptor, seats) =
+            (node.disk.acceptor, node.disk.items.remove(fennelscale_replication::MEMBERS_KEY));
+        node.disk = PersistedState::default();
         if !forgets {
-            node.disk.vows = vows.map(|_| Vows::default());
-            node.disk.items.extend(seats.map(|seats| (fennelscale_replication::SEATS.to_owned(), seats)));
+            node.disk.acceptor = acceptor.map(|_| AcceptorState::default());
+            node.disk
+                .items
+                .extend(seats.map(|seats| (fennelscale_replication::MEMBERS_KEY.to_owned(), seats)));
         }
     }
 
@@ -173,7 +176,7 @@
         if planned {
             self.start(fresh, false);
             self.run(500.0);
-            self.with(n, Book::leave);
+            self.with(n, Replica::begin_leave);
             self.run(700.0);
         }
         self.kill(n);
@@ -201,22 +204,22 @@
         self.nodes.iter().position(|node| node.seat.host == host)
     }
 
-    fn with(&mut self, n: usize, input: impl FnOnce(&mut Book, f64)) {
+    fn with(&mut self, n: usize, input: impl FnOnce(&mut Replica, f64)) {
         let now = self.now;
         let Some(book) = self.nodes[n].book.as_mut() else { return };
         input(book, now);
-        let writes = book.writes();
-        let outs = book.outs();
+        let writes = book.take_writes();
+        let outs = book.take_outputs();
         // A host that does not sync loses what the last steps wrote.
         if self.mutant != Mutant::NoSync || self.chance.share() < 0.3 {
-            self.nodes[n].disk.take(writes);
+            self.nodes[n].disk.apply(writes);
         }
         outs.into_iter().for_each(|out| self.carry_out(n, out));
     }
 
-    fn carry_out(&mut self, n: usize, out: Out) {
+    fn carry_out(&mut self, n: usize, out: Output) {
         match out {
-            Out::Send(to, word) => {
+            Output::Send(to, word) => {
                 let Some(to) = self.at(to) else { return };
                 if matches!(
                     word,
@@ -233,9 +236,9 @@
                 let lives = (self.nodes[n].lives, self.nodes[to].lives);
                 self.wire.insert(((due * 1000.0) as u64, self.order), (to, n, word, lives.0, lives.1));
             }
-            Out::News(entries) => entries.into_iter().for_each(|entry| self.news(n, entry)),
-            Out::Answer(id, told) => self.answered(id, told),
-            Out::Seats(_) | Out::Fresh(_) | Out::Log(..) => {}
+            Output::Chosen(entries) => entries.into_iter().for_each(|entry| self.news(n, entry)),
+            Output::Answer(id, told) => self.answered(id, told),
+            Output::Members(_) | Output::UpToDate(_) | Output::Log(..) => {}
         }
     }
 
@@ -285,16 +288,16 @@
     }
 
     pub fn is_writer(&self, n: usize) -> bool {
-        self.nodes[n].book.as_ref().is_some_and(Book::is_writer)
+        self.nodes[n].book.as_ref().is_some_and(Replica::is_leader)
     }
 
     pub fn is_fresh(&self, n: usize) -> bool {
-        self.nodes[n].book.as_ref().is_some_and(Book::is_fresh)
+        self.nodes[n].book.as_ref().is_some_and(Replica::is_up_to_date)
     }
 
     /// Machines with a seat, as a store knows the list.
     pub fn seats(&self, n: usize) -> Vec<usize> {
-        let seats = self.nodes[n].book.iter().flat_map(|book| &book.seats().seats);
+        let seats = self.nodes[n].book.iter().flat_map(|book| &book.members().seats);
         seats.filter_map(|seat| self.at(seat.host)).collect()
     }
 
@@ -315,11 +318,11 @@
 
     /// A store is told that its process is about to end.
     pub fn leave(&mut self, n: usize) {
-        self.with(n, Book::leave);
+        self.with(n, Replica::begin_leave);
     }
 
     pub fn waits_to_leave(&self, n: usize) -> Option<&'static str> {
-        self.nodes[n].book.as_ref().and_then(|book| book.waits_to_leave(self.now))
+        self.nodes[n].book.as_ref().and_then(|book| book.leave_blocker(self.now))
     }
 
     /// The most bytes that one message has had so far.
@@ -329,7 +332,7 @@
 
     /// The one who writes, if one does.
     pub fn writer(&self) -> Option<usize> {
-        (0..self.len()).find(|n| self.nodes[*n].book.as_ref().is_some_and(Book::is_writer))
+        (0..self.len()).find(|n| self.nodes[*n].book.as_ref().is_some_and(Replica::is_leader))
     }
 
     /// A process dies, and what it had sent is lost with it.
@@ -342,15 +345,17 @@
     pub fn hand(&mut self, to: usize, from: usize, word: Word) -> Vec<Word> {
         let (now, host) = (self.now, self.nodes[from].seat.host);
         let Some(book) = self.nodes[to].book.as_mut() else { return Vec::new() };
-        book.word(now, host, word);
-        let answers = book.outs().into_iter();
+        book.receive(now, host, word);
+        let answers = book.take_outputs().into_iter();
         answers
-            .filter_map(|out| if let Out::Send(to, word) = out { (to == host).then_some(word) } else { None })
+            .filter_map(
+                |out| if let Output::Send(to, word) = out { (to == host).then_some(word) } else { None },
+            )
             .collect()
     }
 
-    pub fn vows(&self, n: usize) -> Option<Vows> {
-        self.nodes[n].book.as_ref().map(Book::vows)
+    pub fn acceptor(&self, n: usize) -> Option<AcceptorState> {
+        self.nodes[n].book.as_ref().map(Replica::acceptor)
     }
 
     /// A machine whose place was taken starts again.
@@ -360,7 +365,7 @@
     }
 
     pub fn is_voting(&self, n: usize) -> Option<bool> {
-        self.nodes[n].book.as_ref().map(Book::is_voting)
+        self.nodes[n].book.as_ref().map(Replica::is_voting)
     }
 
     pub fn item(&self, n: usize, name: &str) -> Option<Item> {
@@ -369,18 +374,18 @@
 
     /// What a store holds as chosen, in one hash.
     pub fn digest(&self, n: usize) -> u64 {
-        let chosen = self.nodes[n].book.iter().flat_map(Book::chosen);
+        let chosen = self.nodes[n].book.iter().flat_map(Replica::chosen_entries);
         chosen.fold(0, |digest, (name, entry)| digest ^ fennelscale_config::entry_hash((name, entry)))
     }
 
     pub fn position(&self, n: usize) -> fennelscale_messages::depot::Stamp {
-        self.nodes[n].book.as_ref().map(Book::position).unwrap_or_default()
+        self.nodes[n].book.as_ref().map(Replica::position).unwrap_or_default()
     }
 
     pub fn call(&mut self, n: usize, ask: Ask) -> u64 {
         let id = self.calls.len() as u64 + 1;
         self.calls.insert(id, Call { ask: ask.clone(), told: None, began: self.now });
-        self.with(n, |book, now| book.call(now, Origin::Registry(id), ask));
+        self.with(n, |book, now| book.submit(now, Origin::Registry(id), ask));
         id
     }
 
@@ -404,13 +409,13 @@
                 let stands = self.nodes[to].lives == to_life && self.nodes[from].lives == from_life;
                 if stands && !self.cut.contains(&(from, to)) {
                     let host = self.nodes[from].seat.host;
-                    self.with(to, |book, now| book.word(now, host, word));
+                    self.with(to, |book, now| book.receive(now, host, word));
                 }
             }
             self.now = next_tick;
-            (0..self.nodes.len()).for_each(|n| self.with(n, Book::tick));
-            let writers = self.nodes.iter().filter_map(|n| n.book.as_ref()).filter(|b| b.is_writer());
-            let mut turns: Vec<_> = writers.map(|b| b.vows().promised).collect();
+            (0..self.nodes.len()).for_each(|n| self.with(n, Replica::tick));
+            let writers = self.nodes.iter().filter_map(|n| n.book.as_ref()).filter(|b| b.is_leader());
+            let mut turns: Vec<_> = writers.map(|b| b.acceptor().promised).collect();
             turns.sort_unstable();
             if turns.windows(2).any(|pair| pair[0] == pair[1]) {
                 self.broken.push("two write in one turn".into());
@@ -435,13 +440,13 @@
                 None => {
                     let state = |node: &Node| {
                         let book = node.book.as_ref()?;
-                        let seats: Vec<u32> = book.seats().seats.iter().map(|s| s.host.0).collect();
+                        let seats: Vec<u32> = book.members().seats.iter().map(|s| s.host.0).collect();
                         Some((
                             node.seat.host.0,
                             node.gone,
                             book.is_voting(),
-                            book.is_writer(),
-                            book.vows(),
+                            book.is_leader(),
+                            book.acceptor(),
                             seats,
                         ))
                     };
--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -4,7 +4,7 @@
 use fennelscale_membership::Round;
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, Seat, Told, Word};
-use fennelscale_replication::{Book, Memory, Origin, Out, Place};
+use fennelscale_replication::{Origin, Output, PersistedState, Replica, ReplicaConfig};
 
 /// A store reads its disk and has dialled its registry after this, in ms.
 const JOINS: Millis = 250.0;
@@ -18,8 +18,8 @@
 /// One core machine.
 pub(crate) struct Core {
     pub(crate) seat: Seat,
-    disk: Memory,
-    pub(crate) book: Option<Book>,
+    disk: PersistedState,
+    pub(crate) book: Option<Replica>,
     pub(crate) round: Option<Round>,
     /// Counts starts of either process: lines of an earlier life are closed.
     pub(crate) lives: u64,
@@ -45,7 +45,15 @@
     }
 
     fn empty(seat: Seat) -> Self {
-        Self { seat, disk: Memory::default(), book: None, round: None, lives: 0, next: 0, joins: None }
+        Self {
+            seat,
+            disk: PersistedState::default(),
+            book: None,
+            round: None,
+            lives: 0,
+            next: 0,
+            joins: None,
+        }
     }
 
     pub(crate) fn start(&mut self, now: Millis, seeds: &[Host], bootstrap: bool) {
@@ -54,9 +62,14 @@
         }
         self.lives += 1;
         let life = fennelscale_messages::mix(u64::from(self.seat.host.0) << 32 ^ self.lives) >> 24;
-        let place =
-            Place { me: self.seat.clone(), seeds: seeds.to_vec(), bootstrap, tolerance: (1, 1, 1), life };
-        let book = Book::new(place, self.disk.clone(), now);
+        let place = ReplicaConfig {
+            local: self.seat.clone(),
+            seeds: seeds.to_vec(),
+            bootstrap,
+            fault_tolerance: (1, 1, 1),
+            incarnation: life,
+        };
+        let book = Replica::new(place, self.disk.clone(), now);
         let round = Round::new(self.seat.host, life, &self.seat.zone, &self.seat.region, bootstrap, now);
         self.joins = Some(now + JOINS);
         (self.book, self.round) = (Some(book), Some(round));
@@ -69,7 +82,7 @@
 
     pub(crate) fn wipe(&mut self) {
         self.kill();
-        self.disk = Memory::default();
+        self.disk = PersistedState::default();
     }
 
     /// The store has dialled its registry and tells all that it holds.
@@ -79,30 +92,30 @@
         }
         let (Some(book), Some(round)) = (&self.book, self.round.as_mut()) else { return };
         self.joins = None;
-        round.seats(now, book.seats().clone());
-        round.items(now, true, book.all());
-        round.fresh(now, book.is_fresh());
+        round.seats(now, book.members().clone());
+        round.items(now, true, book.published_entries());
+        round.fresh(now, book.is_up_to_date());
     }
 
     /// Gives the store an input; what it writes is on the disk before anything of it is sent.
-    pub(crate) fn store(&mut self, now: Millis, input: impl FnOnce(&mut Book, Millis)) -> Vec<Does> {
+    pub(crate) fn store(&mut self, now: Millis, input: impl FnOnce(&mut Replica, Millis)) -> Vec<Does> {
         self.join(now);
         let joined = self.joins.is_none();
         let Some(book) = self.book.as_mut() else { return Vec::new() };
         input(book, now);
-        self.disk.take(book.writes());
-        let outs = book.outs();
+        self.disk.apply(book.take_writes());
+        let outs = book.take_outputs();
         let mut does = Vec::new();
         for out in outs {
             let Some(round) = self.round.as_mut() else { break };
             match out {
-                Out::Send(to, word) => does.push(Does::Send(to, word)),
-                Out::Answer(id, told) => does.push(Does::Answer(id, told)),
-                Out::News(_) | Out::Seats(_) | Out::Fresh(_) if !joined => {}
-                Out::News(entries) => round.items(now, false, entries),
-                Out::Seats(seats) => round.seats(now, seats),
-                Out::Fresh(fresh) => round.fresh(now, fresh),
-                Out::Log(..) => {}
+                Output::Send(to, word) => does.push(Does::Send(to, word)),
+                Output::Answer(id, told) => does.push(Does::Answer(id, told)),
+                Output::Chosen(_) | Output::Members(_) | Output::UpToDate(_) if !joined => {}
+                Output::Chosen(entries) => round.items(now, false, entries),
+                Output::Members(seats) => round.seats(now, seats),
+                Output::UpToDate(fresh) => round.fresh(now, fresh),
+                Output::Log(..) => {}
             }
         }
         does
@@ -112,6 +125,6 @@
     pub(crate) fn ask(&mut self, now: Millis, ask: Ask) -> (u64, Vec<Does>) {
         self.next += 1;
         let id = self.lives << 32 | self.next;
-        (id, self.store(now, |book, now| book.call(now, Origin::Registry(id), ask)))
+        (id, self.store(now, |book, now| book.submit(now, Origin::Registry(id), ask)))
     }
 }
--- a/system/simulation/src/world.rs
+++ b/system/simulation/src/world.rs
@@ -602,7 +602,7 @@
             Event::Store(from, word) => {
                 if (self.cores[from].lives, self.cores[to].lives) == lives && !self.is_cut(from, to) {
                     let (now, host) = (self.now, self.cores[from].seat.host);
-                    let does = self.cores[to].store(now, |book, now| book.word(now, host, word));
+                    let does = self.cores[to].store(now, |book, now| book.receive(now, host, word));
                     self.store(to, does);
                 }
             }
--- a/system/simulation/src/world/figures.rs
+++ b/system/simulation/src/world/figures.rs
@@ -34,15 +34,15 @@
             let line = match &core.book {
                 None => "down".to_owned(),
                 Some(book) => {
-                    let hosts: Vec<u32> = book.seats().seats.iter().map(|seat| seat.host.0 - 1).collect();
+                    let hosts: Vec<u32> = book.members().seats.iter().map(|seat| seat.host.0 - 1).collect();
                     format!(
                         "votes={} writes={} fresh={} promised={:?} position={:?} seats={} {hosts:?}",
                         book.is_voting(),
-                        book.is_writer(),
-                        book.is_fresh(),
-                        book.vows().promised,
+                        book.is_leader(),
+                        book.is_up_to_date(),
+                        book.acceptor().promised,
                         book.position(),
-                        book.seats().version,
+                        book.members().version,
                     )
                 }
             };
--- a/system/simulation/tests/long.rs
+++ b/system/simulation/tests/long.rs
@@ -1,7 +1,7 @@
 //! What takes long in virtual time: an hour in which nothing may pile up, and how soon changes are everywhere.
 //! `WORLD_MINUTES` is how long the soak is; the whole hour is played by `WORLD_MINUTES=60`.
 
-use fennelscale_replication::versions::HISTORY;
+use fennelscale_replication::versions::HISTORY_LIMIT;
 use fennelscale_simulation::{APPLY, Chance, Config, Fault, World};
 
 fn number(name: &str, usual: u64) -> u64 {
@@ -29,7 +29,7 @@
     let config = Config { proxies: 6, tenants: 2, routes: 4, rate: 20.0, ..Config::default() };
     let (mut world, mut chance) = (World::new(3, config), Chance::new(7));
     // What is remembered of each item is bounded by a number of versions: filled first, so that any growth after it shows.
-    for _ in 0..3 * HISTORY * 4 {
+    for _ in 0..3 * HISTORY_LIMIT * 4 {
         world.operate();
         world.run(700.0);
     }
