--- a/system/membership/benches/bytes.rs
+++ b/system/membership/benches/bytes.rs
@@ -28,15 +28,18 @@
                 ready: true,
                 quiet: Vec::new(),
             };
-            world.with(of(n), move |round, now| round.up(now, member.host, Up::Hello(member)));
+            world
+                .with(of(n), move |round, now| round.receive_from_proxy(now, member.host, Up::Hello(member)));
         }
         world.run(4000.0);
         world.bytes = [0; 2];
         for _ in 0..25 {
             for n in 0..proxies {
-                let listing = world.nodes[of(n)].as_ref().map(|r| r.listing().stamp).unwrap_or_default();
+                let listing = world.nodes[of(n)].as_ref().map(|r| r.backend_list().stamp).unwrap_or_default();
                 let beat = Up::Beat { ready: true, items: 0, listing, alone: 0 };
-                world.with(of(n), move |round, now| round.up(now, Host(1000 + n as u32), beat));
+                world.with(of(n), move |round, now| {
+                    round.receive_from_proxy(now, Host(1000 + n as u32), beat)
+                });
             }
             world.run(400.0);
         }
--- a/system/membership/src/contact.rs
+++ b/system/membership/src/contact.rs
@@ -1,13 +1,13 @@
 //! Contact with the majority of the core. What a registry tells its proxies is as good as its last contact: its age goes down each
 //! session with the beats, and a proxy goes elsewhere when it is too old.
 
-use crate::{Millis, Round};
+use crate::{Millis, RegistryState};
 use fennelscale_messages::news::CONTACT_LEASE;
 
 /// A registry without seats is taken for one that waits to be founded for so long.
-const SEATLESS: Millis = 4000.0;
+const BOOTSTRAP_WAIT: Millis = 4000.0;
 
-impl Round {
+impl RegistryState {
     /// How long ago this registry was last in contact: had heard a majority of the seats, and its store's copy was as new as a
     /// quorum's.
     pub fn contact_age(&self, now: Millis) -> Millis {
@@ -33,6 +33,6 @@
 
     /// Until then nothing is expected of a registry that has just started: one that knows no seats may wait to be founded.
     fn grace(&self) -> Millis {
-        self.born + if self.seats.seats.is_empty() { SEATLESS - CONTACT_LEASE } else { 0.0 }
+        self.born + if self.seats.seats.is_empty() { BOOTSTRAP_WAIT - CONTACT_LEASE } else { 0.0 }
     }
 }
--- a/system/membership/src/duties.rs
+++ b/system/membership/src/duties.rs
@@ -1,9 +1,9 @@
-//! Duties: each is a key that one registry holds at a time. In the literature's terms: leases by majority, kept in memory.
+//! DutyLeases: each is a key that one registry holds at a time. In the literature's terms: leases by majority, kept in memory.
 //!
-//! A registry claims keys in its beats. Each seat lets one claim of a key stand at a time, for [`LEASE`] from the beat; the
-//! claimant acts for [`ACTS`] from when it *sent* a beat that a majority let stand. Both run by steady clocks from events in
-//! that order, so a claim has been over at its holder for `LEASE - ACTS` before a seat lets another stand; two majorities
-//! share a seat. A seat that starts anew may have let a claim stand that it does not know of: it lets none stand for [`LEASE`].
+//! A registry claims keys in its beats. Each seat lets one claim of a key stand at a time, for [`GRANT_DURATION`] from the beat; the
+//! claimant acts for [`HOLDER_DURATION`] from when it *sent* a beat that a majority let stand. Both run by steady clocks from events in
+//! that order, so a claim has been over at its holder for `GRANT_DURATION - HOLDER_DURATION` before a seat lets another stand; two majorities
+//! share a seat. A seat that starts anew may have let a claim stand that it does not know of: it lets none stand for [`GRANT_DURATION`].
 
 use crate::Millis;
 use fennelscale_messages::Host;
@@ -11,16 +11,16 @@
 use std::collections::BTreeMap;
 
 /// A claim that was let stand stays so long.
-pub const LEASE: Millis = 1500.0;
+pub const GRANT_DURATION: Millis = 1500.0;
 /// Its holder acts on it for so long. The difference covers a pause between the look at the fence and the effect.
-pub const ACTS: Millis = 1100.0;
+pub const HOLDER_DURATION: Millis = 1100.0;
 /// The key of reading the platform's list.
-pub const LIST: u64 = 1 << SHARDS;
+pub const LIST_DUTY: u64 = 1 << SHARDS;
 /// Beats whose answers may still come.
-const BEATS: usize = 16;
+const MAX_PENDING_HEARTBEATS: usize = 16;
 
 /// Keys that a registry is the first for, among those that are there: each key goes to the highest draw.
-pub fn first_of(me: Host, others: &[Host]) -> u64 {
+pub fn preferred_duties(me: Host, others: &[Host]) -> u64 {
     let draw = |host: Host, key: u64| fennelscale_messages::mix(u64::from(host.0) << 8 ^ key);
     (0..=SHARDS)
         .filter(|key| others.iter().all(|o| draw(*o, *key) < draw(me, *key)))
@@ -29,7 +29,7 @@
 
 /// The keys as one registry sees them, as claimant and as seat.
 #[derive(Clone, Debug)]
-pub struct Duties {
+pub struct DutyLeases {
     claims: u64,
     /// When beats were sent.
     sent: BTreeMap<u64, Millis>,
@@ -41,10 +41,10 @@
     voted: [(Host, Millis); SHARDS as usize + 1],
 }
 
-impl Duties {
+impl DutyLeases {
     /// Nothing claimed; as a seat it may have let claims stand until now.
     pub fn new(now: Millis) -> Self {
-        let voted = [(Host::default(), now + LEASE); SHARDS as usize + 1];
+        let voted = [(Host::default(), now + GRANT_DURATION); SHARDS as usize + 1];
         Self {
             claims: 0,
             sent: BTreeMap::new(),
@@ -66,7 +66,7 @@
 
     pub(crate) fn sent(&mut self, number: u64, now: Millis) {
         self.sent.insert(number, now);
-        while self.sent.len() > BEATS {
+        while self.sent.len() > MAX_PENDING_HEARTBEATS {
             self.sent.pop_first();
         }
     }
@@ -82,7 +82,7 @@
         let stand = self.stand.entry(seat).or_insert([f64::MIN; SHARDS as usize + 1]);
         for (key, until) in stand.iter_mut().enumerate() {
             if granted & 1 << key != 0 {
-                *until = until.max(sent + ACTS);
+                *until = until.max(sent + HOLDER_DURATION);
             }
         }
     }
@@ -92,7 +92,7 @@
         let mut granted = 0;
         for (key, (host, until)) in self.voted.iter_mut().enumerate() {
             if claims & 1 << key != 0 && (*host == claimant || now >= *until) {
-                (*host, *until) = (claimant, now + LEASE);
+                (*host, *until) = (claimant, now + GRANT_DURATION);
                 granted |= 1 << key;
             }
         }
--- a/system/membership/src/feed.rs
+++ b/system/membership/src/feed.rs
@@ -13,15 +13,15 @@
 use std::collections::VecDeque;
 
 /// Events that are kept.
-pub const KEPT: usize = 4096;
+pub const CAPACITY: usize = 4096;
 /// Events in one answer at most.
-pub const MOST: usize = 500;
+pub const MAX_EVENTS_PER_READ: usize = 500;
 /// Events go to the disk together, this far apart: so much a loss of power may take.
-pub const KEEP: Millis = 1000.0;
+pub const STORE_INTERVAL: Millis = 1000.0;
 /// So many go at once.
-const BATCH: usize = 256;
+const STORE_BATCH: usize = 256;
 /// Of calls that are refused so many are told in a second; the rest is counted.
-const REFUSED: u32 = 10;
+const MAX_REFUSED_PER_SECOND: u32 = 10;
 
 /// The feed of one registry's life.
 #[derive(Clone, Debug)]
@@ -47,28 +47,28 @@
     }
 
     /// Something happened. `mark` tells it from the same thing at another time, wherever it was seen.
-    pub fn note(&mut self, at: Millis, kind: Kind, what: &str, mark: u64, cause: String) {
+    pub fn record(&mut self, at: Millis, kind: Kind, what: &str, mark: u64, cause: String) {
         let id = format!("{}/{what}/{mark:x}", kind.name());
         let place = At { life: self.life, number: self.next };
         self.events.push_back(Event { place, id, kind, what: what.to_owned(), cause, at });
         self.next += 1;
-        if self.events.len() > KEPT {
+        if self.events.len() > CAPACITY {
             self.events.pop_front();
         }
     }
 
     /// Something happened that only this registry saw.
-    pub fn note_own(&mut self, at: Millis, kind: Kind, what: &str, cause: String) {
-        self.note(at, kind, what, fennelscale_messages::mix(self.life ^ self.next), cause);
+    pub fn record_local(&mut self, at: Millis, kind: Kind, what: &str, cause: String) {
+        self.record(at, kind, what, fennelscale_messages::mix(self.life ^ self.next), cause);
     }
 
     /// A call was refused. A caller that sends nothing else must not push all other events out.
-    pub fn refused(&mut self, now: Millis, what: &str, cause: &str) {
+    pub fn record_refused_call(&mut self, now: Millis, what: &str, cause: &str) {
         let second = (now / 1000.0) as u64;
         if self.refused.0 != second {
             (self.refused.0, self.refused.1) = (second, 0);
         }
-        if self.refused.1 >= REFUSED {
+        if self.refused.1 >= MAX_REFUSED_PER_SECOND {
             self.refused.2 += 1;
             return;
         }
@@ -77,22 +77,22 @@
             0 => String::new(),
             n => format!(" (and {n} that were not told)"),
         };
-        self.note_own(now, Kind::CallRefused, what, format!("{cause}{others}"));
+        self.record_local(now, Kind::CallRefused, what, format!("{cause}{others}"));
     }
 
     /// What the store is to keep now. What it could not be given is offered again.
-    pub fn to_keep(&mut self, now: Millis) -> Vec<Event> {
-        if now - self.kept.1 < KEEP || self.kept.0 + 1 >= self.next {
+    pub fn events_to_store(&mut self, now: Millis) -> Vec<Event> {
+        if now - self.kept.1 < STORE_INTERVAL || self.kept.0 + 1 >= self.next {
             return Vec::new();
         }
         self.kept.1 = now;
         let oldest = self.events.front().map_or(self.next, |event| event.place.number);
         let from = (self.kept.0 + 1).saturating_sub(oldest) as usize;
-        self.events.iter().skip(from).take(BATCH).cloned().collect()
+        self.events.iter().skip(from).take(STORE_BATCH).cloned().collect()
     }
 
     /// The store was given events up to this one.
-    pub fn kept(&mut self, number: u64) {
+    pub fn mark_stored(&mut self, number: u64) {
         self.kept.0 = self.kept.0.max(number);
     }
 
@@ -107,7 +107,7 @@
             }
             Some(_) => (oldest, true),
         };
-        let most = if wanted.most == 0 { MOST } else { wanted.most.min(MOST) };
+        let most = if wanted.most == 0 { MAX_EVENTS_PER_READ } else { wanted.most.min(MAX_EVENTS_PER_READ) };
         let (mut events, mut last) = (Vec::new(), from.saturating_sub(1));
         for event in self.events.iter().skip(from.saturating_sub(oldest) as usize) {
             if wanted.takes(event) {
@@ -130,7 +130,7 @@
         let mut feed = Feed::new(7);
         for n in 0..events {
             let kind = if n % 2 == 0 { Kind::ItemChosen } else { Kind::MemberJoined };
-            feed.note(n as f64, kind, &format!("r:{n}"), n, String::new());
+            feed.record(n as f64, kind, &format!("r:{n}"), n, String::new());
         }
         feed
     }
@@ -154,7 +154,7 @@
 
     #[test]
     fn who_was_too_slow_or_comes_from_elsewhere_is_told_so() {
-        let feed = feed(KEPT as u64 + 10);
+        let feed = feed(CAPACITY as u64 + 10);
         let read = |after: Option<(u64, u64)>| {
             let after = after.map(|(life, number)| At { life, number });
             feed.read(0.0, &Wanted { after, ..Wanted::default() })
@@ -163,7 +163,10 @@
         assert!(!read(Some((7, 100))).missed);
         assert!(read(Some((8, 100))).missed, "another life");
         let future = read(Some((7, 1 << 40)));
-        assert!(future.missed && future.events.len() == MOST, "a cursor from the future begins anew");
+        assert!(
+            future.missed && future.events.len() == MAX_EVENTS_PER_READ,
+            "a cursor from the future begins anew"
+        );
     }
 
     #[test]
@@ -180,16 +183,16 @@
     #[test]
     fn the_store_is_given_each_event_once_and_not_too_often() {
         let (mut feed, mut given) = (feed(600), Vec::new());
-        assert!(feed.to_keep(KEEP - 1.0).is_empty());
+        assert!(feed.events_to_store(STORE_INTERVAL - 1.0).is_empty());
         for n in 1..=8 {
-            let now = KEEP * f64::from(n);
-            let events = feed.to_keep(now);
-            assert!(feed.to_keep(now + KEEP / 2.0).is_empty());
+            let now = STORE_INTERVAL * f64::from(n);
+            let events = feed.events_to_store(now);
+            assert!(feed.events_to_store(now + STORE_INTERVAL / 2.0).is_empty());
             // Every other time the store is not there: what it was not given is offered again.
             if n % 2 == 0
                 && let Some(last) = events.last()
             {
-                feed.kept(last.place.number);
+                feed.mark_stored(last.place.number);
                 given.extend(events.iter().map(|event| event.place.number));
             }
         }
@@ -200,11 +203,11 @@
     fn a_caller_that_is_always_refused_pushes_nothing_out() {
         let mut feed = feed(1);
         for n in 0..100_000 {
-            feed.refused(f64::from(n) / 100.0, "config", "invalid: cut short");
+            feed.record_refused_call(f64::from(n) / 100.0, "config", "invalid: cut short");
         }
         let told = feed.read(0.0, &Wanted::default());
         assert_eq!((told.events.len(), told.missed), (11, false));
-        feed.refused(5000.0, "config", "invalid: cut short");
+        feed.record_refused_call(5000.0, "config", "invalid: cut short");
         let told = feed.read(0.0, &Wanted { kind: Some(Kind::CallRefused), ..Wanted::default() });
         assert!(told.events[10].cause.ends_with("(and 99990 that were not told)"), "{:?}", told.events[10]);
     }
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -6,26 +6,26 @@
 //! - A duty is held by one registry at a time ([`duties`]): a majority of the seats let its claim stand, each for longer than
 //!   the holder acts on it, by steady clocks. A registry that has just started lets no claim stand until any it may have let
 //!   stand before is over.
-//! - Lists of backends are ordered by their stamps; an older one changes nothing ([`Round::listing`]).
+//! - Lists of backends are ordered by their stamps; an older one changes nothing ([`RegistryState::listing`]).
 //!
 //! # What the caller owes
 //!
-//! Carries out [`Round::outs`] after each input. `now` never goes back. Words to one registry go out in order or not at all.
+//! Carries out [`RegistryState::outs`] after each input. `now` never goes back. Words to one registry go out in order or not at all.
 
 mod contact;
 mod copies;
 pub mod duties;
-mod failures;
+mod failure_counts;
 pub mod feed;
-pub mod hours;
-mod leasing;
+pub mod maintenance;
 pub mod members;
-mod news;
-mod quotas;
+pub mod merge;
+mod proxy_updates;
+mod quota_events;
+mod quota_grants;
 mod status;
-pub mod streams;
 
-use duties::Duties;
+use duties::DutyLeases;
 use feed::{Feed, Kind};
 use fennelscale_config::Copied;
 use fennelscale_messages::Host;
@@ -34,7 +34,7 @@
 use fennelscale_messages::news::{Backend, Down, Listing, Member, RegistryPlace, Up};
 use fennelscale_messages::round::Word;
 use fennelscale_quota_lease::{Ask, Counts, Relay, Terms};
-use hours::Hours;
+use maintenance::MaintenanceState;
 use members::Members;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -43,57 +43,57 @@
 pub type Millis = f64;
 
 /// Between two beats of registries.
-pub const BEAT: Millis = 300.0;
+pub const HEARTBEAT_INTERVAL: Millis = 300.0;
 /// A registry or a proxy that was not heard for this long is not there: four beats, and the longest way.
-pub const SILENT: Millis = 1400.0;
+pub const PEER_TIMEOUT: Millis = 1400.0;
 /// Proxies say that they are no longer on their own within this.
-const RESTED: Millis = 1000.0;
+const RECONNECT_DELAY: Millis = 1000.0;
 /// The list of backends is read this often by who has the duty, ...
-pub const READ: Millis = 700.0;
+pub const LIST_INTERVAL: Millis = 700.0;
 /// ... and this often by each who knows of nobody that has it.
-pub const READ_ALONE: Millis = 2000.0;
+pub const FALLBACK_LIST_INTERVAL: Millis = 2000.0;
 
 /// A list that was read so long after a zone was taken back shows which of its backends are cold: it is told also where it says
 /// the same as the one before. Longer than the platform's usual lag, and the way of its answer.
-pub const RETURNED: Millis = 1600.0;
+pub const RETURNED_ZONE_DELAY: Millis = 1600.0;
 
 /// A registry that has heard of no list for so long after its start reads one itself.
-pub const NO_LIST: Millis = 250.0;
+pub const FIRST_LIST_DELAY: Millis = 250.0;
 
 /// A registry goes by the number of proxies that the store kept for so long after its start.
-pub const YOUNG: Millis = 8000.0;
+pub const STARTUP_PERIOD: Millis = 8000.0;
 /// That number is kept anew when it differs by more than this part.
-const NOTED: f64 = 0.15;
+const PROXY_COUNT_TOLERANCE: f64 = 0.15;
 /// The name under which the store keeps it.
-pub const FLEET: &str = "fleet";
+pub const PROXY_COUNT_NAME: &str = "fleet";
 
 /// What the host does.
 #[derive(Clone, Debug)]
-pub enum Out {
+pub enum Output {
     /// Sends a word to a registry.
-    Send(Host, Word),
+    SendToRegistry(Host, Word),
     /// Sends a word to a proxy.
-    Down(Host, Rc<Down>),
-    /// Reads the platform's list and tells [`Round::list_read`].
-    ReadList,
+    SendToProxy(Host, Rc<Down>),
+    /// Reads the platform's list and tells [`RegistryState::list_read`].
+    ReadBackendList,
     /// Has the store keep how many proxies there are, for registries that start anew.
-    Note(u32),
+    StoreProxyCount(u32),
     /// Ends a proxy's session: another line of it has taken its place, or it was silent.
-    Close(Host),
-    /// Has the store write a step of a maintenance order, and tells [`Round::stepped`].
-    Step(hours::Write),
-    /// Gives the store events to keep, and tells [`Round::kept`] if it took them.
-    Keep(Vec<Event>),
+    CloseSession(Host),
+    /// Has the store write a step of a maintenance order, and tells [`RegistryState::stepped`].
+    WriteMaintenanceStep(maintenance::StepWrite),
+    /// Gives the store events to keep, and tells [`RegistryState::kept`] if it took them.
+    StoreEvents(Vec<Event>),
     /// Looks up what a reader at another registry wants, also what the store has of earlier lives, and sends it with that number.
-    WantEvents(Host, u64, Wanted),
+    ReadEvents(Host, u64, Wanted),
     /// Another registry's part of what a reader here wants.
-    Events(Host, u64, Told),
+    DeliverEvents(Host, u64, Told),
     /// Asks the proxies here for a request and sends that registry what they know, with that number.
-    WantRequest(Host, u64, u64),
+    ReadRequestTrace(Host, u64, u64),
     /// What proxies of another registry know of a request.
-    Request(Host, u64, Vec<(Host, String)>),
+    DeliverRequestTrace(Host, u64, Vec<(Host, String)>),
     /// What a proxy here knows of it.
-    Recalled(Host, u64, String),
+    DeliverProxyTrace(Host, u64, String),
     /// A line for the log.
     Log(&'static str, String),
 }
@@ -107,7 +107,7 @@
 
 /// One registry.
 #[derive(Clone, Debug)]
-pub struct Round {
+pub struct RegistryState {
     me: Host,
     life: u64,
     born: Millis,
@@ -115,7 +115,7 @@
     seats: Seats,
     peers: BTreeMap<Host, Peer>,
     members: Members,
-    duties: Duties,
+    duties: DutyLeases,
     counts: Counts,
     relay: Relay,
     /// The registries that proxies of other registries ask this relay by.
@@ -151,14 +151,14 @@
     differs: Option<Millis>,
     feed: Feed,
     /// Tenants whose quota is spent, by the holder of their count: since when none had to be told so.
-    spent: quotas::Spent,
-    hours: Hours,
+    spent: quota_events::Exhausted,
+    hours: MaintenanceState,
     /// What proxies with a session here have counted of failure orders.
-    met: failures::Told,
-    out: Vec<Out>,
+    met: failure_counts::ReportedCounts,
+    out: Vec<Output>,
 }
 
-impl Round {
+impl RegistryState {
     /// A registry that knows its place (zone and region) and nothing else.
     pub fn new(me: Host, life: u64, zone: &str, region: &str, bootstrap: bool, now: Millis) -> Self {
         Self {
@@ -169,7 +169,7 @@
             seats: Seats::default(),
             peers: BTreeMap::new(),
             members: Members::default(),
-            duties: Duties::new(if bootstrap { f64::MIN } else { now }),
+            duties: DutyLeases::new(if bootstrap { f64::MIN } else { now }),
             counts: Counts::default(),
             relay: Relay::default(),
             ways: BTreeMap::new(),
@@ -192,15 +192,15 @@
             informed: false,
             differs: None,
             feed: Feed::new(life),
-            spent: quotas::Spent::default(),
-            hours: Hours::default(),
-            met: failures::Told::default(),
+            spent: quota_events::Exhausted::default(),
+            hours: MaintenanceState::default(),
+            met: failure_counts::ReportedCounts::default(),
             out: Vec::new(),
         }
     }
 
     /// What is to be done, in this order.
-    pub fn outs(&mut self) -> Vec<Out> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.out)
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// The newest list of backends.
-    pub fn listing(&self) -> &Listing {
+    pub fn backend_list(&self) -> &Listing {
         &self.listing
     }
 
@@ -219,8 +219,8 @@
         &self.feed
     }
 
-    /// Duties that are held here.
-    pub fn held(&self, now: Millis) -> u64 {
+    /// DutyLeases that are held here.
+    pub fn held_duties(&self, now: Millis) -> u64 {
         self.duties.held(now, self.majority())
     }
 
@@ -246,14 +246,14 @@
     }
 
     fn alive(&self, host: Host, now: Millis) -> bool {
-        self.peers.get(&host).is_some_and(|peer| now - peer.heard < SILENT)
+        self.peers.get(&host).is_some_and(|peer| now - peer.heard < PEER_TIMEOUT)
     }
 
     /// The seats, as the store has them chosen.
-    pub fn seats(&mut self, now: Millis, seats: Seats) {
+    pub fn on_seats(&mut self, now: Millis, seats: Seats) {
         if seats.version != self.seats.version {
             let hosts: Vec<String> = seats.seats.iter().map(|seat| seat.host.to_string()).collect();
-            self.feed.note(now, Kind::SeatsChanged, "seats", seats.version, hosts.join(" "));
+            self.feed.record(now, Kind::SeatsChanged, "seats", seats.version, hosts.join(" "));
         }
         self.seats = seats;
         self.tell_registries(now);
@@ -261,7 +261,7 @@
     }
 
     fn tell_registries(&mut self, now: Millis) {
-        self.told_heard = self.heard(now);
+        self.told_heard = self.reachable_registries(now);
         self.tell(&Rc::new(self.registries(now)));
     }
 
@@ -283,16 +283,16 @@
     /// Time passes; to be told every 50 ms or so.
     pub fn tick(&mut self, now: Millis) {
         for host in self.members.expire(now) {
-            self.out.push(Out::Close(host));
-            self.feed.note_own(now, Kind::MemberSilent, &host.to_string(), self.here());
-            self.out.push(Out::Log("session-silent", format!("proxy={host}")));
+            self.out.push(Output::CloseSession(host));
+            self.feed.record_local(now, Kind::MemberSilent, &host.to_string(), self.here());
+            self.out.push(Output::Log("session-silent", format!("proxy={host}")));
         }
         self.look_vouched(now);
         self.claim(now);
         if now >= self.beat_at {
-            self.beat_at = now + BEAT;
+            self.beat_at = now + HEARTBEAT_INTERVAL;
             self.beat(now);
-            if self.heard(now) != self.told_heard {
+            if self.reachable_registries(now) != self.told_heard {
                 self.tell_registries(now);
             }
             self.counts.sweep(now);
@@ -308,24 +308,24 @@
         self.note(now);
         self.keep_hours(now);
         self.quotas_back(now);
-        let events = self.feed.to_keep(now);
+        let events = self.feed.events_to_store(now);
         if !events.is_empty() {
-            self.out.push(Out::Keep(events));
+            self.out.push(Output::StoreEvents(events));
         }
     }
 
     /// The store has taken events up to this one.
-    pub fn kept(&mut self, number: u64) {
-        self.feed.kept(number);
+    pub fn on_events_stored(&mut self, number: u64) {
+        self.feed.mark_stored(number);
     }
 
     /// An operator's call was refused here.
-    pub fn refused(&mut self, now: Millis, what: &str, cause: &str) {
-        self.feed.refused(now, what, cause);
+    pub fn on_call_refused(&mut self, now: Millis, what: &str, cause: &str) {
+        self.feed.record_refused_call(now, what, cause);
     }
 
     /// This registry's machine.
-    pub fn me(&self) -> Host {
+    pub fn local_host(&self) -> Host {
         self.me
     }
 
@@ -342,17 +342,17 @@
     }
 
     /// Other registries that are heard.
-    pub fn heard(&self, now: Millis) -> Vec<Host> {
+    pub fn reachable_registries(&self, now: Millis) -> Vec<Host> {
         self.others().into_iter().filter(|host| self.alive(*host, now)).collect()
     }
 
     /// How many proxies there are for shares, and how many may be on their own. A registry that has just started knows few: it
     /// goes by what the store kept. Too many is a smaller share for each, too few would add up to more than there is.
-    fn counted(&self, now: Millis) -> members::Counts {
+    fn counted(&self, now: Millis) -> members::ProxyCounts {
         let counts = self.members.counted(now);
-        let young = now - self.born < YOUNG;
+        let young = now - self.born < STARTUP_PERIOD;
         let all = if young || self.is_cut(now) { counts.all.max(self.noted) } else { counts.all };
-        members::Counts { all, ..counts }
+        members::ProxyCounts { all, ..counts }
     }
 
     /// The same for proxies; 0 as long as nobody can know. A registry that has started with the whole core has one session at first:
@@ -364,17 +364,18 @@
     /// Who reads the list also keeps how many proxies there are, where that has changed for good.
     fn note(&mut self, now: Millis) {
         let gateways = self.members.counted(now).all;
-        let same = (gateways - self.noted).abs() <= self.noted * NOTED;
-        if same || self.held(now) & duties::LIST == 0 || now - self.born < YOUNG / 2.0 {
+        let same = (gateways - self.noted).abs() <= self.noted * PROXY_COUNT_TOLERANCE;
+        if same || self.held_duties(now) & duties::LIST_DUTY == 0 || now - self.born < STARTUP_PERIOD / 2.0 {
             self.differs = None;
             return;
         }
         let since = *self.differs.get_or_insert(now);
         // More is kept at once, fewer only when they stay away.
-        let patience = if gateways > self.noted { BEAT } else { members::CUT };
+        let patience =
+            if gateways > self.noted { HEARTBEAT_INTERVAL } else { members::SILENT_PROXY_RETENTION };
         if now - since > patience {
             self.differs = Some(now);
-            self.out.push(Out::Note(gateways as u32));
+            self.out.push(Output::StoreProxyCount(gateways as u32));
         }
     }
 
@@ -386,7 +387,7 @@
         let highest = self.highest.max(listing.0);
         let beat = Word::Beat { life: self.life, number: self.number, claims, roll, listing, highest };
         for host in self.others() {
-            self.out.push(Out::Send(host, beat.clone()));
+            self.out.push(Output::SendToRegistry(host, beat.clone()));
         }
         if self.seats.seats.iter().any(|seat| seat.host == self.me) {
             let granted = self.duties.vote(now, self.me, claims);
@@ -396,10 +397,10 @@
 
     /// Claims what nobody who is there claims and this registry is the first for.
     fn claim(&mut self, now: Millis) {
-        let held = self.held(now);
-        let live = self.heard(now);
+        let held = self.held_duties(now);
+        let live = self.reachable_registries(now);
         let taken = live.iter().fold(0, |taken, host| taken | self.peers[host].claims);
-        let first = duties::first_of(self.me, &live);
+        let first = duties::preferred_duties(self.me, &live);
         let before = self.duties.claims();
         // Who holds goes on; who claimed in vain gives way to one that holds by now.
         let claims = held | (first & !taken);
@@ -409,14 +410,14 @@
         }
         let (gained, lost) = self.duties.changed(now, held);
         if gained != 0 || lost != 0 {
-            self.out.push(Out::Log("duties", format!("held={held:x} gained={gained:x} lost={lost:x}")));
+            self.out.push(Output::Log("duties", format!("held={held:x} gained={gained:x} lost={lost:x}")));
             for key in 0..=duties::SHARDS {
                 let what =
-                    if 1 << key == duties::LIST { "list".to_owned() } else { format!("tenants-{key}") };
+                    if 1 << key == duties::LIST_DUTY { "list".to_owned() } else { format!("tenants-{key}") };
                 if gained & 1 << key != 0 {
-                    self.feed.note_own(now, Kind::DutyTaken, &what, self.here());
+                    self.feed.record_local(now, Kind::DutyTaken, &what, self.here());
                 } else if lost & 1 << key != 0 {
-                    self.feed.note_own(now, Kind::DutyLost, &what, self.here());
+                    self.feed.record_local(now, Kind::DutyLost, &what, self.here());
                 }
             }
         }
@@ -429,31 +430,33 @@
         if now < self.read_at {
             return;
         }
-        let holds = self.held(now) & duties::LIST != 0;
-        let others = self.peers.values().any(|p| now - p.heard < SILENT && p.claims & duties::LIST != 0);
-        let alone = !others && now - self.born > 2.0 * SILENT;
+        let holds = self.held_duties(now) & duties::LIST_DUTY != 0;
+        let others =
+            self.peers.values().any(|p| now - p.heard < PEER_TIMEOUT && p.claims & duties::LIST_DUTY != 0);
+        let alone = !others && now - self.born > 2.0 * PEER_TIMEOUT;
         // After a start of all nobody has a list, and nobody can hold the duty yet: no proxy is ready before there is one.
-        let none = self.listing.stamp.0 == 0 && now - self.born > NO_LIST;
+        let none = self.listing.stamp.0 == 0 && now - self.born > FIRST_LIST_DELAY;
         if holds || alone || none {
-            self.read_at = now + if holds { READ } else { READ_ALONE };
+            self.read_at = now + if holds { LIST_INTERVAL } else { FALLBACK_LIST_INTERVAL };
             (self.read_from, self.read_began) = (self.listing.stamp, now);
-            self.out.push(Out::ReadList);
+            self.out.push(Output::ReadBackendList);
         }
     }
 
     /// The platform's list was read; none if that failed. A reading that took so long that another registry's list came meanwhile is
     /// older than that one, whatever number it would get: it is made again.
-    pub fn list_read(&mut self, now: Millis, backends: Option<Vec<Backend>>) {
+    pub fn on_list_read(&mut self, now: Millis, backends: Option<Vec<Backend>>) {
         if self.listing.stamp != self.read_from {
             self.read_at = now;
             return;
         }
         let Some(backends) = backends else {
-            self.read_at = now + READ / 2.0;
+            self.read_at = now + LIST_INTERVAL / 2.0;
             return;
         };
         let awaited = self.tell_list_from.is_some_and(|from| self.read_began >= from);
-        let alike = news::alike(&self.listing.backends, &backends) && self.highest <= self.listing.stamp.0;
+        let alike = proxy_updates::same_backends(&self.listing.backends, &backends)
+            && self.highest <= self.listing.stamp.0;
         if alike && !awaited {
             return;
         }
@@ -462,7 +465,7 @@
         self.take_listing(now, listing);
         let listing = self.listing.clone();
         for host in self.others() {
-            self.out.push(Out::Send(host, Word::Listing(listing.clone())));
+            self.out.push(Output::SendToRegistry(host, Word::Listing(listing.clone())));
         }
     }
 
@@ -470,7 +473,7 @@
         if listing.stamp <= self.listing.stamp {
             return;
         }
-        self.out.push(Out::Log(
+        self.out.push(Output::Log(
             "listing",
             format!("stamp={} backends={}", listing.stamp.0, listing.backends.len()),
         ));
@@ -482,7 +485,7 @@
     }
 
     /// A word from another registry.
-    pub fn word(&mut self, now: Millis, from: Host, word: Word) {
+    pub fn receive_from_registry(&mut self, now: Millis, from: Host, word: Word) {
         match word {
             Word::Beat { life, number, claims, roll, listing, highest } => {
                 self.highest = self.highest.max(highest);
@@ -495,14 +498,14 @@
                 self.peers.insert(from, Peer { heard: now, life, claims });
                 self.members.heard_registry(from, now);
                 if wants_roll {
-                    self.out.push(Out::Send(from, Word::WantRoll));
+                    self.out.push(Output::SendToRegistry(from, Word::WantRoll));
                 }
                 if listing > self.listing.stamp {
-                    self.out.push(Out::Send(from, Word::WantListing));
+                    self.out.push(Output::SendToRegistry(from, Word::WantListing));
                 }
                 let granted = self.duties.vote(now, from, claims);
                 let wall = self.hours.wall(now);
-                self.out.push(Out::Send(from, Word::Heard { number, life, granted, wall }));
+                self.out.push(Output::SendToRegistry(from, Word::Heard { number, life, granted, wall }));
             }
             Word::Heard { number, life, granted, wall } => {
                 if life == self.life && self.seats.seats.iter().any(|seat| seat.host == from) {
@@ -515,36 +518,40 @@
             Word::Roll { members, silent, alone } => self.members.roll(from, members, silent, alone, now),
             Word::WantRoll => {
                 let (members, silent, alone) = self.members.own_roll();
-                self.out.push(Out::Send(from, Word::Roll { members, silent, alone }));
+                self.out.push(Output::SendToRegistry(from, Word::Roll { members, silent, alone }));
             }
             Word::Listing(listing) => self.take_listing(now, listing),
             Word::WantListing => {
                 let listing = self.listing.clone();
-                self.out.push(Out::Send(from, Word::Listing(listing)));
+                self.out.push(Output::SendToRegistry(from, Word::Listing(listing)));
             }
             Word::Ask { from: proxy, tenant, units, next, demand } => {
                 let grant = self.count(now, Ask { tenant: &tenant, proxy, units, next, demand });
-                self.out.push(Out::Send(from, Word::Grant(proxy, grant)));
+                self.out.push(Output::SendToRegistry(from, Word::Grant(proxy, grant)));
             }
             Word::AskNear { from: proxy, tenant, units, next, demand } => {
                 self.relay_ask(now, proxy, Some(from), &tenant, units, next, demand);
             }
             Word::Grant(to, grant) if to == self.me => self.relay_grant(now, grant),
-            Word::Grant(proxy, grant) => self.out.push(Out::Down(proxy, Rc::new(Down::Grant(grant)))),
+            Word::Grant(proxy, grant) => {
+                self.out.push(Output::SendToProxy(proxy, Rc::new(Down::Grant(grant))))
+            }
             Word::Back { tenant, units, window } => {
-                if self.held(now) & duties::bit_of(&tenant) != 0 {
+                if self.held_duties(now) & duties::bit_of(&tenant) != 0 {
                     self.counts.back(now, &tenant, units, window);
                 }
             }
-            Word::WantEvents(question, wanted) => self.out.push(Out::WantEvents(from, question, wanted)),
-            Word::Events(question, told) => self.out.push(Out::Events(from, question, told)),
-            Word::WantRequest(question, id) => self.out.push(Out::WantRequest(from, question, id)),
-            Word::Request(question, known) => self.out.push(Out::Request(from, question, known)),
+            Word::WantEvents(question, wanted) => self.out.push(Output::ReadEvents(from, question, wanted)),
+            Word::Events(question, told) => self.out.push(Output::DeliverEvents(from, question, told)),
+            Word::WantRequest(question, id) => self.out.push(Output::ReadRequestTrace(from, question, id)),
+            Word::Request(question, known) => {
+                self.out.push(Output::DeliverRequestTrace(from, question, known))
+            }
         }
     }
 
     /// A word from a proxy of this registry's.
-    pub fn up(&mut self, now: Millis, from: Host, up: Up) {
+    pub fn receive_from_proxy(&mut self, now: Millis, from: Host, up: Up) {
         match up {
             Up::Hello(member) => self.hello(now, member, None),
             Up::Resume(member, parts) => self.hello(now, member, Some(&parts)),
@@ -561,12 +568,17 @@
                 if near == self.me {
                     self.relay_ask(now, from, None, &tenant, units, next, demand);
                 } else {
-                    self.out.push(Out::Send(near, Word::AskNear { from, tenant, units, next, demand }));
+                    self.out.push(Output::SendToRegistry(
+                        near,
+                        Word::AskNear { from, tenant, units, next, demand },
+                    ));
                 }
             }
             Up::Back { tenant, units, window } => match self.holder(now, duties::bit_of(&tenant)) {
                 Some(host) if host == self.me => self.counts.back(now, &tenant, units, window),
-                Some(host) => self.out.push(Out::Send(host, Word::Back { tenant, units, window })),
+                Some(host) => {
+                    self.out.push(Output::SendToRegistry(host, Word::Back { tenant, units, window }))
+                }
                 None => {}
             },
             Up::Quiet(nodes) => {
@@ -575,20 +587,20 @@
                 }
             }
             Up::Met(counts) => self.met(now, from, counts),
-            Up::Recalled(question, known) => self.out.push(Out::Recalled(from, question, known)),
+            Up::Recalled(question, known) => self.out.push(Output::DeliverProxyTrace(from, question, known)),
             Up::Bye => {
                 self.members.bye(from, now);
-                self.feed.note_own(now, Kind::MemberLeft, &from.to_string(), "it said so".into());
+                self.feed.record_local(now, Kind::MemberLeft, &from.to_string(), "it said so".into());
                 self.beat_at = now;
             }
         }
     }
 
     /// A proxy's line is down.
-    pub fn closed(&mut self, now: Millis, proxy: Host) {
+    pub fn on_session_closed(&mut self, now: Millis, proxy: Host) {
         if self.members.closed(proxy, now) {
-            self.feed.note_own(now, Kind::MemberLeft, &proxy.to_string(), "its line is down".into());
-            self.out.push(Out::Log("session-closed", format!("proxy={proxy}")));
+            self.feed.record_local(now, Kind::MemberLeft, &proxy.to_string(), "its line is down".into());
+            self.out.push(Output::Log("session-closed", format!("proxy={proxy}")));
             self.beat_at = now;
         }
     }
--- a/system/membership/src/hours.rs
+++ b/system/membership/src/maintenance.rs
@@ -4,7 +4,7 @@
 //! no harm: the store writes a step only while all that was looked at still stands.
 
 use crate::feed::{Feed, Kind};
-use crate::{Millis, Out, Round, duties};
+use crate::{Millis, Output, RegistryState, duties};
 use fennelscale_config::{Copied, Fact, fact};
 use fennelscale_maintenance::clock::{Clock, Span};
 use fennelscale_maintenance::hours::{Contract, told};
@@ -23,16 +23,16 @@
 
 /// Records that are to be written, or dropped, where all that was looked at still stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Write {
+pub struct StepWrite {
     /// The view that it was decided from, in one number.
-    pub seen: u64,
+    pub view_hash: u64,
     /// Names and texts.
     pub records: Vec<(String, Option<String>)>,
 }
 
 /// What one registry keeps of it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Hours {
+pub(crate) struct MaintenanceState {
     contracts: BTreeMap<String, Contract>,
     orders: BTreeMap<String, Order>,
     nights: BTreeMap<String, Night>,
@@ -54,7 +54,7 @@
 
 /// A node of an order, for people.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeState {
+pub struct NodeStatus {
     /// The node.
     pub node: String,
     /// Its phase, or `waiting`.
@@ -62,18 +62,18 @@
     /// Since when, in the contract's zone.
     pub since: String,
     /// Why it is so, or why it is not drained.
-    pub why: String,
+    pub reason: String,
     /// Proxies that have work there or have not heard of the drain.
-    pub waits_for: Vec<String>,
+    pub waiting_for: Vec<String>,
 }
 
 /// An order, for people.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OrderState {
+pub struct OrderStatus {
     /// Its name.
     pub name: String,
     /// What is wanted of it.
-    pub wanted: &'static str,
+    pub state: &'static str,
     /// Its contract.
     pub contract: String,
     /// Which registry holds it, if one is known.
@@ -81,10 +81,10 @@
     /// When its hours begin next, or end where they hold.
     pub hours: String,
     /// Its nodes, in their order.
-    pub nodes: Vec<NodeState>,
+    pub nodes: Vec<NodeStatus>,
 }
 
-impl Hours {
+impl MaintenanceState {
     /// An item that has a say in it, or that says where requests may go.
     pub(crate) fn item(&mut self, name: &str, entry: &Entry) {
         if name.starts_with("r:") || name.starts_with("t:") {
@@ -140,7 +140,7 @@
                 };
                 let mark = fennelscale_messages::hash(order.as_bytes()) ^ at as u64;
                 let cause = format!("order {order}, decided by {}: {}", step.by, step.why);
-                feed.note(now, kind, node, mark, cause);
+                feed.record(now, kind, node, mark, cause);
             }
         }
         self.nights.insert(order.to_owned(), night);
@@ -205,17 +205,19 @@
     homes.into_iter().collect()
 }
 
-impl Round {
+impl RegistryState {
     /// The deployment: zones and their regions; how many clocks of the core may be wrong at once, and how many zones and regions
     /// may be lost.
-    pub fn deployment(&mut self, zones: BTreeMap<String, String>, machines: usize, may_go: (usize, usize)) {
+    pub fn set_deployment(
+        &mut self, zones: BTreeMap<String, String>, machines: usize, may_go: (usize, usize),
+    ) {
         self.hours.zones = zones;
         self.hours.clocks_may_err = machines;
         (self.hours.zones_may_go, self.hours.regions_may_go) = may_go;
     }
 
     /// The machine's time of day, in ms since 1970: it may jump.
-    pub fn time_of_day(&mut self, now: Millis, wall: f64) {
+    pub fn set_time_of_day(&mut self, now: Millis, wall: f64) {
         self.hours.wall = Some(wall - now);
         if self.hours.is_active() {
             let me = self.me;
@@ -262,7 +264,7 @@
         if self.hours.busy.is_some_and(|since| now - since < UNANSWERED) {
             return;
         }
-        let held = self.held(now);
+        let held = self.held_duties(now);
         let names = || self.hours.orders.keys().chain(self.hours.nights.keys());
         if !names().any(|name| held & duties::bit_of(name) != 0) {
             return;
@@ -273,7 +275,7 @@
         if let Some(Next { order, night, node, phase }) = plan::next(&scene, &me, mine) {
             let why = night.last(&node).map(|step| step.why.clone()).unwrap_or_default();
             let about = format!("order={order} node={node} phase={} why={why:?}", phase.name());
-            self.out.push(Out::Log("maintenance-step", about));
+            self.out.push(Output::Log("maintenance-step", about));
             let drain = night.drain().map(|drain| drain.text());
             let records =
                 vec![(format!("{NIGHT}{order}"), Some(night.text())), (format!("{DRAIN}{order}"), drain)];
@@ -289,20 +291,23 @@
         let all = items.chain(self.hours.records.entries());
         let seen = fennelscale_maintenance::seen(all.map(|(name, entry)| (name.as_str(), entry)));
         self.hours.busy = Some(now);
-        self.out.push(Out::Step(Write { seen, records }));
+        self.out.push(Output::WriteMaintenanceStep(StepWrite { view_hash: seen, records }));
     }
 
     /// The store has answered to a step; that it was written is heard with the news.
-    pub fn stepped(&mut self, now: Millis) {
+    pub fn on_maintenance_answer(&mut self, now: Millis) {
         self.hours.busy = None;
         // Not before the news of it are here: a step that was decided without them would only be refused.
         self.hours.look_at = now + LOOK;
     }
 
     /// What would stand in the way of orders that a call brings, however long one waits. `changed`: items of the call.
-    pub fn rehearse(&mut self, now: Millis, changed: &[Named]) -> Vec<(String, Node, Why)> {
+    pub fn check_orders(&mut self, now: Millis, changed: &[Named]) -> Vec<(String, Node, Why)> {
         let mut scene = self.scene(now);
-        let mut hours = Hours { contracts: std::mem::take(&mut scene.contracts), ..Hours::default() };
+        let mut hours = MaintenanceState {
+            contracts: std::mem::take(&mut scene.contracts),
+            ..MaintenanceState::default()
+        };
         changed.iter().for_each(|(name, entry)| hours.item(name, entry));
         scene.contracts = hours.contracts;
         let asks = |order: &&Order| matches!(order.wanted, Wanted::Approved | Wanted::Running);
@@ -319,7 +324,7 @@
     }
 
     /// All orders, for people: how far each node is, and why it is or is not drained now.
-    pub fn maintenance(&mut self, now: Millis) -> (Option<Span>, Vec<OrderState>) {
+    pub fn maintenance_status(&mut self, now: Millis) -> (Option<Span>, Vec<OrderStatus>) {
         let scene = self.scene(now);
         let orders = scene.orders.values().map(|order| {
             let zone = scene.contracts.get(&order.contract).map(|contract| contract.zone.clone());
@@ -335,12 +340,12 @@
             };
             let node = |node: &Node| {
                 let last = scene.nights.get(&order.name).and_then(|night| night.last(node));
-                let state = |phase, since, why, waits_for| NodeState {
+                let state = |phase, since, why, waits_for| NodeStatus {
                     node: node.to_string(),
                     phase,
                     since,
-                    why,
-                    waits_for,
+                    reason: why,
+                    waiting_for: waits_for,
                 };
                 match last {
                     Some(step) => {
@@ -357,9 +362,9 @@
                 }
             };
             let holder = self.holder(now, duties::bit_of(&order.name));
-            OrderState {
+            OrderStatus {
                 name: order.name.clone(),
-                wanted: order.wanted.name(),
+                state: order.wanted.name(),
                 contract: order.contract.clone(),
                 holder: holder.map_or_else(String::new, |host| host.to_string()),
                 hours,
--- a/system/membership/src/members.rs
+++ b/system/membership/src/members.rs
@@ -1,31 +1,31 @@
 //! Sessions of proxies here and at other registries, and who is a member by them.
 //!
 //! A session that ended by a word or a closed line is over. One that was silent may be one that was cut off: its proxy serves
-//! on, so it counts for shares for a while ([`CUT`]), and as long as its registry is silent it is still a member
-//! ([`KEPT`]): a cut through the core does not empty the directory.
+//! on, so it counts for shares for a while ([`SILENT_PROXY_RETENTION`]), and as long as its registry is silent it is still a member
+//! ([`SILENT_REGISTRY_RETENTION`]): a cut through the core does not empty the directory.
 //!
 //! A proxy on its own spends the part of one of as many as it was told of last, however many have come since. That number is kept with
 //! its silence, and told to the other registries: whoever holds a count keeps as much back.
 
 use crate::copies::{Compared, Comparison, Standing};
-use crate::{Millis, SILENT};
+use crate::{Millis, PEER_TIMEOUT};
 use fennelscale_messages::Host;
 use fennelscale_messages::news::{Down, Member};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Members of a registry that is silent are members for so long.
-pub const KEPT: Millis = 6000.0;
+pub const SILENT_REGISTRY_RETENTION: Millis = 6000.0;
 /// A proxy that went silent counts for shares for so long.
-pub const CUT: Millis = 20_000.0;
+pub const SILENT_PROXY_RETENTION: Millis = 20_000.0;
 /// What proxies were told of their number may still be on its way, and so not in force, for so long.
-const UNDER_WAY: Millis = 3000.0;
+const DELIVERY_TIMEOUT: Millis = 3000.0;
 /// Changes of members are told together, this far apart.
-const APART: Millis = 100.0;
+const UPDATE_INTERVAL: Millis = 100.0;
 /// The most numbers that are remembered.
-const LATEST: usize = 64;
+const MAX_COUNTS_SENT: usize = 64;
 /// The most sessions that are remembered after they went silent.
-const MOST: usize = 4096;
+const MAX_SILENT: usize = 4096;
 
 #[derive(Clone, Debug)]
 struct Session {
@@ -41,7 +41,7 @@
 
 /// What was counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Counts {
+pub struct ProxyCounts {
     /// How many proxies there are for shares.
     pub all: f64,
     /// How many of them may be on their own, ...
@@ -51,7 +51,7 @@
 }
 
 /// Of which version of members, until when it holds, and what was counted.
-type Counted = (u64, Millis, Counts);
+type Counted = (u64, Millis, ProxyCounts);
 
 #[derive(Clone, Debug, Default)]
 struct Roll {
@@ -175,19 +175,23 @@
 
     /// Sessions that were silent too long end here.
     pub(crate) fn expire(&mut self, now: Millis) -> Vec<Host> {
-        let over: Vec<Host> =
-            self.sessions.iter().filter(|(_, s)| now - s.heard >= SILENT).map(|(host, _)| *host).collect();
+        let over: Vec<Host> = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| now - s.heard >= PEER_TIMEOUT)
+            .map(|(host, _)| *host)
+            .collect();
         let least = self.least(now);
         for host in &over {
             self.sessions.remove(host);
             self.silent.insert(*host, (now, least));
         }
         let before = (self.rolls.len(), self.silent.len());
-        let gone = self.rolls.iter().filter(|(_, roll)| now - roll.heard >= KEPT);
+        let gone = self.rolls.iter().filter(|(_, roll)| now - roll.heard >= SILENT_REGISTRY_RETENTION);
         let gone: Vec<Host> = gone.map(|(registry, _)| *registry).collect();
         gone.into_iter().for_each(|registry| self.outlive(registry, least, now));
-        self.silent.retain(|_, (since, _)| now - *since < CUT);
-        while self.silent.len() > MOST {
+        self.silent.retain(|_, (since, _)| now - *since < SILENT_PROXY_RETENTION);
+        while self.silent.len() > MAX_SILENT {
             self.silent.pop_first();
         }
         if !over.is_empty() || before != (self.rolls.len(), self.silent.len()) {
@@ -236,8 +240,8 @@
         mut alone: Vec<(Host, u64)>, now: Millis,
     ) {
         self.version += 1;
-        silent.truncate(MOST);
-        alone.truncate(MOST);
+        silent.truncate(MAX_SILENT);
+        alone.truncate(MAX_SILENT);
         for member in &members {
             self.silent.remove(&member.host);
         }
@@ -266,7 +270,7 @@
     pub(crate) fn heard_registry(&mut self, registry: Host, now: Millis) {
         if let Some(roll) = self.rolls.get_mut(&registry) {
             // Who is heard last goes before others that name the same proxy.
-            if self.twice || now - roll.heard >= SILENT {
+            if self.twice || now - roll.heard >= PEER_TIMEOUT {
                 self.version += 1;
             }
             roll.heard = now;
@@ -288,7 +292,7 @@
                 }
             }
         }
-        all.retain(|_, (heard, _)| now - *heard < KEPT);
+        all.retain(|_, (heard, _)| now - *heard < SILENT_REGISTRY_RETENTION);
         for session in self.sessions.values() {
             all.insert(session.member.host, (now, &session.member));
         }
@@ -297,13 +301,16 @@
 
     /// Until when time alone changes nothing of who is a member or counts.
     fn until(&self, now: Millis) -> Millis {
-        let ends = self.rolls.values().flat_map(|roll| [roll.heard + SILENT, roll.heard + KEPT]);
-        let ends = ends.chain(self.numbers.iter().map(|(at, _)| at + UNDER_WAY));
+        let ends = self
+            .rolls
+            .values()
+            .flat_map(|roll| [roll.heard + PEER_TIMEOUT, roll.heard + SILENT_REGISTRY_RETENTION]);
+        let ends = ends.chain(self.numbers.iter().map(|(at, _)| at + DELIVERY_TIMEOUT));
         ends.filter(|end| *end > now).fold(f64::INFINITY, f64::min)
     }
 
     /// How many proxies there are for shares, and how many of them may be on their own.
-    pub fn counted(&self, now: Millis) -> Counts {
+    pub fn counted(&self, now: Millis) -> ProxyCounts {
         if let Some((version, until, counts)) = self.counts.get()
             && version == self.version
             && now < until
@@ -315,7 +322,7 @@
         counts
     }
 
-    fn count(&self, now: Millis) -> Counts {
+    fn count(&self, now: Millis) -> ProxyCounts {
         let members = self.each(now);
         let told = self.rolls.values().flat_map(|roll| roll.silent.iter().copied());
         let mut silent: BTreeMap<Host, u32> = BTreeMap::new();
@@ -324,9 +331,9 @@
             *known = of.min(*known);
         }
         let parts: f64 = silent.values().map(|of| 1.0 / f64::from((*of).max(1))).sum();
-        let unheard = self.rolls.values().filter(|roll| now - roll.heard >= SILENT);
+        let unheard = self.rolls.values().filter(|roll| now - roll.heard >= PEER_TIMEOUT);
         let unheard: usize = unheard.map(|roll| roll.members.len()).sum();
-        Counts {
+        ProxyCounts {
             all: (members.len() + silent.len()).max(1) as f64,
             silent: (silent.len() + unheard) as f64,
             parts: parts + unheard as f64 / f64::from(self.least(now)),
@@ -340,7 +347,8 @@
         }
         self.version += 1;
         self.numbers.push_back((now, count));
-        while self.numbers.get(1).is_some_and(|(at, _)| now - at >= UNDER_WAY) || self.numbers.len() > LATEST
+        while self.numbers.get(1).is_some_and(|(at, _)| now - at >= DELIVERY_TIMEOUT)
+            || self.numbers.len() > MAX_COUNTS_SENT
         {
             self.numbers.pop_front();
         }
@@ -348,7 +356,7 @@
 
     /// The lowest number of proxies that one of them may think of now.
     fn least(&self, now: Millis) -> u32 {
-        let over = self.numbers.iter().skip(1).take_while(|(at, _)| now - at >= UNDER_WAY).count();
+        let over = self.numbers.iter().skip(1).take_while(|(at, _)| now - at >= DELIVERY_TIMEOUT).count();
         let least = self.numbers.iter().skip(over).map(|(_, count)| *count).min();
         least.unwrap_or_else(|| self.each(now).len() as u32).max(1)
     }
@@ -356,7 +364,7 @@
     /// Whether there may be something to tell, with so many proxies for shares.
     pub(crate) fn may_have_news(&mut self, now: Millis, count: u32) -> bool {
         let same = |(version, of, until)| version == self.version && of == count && now < until;
-        if self.looked.is_some_and(same) || now - self.told_at < APART {
+        if self.looked.is_some_and(same) || now - self.told_at < UPDATE_INTERVAL {
             return false;
         }
         self.looked = Some((self.version, count, self.until(now)));
@@ -364,7 +372,7 @@
     }
 
     pub(crate) fn is_news(&mut self, word: &Down, now: Millis) -> bool {
-        let news = self.told.as_ref() != Some(word) && now - self.told_at >= APART;
+        let news = self.told.as_ref() != Some(word) && now - self.told_at >= UPDATE_INTERVAL;
         if news {
             (self.told, self.told_at) = (Some(word.clone()), now);
             if let Down::Members(_, count) = word {
@@ -466,7 +474,9 @@
     /// One that was told that it is alone spends a whole part, however many have come; also where the higher number was on its way.
     #[test]
     fn a_silent_proxy_counts_with_the_part_that_it_thinks_it_has() {
-        for (told_again, parts) in [(None, 1.0), (Some(SILENT - 500.0), 1.0), (Some(-2.0 * UNDER_WAY), 0.5)] {
+        for (told_again, parts) in
+            [(None, 1.0), (Some(PEER_TIMEOUT - 500.0), 1.0), (Some(-2.0 * DELIVERY_TIMEOUT), 0.5)]
+        {
             let mut members = Members::default();
             members.hello(member(1, 1, true), -20_000.0);
             members.tells(-20_000.0, 1);
@@ -474,9 +484,9 @@
                 members.tells(at, 2);
             }
             members.beat(Host(1), true, 0.0);
-            assert_eq!(members.expire(SILENT), [Host(1)]);
-            members.hello(member(2, 1, true), SILENT);
-            let counted = members.counted(SILENT);
+            assert_eq!(members.expire(PEER_TIMEOUT), [Host(1)]);
+            members.hello(member(2, 1, true), PEER_TIMEOUT);
+            let counted = members.counted(PEER_TIMEOUT);
             assert_eq!((counted.all, counted.silent, counted.parts), (2.0, 1.0, parts), "{told_again:?}");
         }
     }
--- a/system/membership/src/streams.rs
+++ b/system/membership/src/merge.rs
@@ -2,10 +2,10 @@
 //!
 //! # What holds
 //!
-//! - Each event of each stream is told, once in one answer by its id ([`join`]); over answers at least once.
+//! - Each event of each stream is told, once in one answer by its id ([`merge`]); over answers at least once.
 //! - Events of one thing (`what`) come in the order in which any registry has them. Registries agree on that order, since each
 //!   takes versions of a thing in theirs. Of one that could not be asked in time events come later, by the same cursor, and of one
-//!   that has more than fit in one telling ([`crate::feed::MOST`]) nobody knows what comes behind; then an older version can
+//!   that has more than fit in one telling ([`crate::feed::MAX_EVENTS_PER_READ`]) nobody knows what comes behind; then an older version can
 //!   come after a newer one, and the mark at the end of the id tells.
 //! - A cursor is a place in each registry's feed ([`Cursor`]): it is as good at any other gateway, and after a start of all.
 
@@ -57,7 +57,7 @@
 
 /// What a reader gets.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Joined {
+pub struct MergedEvents {
     /// Events and whose feed each is from.
     pub events: Vec<(Host, Event)>,
     /// For the next question.
@@ -150,8 +150,9 @@
 }
 
 /// Joins what registries have told, after a cursor, to one answer of so many events at most.
-pub fn join(told: BTreeMap<Host, Told>, before: &Cursor, most: usize) -> Joined {
-    let mut joined = Joined { missed: told.values().any(|told| told.missed), ..Joined::default() };
+pub fn merge(told: BTreeMap<Host, Told>, before: &Cursor, most: usize) -> MergedEvents {
+    let mut joined =
+        MergedEvents { missed: told.values().any(|told| told.missed), ..MergedEvents::default() };
     let mut streams: Vec<Stream> =
         told.into_iter().map(|(host, told)| Stream::new(host, told, before.0.get(&host).copied())).collect();
     let mut seen: HashSet<String> = HashSet::new();
@@ -199,11 +200,11 @@
         for (n, (thing, ahead, own)) in steps.iter().enumerate() {
             let at = n as f64 * 10.0;
             if *own {
-                feed.note_own(at, Kind::DutyTaken, &format!("tenants-{thing}"), String::new());
+                feed.record_local(at, Kind::DutyTaken, &format!("tenants-{thing}"), String::new());
             } else {
                 versions[*thing] += ahead;
                 let what = format!("r:{thing}");
-                feed.note(at, Kind::ItemChosen, &what, versions[*thing], String::new());
+                feed.record(at, Kind::ItemChosen, &what, versions[*thing], String::new());
             }
         }
         feed
@@ -231,7 +232,7 @@
                     let after = cursor.0.get(&host).copied();
                     (host, feed.read(1000.0, &Wanted { after, ..Wanted::default() }))
                 });
-                let joined = join(told.collect(), &cursor, most);
+                let joined = merge(told.collect(), &cursor, most);
                 prop_assert!(!joined.missed && (joined.events.is_empty() || joined.cursor != cursor), "no progress");
                 let ids: HashSet<&str> = joined.events.iter().map(|(_, e)| e.id.as_str()).collect();
                 prop_assert_eq!(ids.len(), joined.events.len(), "one event, not two, in an answer");
@@ -276,12 +277,12 @@
     #[test]
     fn registries_that_disagree_hold_no_reader_up() {
         let (mut one, mut other) = (crate::feed::Feed::new(1), crate::feed::Feed::new(2));
-        one.note(1.0, Kind::ItemChosen, "r:a", 1, String::new());
-        one.note(2.0, Kind::ItemChosen, "r:a", 2, String::new());
-        other.note(1.0, Kind::ItemChosen, "r:a", 2, String::new());
-        other.note(2.0, Kind::ItemChosen, "r:a", 1, String::new());
+        one.record(1.0, Kind::ItemChosen, "r:a", 1, String::new());
+        one.record(2.0, Kind::ItemChosen, "r:a", 2, String::new());
+        other.record(1.0, Kind::ItemChosen, "r:a", 2, String::new());
+        other.record(2.0, Kind::ItemChosen, "r:a", 1, String::new());
         let told = [(Host(1), &one), (Host(2), &other)];
         let told = told.map(|(host, feed)| (host, feed.read(9.0, &Wanted::default()))).into();
-        assert_eq!(join(told, &Cursor::default(), 10).events.len(), 2);
+        assert_eq!(merge(told, &Cursor::default(), 10).events.len(), 2);
     }
 }
--- a/system/membership/src/news.rs
+++ b/system/membership/src/proxy_updates.rs
@@ -2,7 +2,7 @@
 
 use crate::copies::Standing;
 use crate::feed::Kind;
-use crate::{Millis, Out, Round};
+use crate::{Millis, Output, RegistryState};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Entry, Named};
 use fennelscale_messages::news::{Backend, Down, Listing, Member};
@@ -11,7 +11,7 @@
 
 /// Whether two readings of the list say the same. How long a backend stays cold runs down by itself: that it is says enough,
 /// as long as it does not grow.
-pub(crate) fn alike(one: &[Backend], other: &[Backend]) -> bool {
+pub(crate) fn same_backends(one: &[Backend], other: &[Backend]) -> bool {
     let same = |(a, b): (&Backend, &Backend)| {
         let cold = (a.cold_ms == 0) == (b.cold_ms == 0) && b.cold_ms <= a.cold_ms;
         let (a, b) = (Backend { cold_ms: 0, ..a.clone() }, Backend { cold_ms: 0, ..b.clone() });
@@ -20,13 +20,13 @@
     one.len() == other.len() && one.iter().zip(other).all(same)
 }
 
-impl Round {
+impl RegistryState {
     /// Chosen entries from the store: all of them, or those that are new.
-    pub fn items(&mut self, now: Millis, whole: bool, entries: Vec<Named>) {
+    pub fn on_items(&mut self, now: Millis, whole: bool, entries: Vec<Named>) {
         let mut fresh = Vec::new();
         for (name, entry) in entries {
             self.set_terms(&name, &entry);
-            if name.strip_prefix("m:") == Some(crate::FLEET) {
+            if name.strip_prefix("m:") == Some(crate::PROXY_COUNT_NAME) {
                 self.noted = entry.body.as_deref().and_then(|body| body.parse().ok()).unwrap_or(0.0);
             }
             if name.starts_with(fennelscale_maintenance::NIGHT) {
@@ -49,7 +49,7 @@
             fresh.push((name, entry));
         }
         if whole {
-            self.out.push(Out::Log("items", format!("count={}", self.items.entries().len())));
+            self.out.push(Output::Log("items", format!("count={}", self.items.entries().len())));
         }
         if !fresh.is_empty() {
             let vouched = self.vouched.holds(now);
@@ -59,7 +59,7 @@
 
     pub(crate) fn tell(&mut self, word: &Rc<Down>) {
         for host in self.members.sessions() {
-            self.out.push(Out::Down(host, word.clone()));
+            self.out.push(Output::SendToProxy(host, word.clone()));
         }
     }
 
@@ -67,7 +67,7 @@
         let (kind, what) = match (name.strip_prefix("e:"), entry.body.is_some()) {
             (Some(zone), true) => (Kind::ZoneEvacuated, zone),
             (Some(zone), false) => {
-                self.tell_list_from = Some(now + crate::RETURNED);
+                self.tell_list_from = Some(now + crate::RETURNED_ZONE_DELAY);
                 (Kind::ZoneBack, zone)
             }
             (None, true) => (Kind::ItemChosen, name),
@@ -78,7 +78,7 @@
             "version {:08x}, written by {} in turn {}",
             entry.revision, stamp.epoch.seat, stamp.epoch.round
         );
-        self.feed.note(now, kind, what, entry.revision, cause);
+        self.feed.record(now, kind, what, entry.revision, cause);
     }
 
     pub(crate) fn note_listing(&mut self, now: Millis, listing: &Listing) {
@@ -97,12 +97,12 @@
         events
             .extend(before.into_keys().filter(|id| !stands(id)).map(|id| (Kind::BackendGone, id.to_owned())));
         for (kind, id) in events {
-            self.feed.note(now, kind, &id, 0, cause.clone());
+            self.feed.record(now, kind, &id, 0, cause.clone());
         }
     }
 
     /// Whether the store's copy is as new as a quorum's, as it says now and again.
-    pub fn fresh(&mut self, now: Millis, fresh: bool) {
+    pub fn on_store_freshness(&mut self, now: Millis, fresh: bool) {
         self.informed |= fresh;
         self.vouched.told(now, fresh);
         self.look_vouched(now);
@@ -116,7 +116,7 @@
         }
         self.told_fresh = vouched;
         let kind = if vouched { Kind::CopyFresh } else { Kind::CopyDoubtful };
-        self.feed.note_own(now, kind, &self.me.to_string(), "by the store's beats".into());
+        self.feed.record_local(now, kind, &self.me.to_string(), "by the store's beats".into());
         if vouched {
             // Proxies that wait to be ready may be: what they hold is vouched for from now on.
             self.tell(&Rc::new(Down::Items { whole: false, fresh: true, entries: Vec::new() }));
@@ -139,15 +139,17 @@
         if let Down::Items { entries, .. } = &word {
             self.resent.1 += entries.len() as u64;
         }
-        self.out.push(Out::Down(from, Rc::new(word)));
+        self.out.push(Output::SendToProxy(from, Rc::new(word)));
     }
 
     /// A session begins; `parts` of the items are what its proxy holds already.
     pub(crate) fn hello(&mut self, now: Millis, member: Member, parts: Option<&[u64]>) {
         let host = member.host;
-        self.out
-            .push(Out::Log("session", format!("proxy={host} zone={} life={:x}", member.zone, member.life)));
-        self.feed.note(
+        self.out.push(Output::Log(
+            "session",
+            format!("proxy={host} zone={} life={:x}", member.zone, member.life),
+        ));
+        self.feed.record(
             now,
             Kind::MemberJoined,
             &host.to_string(),
@@ -162,7 +164,7 @@
         // The list last: with it a proxy is ready, and by then it knows with whom it shares the backends.
         let items = self.lacking(now, parts);
         let words = [self.registries(now), members, items, Down::Listing(self.listing.clone())];
-        self.out.extend(words.into_iter().map(|word| Out::Down(host, Rc::new(word))));
+        self.out.extend(words.into_iter().map(|word| Output::SendToProxy(host, Rc::new(word))));
         // Others hear of it at once.
         self.beat_at = now;
     }
@@ -175,24 +177,24 @@
         }
         let contact_age = self.contact_age(now) as u32;
         if let Some(time) = self.hours.time(now) {
-            self.out.push(Out::Down(from, Rc::new(Down::Time(time.earliest, time.latest))));
+            self.out.push(Output::SendToProxy(from, Rc::new(Down::Time(time.earliest, time.latest))));
         }
-        self.out.push(Out::Down(from, Rc::new(Down::Beat { contact_age })));
+        self.out.push(Output::SendToProxy(from, Rc::new(Down::Beat { contact_age })));
         let standing = self.sums.standing(now, self.items.sum(), items);
         let compared = self.members.compare(from, now, standing);
         if let Some(lags) = compared.lags {
             let kind = if lags { Kind::MemberLagging } else { Kind::MemberCurrent };
             let cause = format!("its items against those of registry {}", self.me);
-            self.feed.note_own(now, kind, &from.to_string(), cause);
+            self.feed.record_local(now, kind, &from.to_string(), cause);
         }
         if compared.asks {
             self.resent.0 += 1;
-            self.out.push(Out::Down(from, Rc::new(Down::Compare)));
+            self.out.push(Output::SendToProxy(from, Rc::new(Down::Compare)));
         }
         self.highest = self.highest.max(listing.0);
         if listing < self.listing.stamp {
             let word = Rc::new(Down::Listing(self.listing.clone()));
-            self.out.push(Out::Down(from, word));
+            self.out.push(Output::SendToProxy(from, word));
         }
     }
 
--- a/system/membership/src/quotas.rs
+++ b/system/membership/src/quota_events.rs
@@ -1,19 +1,19 @@
 //! Events at the edges of quotas: spent, and back.
 
 use crate::feed::Kind;
-use crate::{Millis, Round};
+use crate::{Millis, RegistryState};
 use fennelscale_messages::news::Grant;
 use std::collections::BTreeMap;
 
 /// When a tenant last got nothing of a window at hand, and of which window that was.
-pub(crate) type Spent = BTreeMap<String, (Millis, u64)>;
+pub(crate) type Exhausted = BTreeMap<String, (Millis, u64)>;
 
 /// A quota of which nobody was refused a part for so long is back: longer than any window is between two asks of a flood.
 const BACK: Millis = 3000.0;
 /// So many tenants are looked at; more edges at once are not told.
 const MOST: usize = 1024;
 
-impl Round {
+impl RegistryState {
     /// The count kept here was asked for units.
     pub(crate) fn quota_edge(&mut self, now: Millis, grant: &Grant) {
         if grant.closed || grant.next || grant.units >= 1.0 {
@@ -24,7 +24,7 @@
         } else if self.spent.len() < MOST {
             self.spent.insert(grant.tenant.clone(), (now, grant.window));
             let cause = format!("window {} at registry {}, who holds its count", grant.window, self.me);
-            self.feed.note_own(now, Kind::QuotaSpent, &format!("t:{}", grant.tenant), cause);
+            self.feed.record_local(now, Kind::QuotaSpent, &format!("t:{}", grant.tenant), cause);
         }
     }
 
@@ -36,7 +36,7 @@
         for (tenant, window) in back {
             self.spent.remove(&tenant);
             let cause = format!("nothing refused since window {window} at registry {}", self.me);
-            self.feed.note_own(now, Kind::QuotaBack, &format!("t:{tenant}"), cause);
+            self.feed.record_local(now, Kind::QuotaBack, &format!("t:{tenant}"), cause);
         }
     }
 }
@@ -47,14 +47,14 @@
     use fennelscale_messages::Host;
     use fennelscale_messages::feed::Wanted;
 
-    fn told(round: &Round) -> Vec<(Kind, String)> {
+    fn told(round: &RegistryState) -> Vec<(Kind, String)> {
         let told = round.feed().read(0.0, &Wanted { what: "t:".into(), ..Wanted::default() });
         told.events.into_iter().map(|event| (event.kind, event.what)).collect()
     }
 
     #[test]
     fn a_quota_is_told_spent_once_and_back_once() {
-        let mut round = Round::new(Host(1), 7, "a", "r", true, 0.0);
+        let mut round = RegistryState::new(Host(1), 7, "a", "r", true, 0.0);
         let grant = |units, next, closed| Grant {
             tenant: "x".into(),
             units,
@@ -83,7 +83,7 @@
 
     #[test]
     fn a_flood_of_tenants_takes_no_more_than_its_room() {
-        let mut round = Round::new(Host(1), 7, "a", "r", true, 0.0);
+        let mut round = RegistryState::new(Host(1), 7, "a", "r", true, 0.0);
         for n in 0..3 * MOST {
             let (tenant, units) = (n.to_string(), 0.0);
             let ends = 100.0;
--- a/system/membership/src/leasing.rs
+++ b/system/membership/src/quota_grants.rs
@@ -1,6 +1,6 @@
 //! Units of tenants' quotas: asked for by way of a relay in each region, granted by whoever holds the tenant's count.
 
-use crate::{Millis, Out, Peer, RESTED, Round, SILENT, duties};
+use crate::{Millis, Output, PEER_TIMEOUT, Peer, RECONNECT_DELAY, RegistryState, duties};
 use fennelscale_config::Fact;
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::Entry;
@@ -9,7 +9,7 @@
 use fennelscale_quota_lease::{Ask, Counts, Sent, Terms};
 use std::rc::Rc;
 
-impl Round {
+impl RegistryState {
     /// The relay of this region for a tenant: the registry with the highest draw among those of the region that are heard.
     pub(crate) fn near(&self, now: Millis, tenant: &str) -> Host {
         let draw = |host: &Host| {
@@ -49,8 +49,8 @@
         for sent in sent {
             match sent {
                 Sent::Down(proxy, grant) => match self.ways.get(&proxy) {
-                    Some(by) => self.out.push(Out::Send(*by, Word::Grant(proxy, grant))),
-                    None => self.out.push(Out::Down(proxy, Rc::new(Down::Grant(grant)))),
+                    Some(by) => self.out.push(Output::SendToRegistry(*by, Word::Grant(proxy, grant))),
+                    None => self.out.push(Output::SendToProxy(proxy, Rc::new(Down::Grant(grant)))),
                 },
                 Sent::Up(tenant, units, next, demand) => self.ask_holder(now, tenant, units, next, demand),
             }
@@ -64,7 +64,9 @@
                 let grant = self.count(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
                 self.relay_grant(now, grant);
             }
-            Some(host) => self.out.push(Out::Send(host, Word::Ask { from, tenant, units, next, demand })),
+            Some(host) => {
+                self.out.push(Output::SendToRegistry(host, Word::Ask { from, tenant, units, next, demand }))
+            }
             None => {
                 let terms = self.terms.get(&tenant).copied().unwrap_or_default();
                 self.relay_grant(now, closed(&tenant, next, terms));
@@ -74,10 +76,10 @@
 
     /// Who is thought to hold a duty.
     pub(crate) fn holder(&self, now: Millis, bit: u64) -> Option<Host> {
-        if self.held(now) & bit != 0 {
+        if self.held_duties(now) & bit != 0 {
             return Some(self.me);
         }
-        let claims = |(_, peer): &(&Host, &Peer)| now - peer.heard < SILENT && peer.claims & bit != 0;
+        let claims = |(_, peer): &(&Host, &Peer)| now - peer.heard < PEER_TIMEOUT && peer.claims & bit != 0;
         self.peers.iter().filter(claims).map(|(host, _)| *host).next()
     }
 
@@ -86,7 +88,7 @@
         let (tenant, next) = (ask.tenant, ask.next);
         let bit = duties::bit_of(tenant);
         let terms = self.terms.get(tenant).copied().unwrap_or_default();
-        if self.held(now) & bit == 0 || terms.rate <= 0.0 {
+        if self.held_duties(now) & bit == 0 || terms.rate <= 0.0 {
             return closed(tenant, next, terms);
         }
         let since = self.duties.since(bit);
@@ -96,7 +98,7 @@
         }
         let counts = self.counted(now);
         // While a new holder rested all were on their own, and it is a while until they say that they no longer are.
-        let rested = now > since + Counts::REST as f64 * terms.window() + RESTED;
+        let rested = now > since + Counts::REST as f64 * terms.window() + RECONNECT_DELAY;
         let alone = if rested { self.members.alone_count(bit) } else { 0.0 };
         let grant = self.counts.ask(now, ask, terms, since, counts.parts + alone / counts.all);
         self.quota_edge(now, &grant);
--- a/system/membership/src/status.rs
+++ b/system/membership/src/status.rs
@@ -1,12 +1,12 @@
 //! What operators are told of a registry.
 
-use crate::{Millis, Round, members};
+use crate::{Millis, RegistryState, members};
 
-impl Round {
+impl RegistryState {
     /// What operators are told of this registry: pairs of names and values, in a fixed order.
     pub fn status(&self, now: Millis) -> Vec<(&'static str, String)> {
-        let members::Counts { all: gateways, silent, .. } = self.counted(now);
-        let alive = self.heard(now).len();
+        let members::ProxyCounts { all: gateways, silent, .. } = self.counted(now);
+        let alive = self.reachable_registries(now).len();
         let lagging = self.members.lagging();
         vec![
             ("registry", self.me.to_string()),
@@ -28,7 +28,7 @@
             ("sessions_lagging", lagging.to_string()),
             ("copies_compared", self.resent.0.to_string()),
             ("entries_resent", self.resent.1.to_string()),
-            ("duties_held", self.held(now).count_ones().to_string()),
+            ("duties_held", self.held_duties(now).count_ones().to_string()),
             ("tenants_counted", self.counts.tenants().to_string()),
             ("tenants_relayed", self.relay.tenants().to_string()),
         ]
--- a/system/membership/tests/nights/mod.rs
+++ b/system/membership/tests/nights/mod.rs
@@ -36,10 +36,14 @@
         };
         world.with(at, |round, now| {
             if !known {
-                round.up(now, member.host, Up::Hello(member.clone()));
+                round.receive_from_proxy(now, member.host, Up::Hello(member.clone()));
             }
-            round.up(now, member.host, Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 });
-            round.up(now, member.host, Up::Quiet(quiet));
+            round.receive_from_proxy(
+                now,
+                member.host,
+                Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 },
+            );
+            round.receive_from_proxy(now, member.host, Up::Quiet(quiet));
         });
     }
 }
@@ -74,7 +78,8 @@
         go(&mut world, 24_000.0 + 400.0 * seed as f64);
         let bit = fennelscale_membership::duties::bit_of("o");
         let now = world.now;
-        let holder = world.nodes.iter().position(|r| r.as_ref().is_some_and(|r| r.held(now) & bit != 0));
+        let holder =
+            world.nodes.iter().position(|r| r.as_ref().is_some_and(|r| r.held_duties(now) & bit != 0));
         let killed = holder.unwrap_or(0);
         world.kill(killed);
         go(&mut world, 29_000.0 + 400.0 * seed as f64);
--- a/system/membership/tests/registries.rs
+++ b/system/membership/tests/registries.rs
@@ -4,7 +4,7 @@
 mod nights;
 mod world;
 
-use fennelscale_membership::{BEAT, READ, RETURNED, SILENT, duties};
+use fennelscale_membership::{HEARTBEAT_INTERVAL, LIST_INTERVAL, PEER_TIMEOUT, RETURNED_ZONE_DELAY, duties};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Entry, Stamp};
 use fennelscale_messages::news::{CONTACT_LEASE, Down, Listing, Member, Up};
@@ -48,12 +48,12 @@
 #[test]
 fn a_minority_holds_nothing_and_the_rest_takes_over_in_time() {
     let mut world = World::new(3, 6);
-    let mine = world.nodes[0].as_ref().unwrap().held(world.now);
+    let mine = world.nodes[0].as_ref().unwrap().held_duties(world.now);
     assert_ne!(mine, 0);
     (1..6).for_each(|n| world.cut.extend([(0, n), (n, 0)]));
-    world.run(duties::LEASE + 100.0);
-    assert_eq!(world.nodes[0].as_ref().unwrap().held(world.now), 0);
-    world.run(SILENT + BEAT + 300.0);
+    world.run(duties::GRANT_DURATION + 100.0);
+    assert_eq!(world.nodes[0].as_ref().unwrap().held_duties(world.now), 0);
+    world.run(PEER_TIMEOUT + HEARTBEAT_INTERVAL + 300.0);
     assert_eq!(world.held(), ALL);
 }
 
@@ -66,12 +66,14 @@
 fn a_session_makes_a_member_everywhere_and_a_cut_core_still_answers() {
     let mut world = World::new(1, 6);
     for n in 0..6_u32 {
-        world.with(n as usize, |round, now| round.up(now, Host(100 + n), Up::Hello(member(n, true))));
+        world.with(n as usize, |round, now| {
+            round.receive_from_proxy(now, Host(100 + n), Up::Hello(member(n, true)))
+        });
     }
     let beat = |world: &mut World| {
         for n in 0..6_u32 {
             let up = Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 };
-            world.with(n as usize, |round, now| round.up(now, Host(100 + n), up));
+            world.with(n as usize, |round, now| round.receive_from_proxy(now, Host(100 + n), up));
         }
     };
     for _ in 0..5 {
@@ -96,7 +98,7 @@
     // A proxy that says goodbye is gone at once; one that is silent counts for shares for a while.
     world.cut.clear();
     world.run(1000.0);
-    world.with(0, |round, now| round.up(now, Host(100), Up::Bye));
+    world.with(0, |round, now| round.receive_from_proxy(now, Host(100), Up::Bye));
     world.run(2500.0);
     let round = world.nodes[1].as_ref().unwrap();
     assert!(round.members(world.now).iter().all(|m| m.host != Host(100)));
@@ -106,18 +108,18 @@
 fn a_newer_list_reaches_all_and_an_older_one_changes_nothing() {
     let mut world = World::new(2, 6);
     world.run(18_500.0);
-    let stamps: BTreeSet<_> = world.nodes.iter().flatten().map(|r| r.listing().clone().stamp).collect();
+    let stamps: BTreeSet<_> = world.nodes.iter().flatten().map(|r| r.backend_list().clone().stamp).collect();
     assert_eq!(stamps.len(), 1);
     let reads = world.reads;
     world.run(7000.0);
     assert!(world.reads - reads <= 11, "one reads for all: {} times in 7 s", world.reads - reads);
     for round in world.nodes.iter().flatten() {
-        assert!(round.listing().backends[0].draining, "the news has reached all");
+        assert!(round.backend_list().backends[0].draining, "the news has reached all");
     }
-    let newest = world.nodes[0].as_ref().unwrap().listing().clone();
+    let newest = world.nodes[0].as_ref().unwrap().backend_list().clone();
     let old = Listing { stamp: (newest.stamp.0 - 1, Host(99)), backends: Vec::new() };
-    world.with(0, |round, now| round.word(now, host(1), Word::Listing(old)));
-    assert_eq!(*world.nodes[0].as_ref().unwrap().listing(), newest);
+    world.with(0, |round, now| round.receive_from_registry(now, host(1), Word::Listing(old)));
+    assert_eq!(*world.nodes[0].as_ref().unwrap().backend_list(), newest);
 }
 
 /// Proxies take the backends of a zone that was taken back for cold until a list that was read later says how they are.
@@ -125,19 +127,19 @@
 fn after_a_zone_was_taken_back_a_list_is_told_once_more_though_it_says_the_same() {
     let mut world = World::new(2, 6);
     world.run(3000.0);
-    let stamp = |world: &World| world.nodes[0].as_ref().unwrap().listing().stamp.0;
+    let stamp = |world: &World| world.nodes[0].as_ref().unwrap().backend_list().stamp.0;
     let before = stamp(&world);
     world.run(3000.0);
     assert_eq!(stamp(&world), before, "nothing has changed");
     let dropped = Entry { stamp: Stamp { turn: 7, ..Stamp::default() }, revision: 2, ..Entry::default() };
     for n in 0..6 {
-        world.with(n, |round, now| round.items(now, false, vec![("e:z1".into(), dropped.clone())]));
+        world.with(n, |round, now| round.on_items(now, false, vec![("e:z1".into(), dropped.clone())]));
     }
-    world.run(RETURNED);
+    world.run(RETURNED_ZONE_DELAY);
     assert_eq!(stamp(&world), before, "what is read too early may be older");
-    world.run(2.0 * READ + 500.0);
+    world.run(2.0 * LIST_INTERVAL + 500.0);
     assert_eq!(stamp(&world), before + 1);
-    world.run(3.0 * READ);
+    world.run(3.0 * LIST_INTERVAL);
     assert_eq!(stamp(&world), before + 1, "once is enough, at {}", world.now);
 }
 
@@ -146,20 +148,31 @@
 fn a_reading_of_the_list_that_was_overtaken_is_not_told() {
     let mut world = World::new(2, 6);
     world.run(9000.0);
-    let reader =
-        (0..6).find(|n| world.nodes[*n].as_ref().unwrap().held(world.now) & duties::LIST != 0).unwrap();
+    let reader = (0..6)
+        .find(|n| world.nodes[*n].as_ref().unwrap().held_duties(world.now) & duties::LIST_DUTY != 0)
+        .unwrap();
     world.with(reader, |round, now| {
         // A reading begins; before it ends a list of another registry comes.
         round.tick(now + 2000.0);
-        assert!(round.outs().iter().any(|out| matches!(out, fennelscale_membership::Out::ReadList)));
-        let newer = Listing { stamp: (round.listing().stamp.0 + 1, Host(99)), backends: Vec::new() };
-        round.word(now + 2010.0, host(1), Word::Listing(newer.clone()));
-        round.list_read(now + 2020.0, Some(vec![]));
-        round.outs();
-        assert_eq!(*round.listing(), newer);
+        assert!(
+            round
+                .take_outputs()
+                .iter()
+                .any(|out| matches!(out, fennelscale_membership::Output::ReadBackendList))
+        );
+        let newer = Listing { stamp: (round.backend_list().stamp.0 + 1, Host(99)), backends: Vec::new() };
+        round.receive_from_registry(now + 2010.0, host(1), Word::Listing(newer.clone()));
+        round.on_list_read(now + 2020.0, Some(vec![]));
+        round.take_outputs();
+        assert_eq!(*round.backend_list(), newer);
         // It reads again at once.
         round.tick(now + 2050.0);
-        assert!(round.outs().iter().any(|out| matches!(out, fennelscale_membership::Out::ReadList)));
+        assert!(
+            round
+                .take_outputs()
+                .iter()
+                .any(|out| matches!(out, fennelscale_membership::Output::ReadBackendList))
+        );
     });
 }
 
@@ -168,10 +181,14 @@
     let mut world = World::new(4, 6);
     // Its list is of before the start of all: of a higher number than any that is read now.
     let old = (40, Host(3));
-    world.with(2, |round, now| round.up(now, Host(102), Up::Hello(member(2, true))));
+    world.with(2, |round, now| round.receive_from_proxy(now, Host(102), Up::Hello(member(2, true))));
     for _ in 0..8 {
         world.with(2, |round, now| {
-            round.up(now, Host(102), Up::Beat { ready: true, items: 0, listing: old, alone: 0 })
+            round.receive_from_proxy(
+                now,
+                Host(102),
+                Up::Beat { ready: true, items: 0, listing: old, alone: 0 },
+            )
         });
         world.run(400.0);
     }
@@ -180,7 +197,7 @@
             && matches!(&**word, fennelscale_messages::news::Down::Listing(listing) if listing.stamp > old)
     });
     assert!(newer, "it hears of a list that it takes");
-    let stamps: BTreeSet<_> = world.nodes.iter().flatten().map(|r| r.listing().stamp).collect();
+    let stamps: BTreeSet<_> = world.nodes.iter().flatten().map(|r| r.backend_list().stamp).collect();
     assert!(stamps.len() == 1 && stamps.first() > Some(&old));
     let calls = world.reads;
     world.run(2000.0);
@@ -195,12 +212,16 @@
 #[test]
 fn a_registry_that_is_cut_off_tells_its_proxies_to_look_elsewhere() {
     let mut world = World::new(6, 6);
-    world.with(0, |round, now| round.up(now, Host(100), Up::Hello(member(0, true))));
+    world.with(0, |round, now| round.receive_from_proxy(now, Host(100), Up::Hello(member(0, true))));
     let told = |world: &mut World| {
         world.downs.clear();
         world.with(0, |round, now| {
-            round.fresh(now, true);
-            round.up(now, Host(100), Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 });
+            round.on_store_freshness(now, true);
+            round.receive_from_proxy(
+                now,
+                Host(100),
+                Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 },
+            );
         });
         world.downs.iter().any(|(.., word)| is_out_of_contact(word))
     };
@@ -220,7 +241,7 @@
 #[test]
 fn proxies_are_told_which_registries_are_heard() {
     let mut world = World::new(6, 6);
-    world.with(1, |round, now| round.up(now, Host(100), Up::Hello(member(0, true))));
+    world.with(1, |round, now| round.receive_from_proxy(now, Host(100), Up::Hello(member(0, true))));
     let heard = |world: &World| {
         world.downs.iter().rev().find_map(|(.., word)| match &**word {
             Down::Registries(places) => Some(places.iter().filter(|place| place.heard).count()),
@@ -233,7 +254,7 @@
         for _ in 0..6 {
             world.run(400.0);
             let up = Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 };
-            world.with(1, |round, now| round.up(now, Host(100), up));
+            world.with(1, |round, now| round.receive_from_proxy(now, Host(100), up));
         }
     };
     (0..6).for_each(|n| world.cut.extend([(4, n), (n, 4)]));
@@ -246,24 +267,28 @@
 
 #[test]
 fn a_seat_that_starts_anew_lets_no_claim_stand_that_may_stand_elsewhere() {
-    let mut duties = duties::Duties::new(1000.0);
+    let mut duties = duties::DutyLeases::new(1000.0);
     assert_eq!(duties.vote(1010.0, Host(2), 1), 0);
-    assert_eq!(duties.vote(1000.0 + duties::LEASE, Host(2), 1), 1);
-    assert_eq!(duties.vote(1010.0 + duties::LEASE, Host(3), 1), 0, "another's stands");
-    assert_eq!(duties.vote(1020.0 + 2.0 * duties::LEASE, Host(3), 1), 1, "and is over in its time");
+    assert_eq!(duties.vote(1000.0 + duties::GRANT_DURATION, Host(2), 1), 1);
+    assert_eq!(duties.vote(1010.0 + duties::GRANT_DURATION, Host(3), 1), 0, "another's stands");
+    assert_eq!(duties.vote(1020.0 + 2.0 * duties::GRANT_DURATION, Host(3), 1), 1, "and is over in its time");
 }
 
 #[test]
 fn a_registry_whose_store_has_forgotten_all_tells_its_proxies_to_look_elsewhere() {
-    let mut round = fennelscale_membership::Round::new(host(5), 9, "z5", "r2", false, 0.0);
-    round.up(10.0, Host(100), Up::Hello(member(0, true)));
+    let mut round = fennelscale_membership::RegistryState::new(host(5), 9, "z5", "r2", false, 0.0);
+    round.receive_from_proxy(10.0, Host(100), Up::Hello(member(0, true)));
     let mut told = |now: f64| {
         round.tick(now);
-        round.up(now, Host(100), Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 });
+        round.receive_from_proxy(
+            now,
+            Host(100),
+            Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 },
+        );
         round
-            .outs()
+            .take_outputs()
             .iter()
-            .any(|out| matches!(out, fennelscale_membership::Out::Down(_, word) if is_out_of_contact(word)))
+            .any(|out| matches!(out, fennelscale_membership::Output::SendToProxy(_, word) if is_out_of_contact(word)))
     };
     assert!(!told(1000.0) && !told(2000.0) && !told(3000.0), "it may be about to be founded, or to learn");
     assert!(told(4100.0));
@@ -279,22 +304,22 @@
 fn a_registry_whose_store_has_fallen_silent_is_out_of_contact() {
     let mut world = World::new(6, 6);
     world.with(0, |round, now| {
-        round.fresh(now, true);
-        round.up(now, Host(100), Up::Hello(member(0, true)));
+        round.on_store_freshness(now, true);
+        round.receive_from_proxy(now, Host(100), Up::Hello(member(0, true)));
     });
     let mut told = Vec::new();
     for _ in 0..6 {
         world.run(400.0);
         world.downs.clear();
         let up = Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 };
-        world.with(0, |round, now| round.up(now, Host(100), up));
+        world.with(0, |round, now| round.receive_from_proxy(now, Host(100), up));
         told.push(world.downs.iter().any(|(.., word)| is_out_of_contact(word)));
     }
     assert_eq!(told[..3], [false; 3], "not for a moment's silence");
     assert_eq!(told[4..], [true; 2], "every other registry is heard, and its own store is not");
     // A proxy that starts is not made ready by such a registry.
     world.downs.clear();
-    world.with(0, |round, now| round.up(now, Host(101), Up::Hello(member(1, false))));
+    world.with(0, |round, now| round.receive_from_proxy(now, Host(101), Up::Hello(member(1, false))));
     let vouches = |word: &Down| matches!(word, Down::Items { fresh: true, .. });
     assert!(!world.downs.iter().any(|(.., word)| vouches(word)));
 }
@@ -317,23 +342,27 @@
 fn a_proxy_that_follows_with_a_lag_is_not_sent_everything_again() {
     const LAG: f64 = 600.0;
     const CHANGES: u64 = 100;
-    let mut round = fennelscale_membership::Round::new(host(0), 9, "z0", "r0", false, 0.0);
-    round.items(0.0, true, (0..500).map(route_entry).collect());
-    round.fresh(0.0, true);
-    round.up(0.0, Host(100), Up::Hello(member(0, true)));
+    let mut round = fennelscale_membership::RegistryState::new(host(0), 9, "z0", "r0", false, 0.0);
+    round.on_items(0.0, true, (0..500).map(route_entry).collect());
+    round.on_store_freshness(0.0, true);
+    round.receive_from_proxy(0.0, Host(100), Up::Hello(member(0, true)));
     let mut copy = fennelscale_config::Copied::default();
     let (mut on_their_way, mut words) = (std::collections::VecDeque::new(), Vec::new());
     for step in 0..200_u64 {
         let now = step as f64 * 50.0;
         if step % 2 == 0 && step / 2 < CHANGES {
-            round.items(now, false, vec![route_entry(500 + step / 2)]);
+            round.on_items(now, false, vec![route_entry(500 + step / 2)]);
         }
         if step % 8 == 0 {
             let items = copy.sum();
-            round.up(now, Host(100), Up::Beat { ready: true, items, listing: (0, Host(0)), alone: 0 });
+            round.receive_from_proxy(
+                now,
+                Host(100),
+                Up::Beat { ready: true, items, listing: (0, Host(0)), alone: 0 },
+            );
         }
-        for out in round.outs() {
-            if let fennelscale_membership::Out::Down(_, word) = out
+        for out in round.take_outputs() {
+            if let fennelscale_membership::Output::SendToProxy(_, word) = out
                 && let Down::Items { entries, .. } = &*word
             {
                 words.push(entries.len());
@@ -360,23 +389,27 @@
 #[test]
 fn a_change_that_was_lost_on_its_way_is_sent_again_in_time_and_little_else_is() {
     const LOST: u64 = 505;
-    let mut round = fennelscale_membership::Round::new(host(0), 9, "z0", "r0", false, 0.0);
-    round.items(0.0, true, (0..500).map(route_entry).collect());
-    round.fresh(0.0, true);
-    round.up(0.0, Host(100), Up::Hello(member(0, true)));
+    let mut round = fennelscale_membership::RegistryState::new(host(0), 9, "z0", "r0", false, 0.0);
+    round.on_items(0.0, true, (0..500).map(route_entry).collect());
+    round.on_store_freshness(0.0, true);
+    round.receive_from_proxy(0.0, Host(100), Up::Hello(member(0, true)));
     let mut copy = fennelscale_config::Copied::default();
     let (mut told, mut whole_since) = (0, None);
     for step in 0..120_u64 {
         let now = step as f64 * 50.0;
         if step == 10 {
-            round.items(now, false, vec![route_entry(LOST)]);
+            round.on_items(now, false, vec![route_entry(LOST)]);
         }
         if step % 8 == 0 {
             let items = copy.sum();
-            round.up(now, Host(100), Up::Beat { ready: true, items, listing: (0, Host(0)), alone: 0 });
+            round.receive_from_proxy(
+                now,
+                Host(100),
+                Up::Beat { ready: true, items, listing: (0, Host(0)), alone: 0 },
+            );
         }
-        for out in round.outs() {
-            let fennelscale_membership::Out::Down(_, word) = out else { continue };
+        for out in round.take_outputs() {
+            let fennelscale_membership::Output::SendToProxy(_, word) = out else { continue };
             match &*word {
                 // The line was full just then.
                 Down::Items { entries, .. } if step == 10 && entries.len() == 1 => {}
@@ -386,7 +419,7 @@
                         copy.take(name, entry);
                     });
                 }
-                Down::Compare => round.up(now, Host(100), Up::Have(copy.parts().to_vec())),
+                Down::Compare => round.receive_from_proxy(now, Host(100), Up::Have(copy.parts().to_vec())),
                 _ => {}
             }
         }
@@ -402,17 +435,17 @@
 /// A proxy that goes to another registry with what it holds is sent what it lacks, and is vouched for.
 #[test]
 fn a_session_that_is_resumed_brings_only_what_is_lacking() {
-    let mut round = fennelscale_membership::Round::new(host(0), 9, "z0", "r0", false, 0.0);
-    round.items(0.0, true, (0..500).map(route_entry).collect());
-    round.fresh(0.0, true);
+    let mut round = fennelscale_membership::RegistryState::new(host(0), 9, "z0", "r0", false, 0.0);
+    round.on_items(0.0, true, (0..500).map(route_entry).collect());
+    round.on_store_freshness(0.0, true);
     let mut copy = fennelscale_config::Copied::default();
     (0..500).map(route_entry).for_each(|(name, entry)| {
         copy.take(&name, &entry);
     });
-    round.items(10.0, false, vec![route_entry(507)]);
-    round.up(20.0, Host(100), Up::Resume(member(0, true), copy.parts().to_vec()));
-    let items = round.outs().into_iter().find_map(|out| match out {
-        fennelscale_membership::Out::Down(_, word) => match &*word {
+    round.on_items(10.0, false, vec![route_entry(507)]);
+    round.receive_from_proxy(20.0, Host(100), Up::Resume(member(0, true), copy.parts().to_vec()));
+    let items = round.take_outputs().into_iter().find_map(|out| match out {
+        fennelscale_membership::Output::SendToProxy(_, word) => match &*word {
             Down::Items { fresh, entries, .. } => Some((*fresh, entries.clone())),
             _ => None,
         },
@@ -426,16 +459,16 @@
 /// A store that was silent for a while speaks again: proxies that came meanwhile are vouched for.
 #[test]
 fn a_store_that_speaks_again_vouches_again() {
-    let mut round = fennelscale_membership::Round::new(host(0), 9, "z0", "r0", false, 0.0);
-    round.fresh(0.0, true);
+    let mut round = fennelscale_membership::RegistryState::new(host(0), 9, "z0", "r0", false, 0.0);
+    round.on_store_freshness(0.0, true);
     round.tick(3000.0);
-    round.up(3010.0, Host(100), Up::Hello(member(0, false)));
-    let vouched = |round: &mut fennelscale_membership::Round| {
-        round.outs().into_iter().any(|out| {
-            matches!(out, fennelscale_membership::Out::Down(_, word) if matches!(&*word, Down::Items { fresh: true, .. }))
+    round.receive_from_proxy(3010.0, Host(100), Up::Hello(member(0, false)));
+    let vouched = |round: &mut fennelscale_membership::RegistryState| {
+        round.take_outputs().into_iter().any(|out| {
+            matches!(out, fennelscale_membership::Output::SendToProxy(_, word) if matches!(&*word, Down::Items { fresh: true, .. }))
         })
     };
     assert!(!vouched(&mut round));
-    round.fresh(3100.0, true);
+    round.on_store_freshness(3100.0, true);
     assert!(vouched(&mut round));
 }
--- a/system/membership/tests/world/mod.rs
+++ b/system/membership/tests/world/mod.rs
@@ -1,8 +1,8 @@
 //! Registries in virtual time: links that delay and are cut, processes that die. Who holds a duty is looked at after every
 //! step, at all of them at once.
 
-use fennelscale_membership::hours::Write;
-use fennelscale_membership::{Out, Round};
+use fennelscale_membership::maintenance::StepWrite;
+use fennelscale_membership::{Output, RegistryState};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Entry, Seat, Seats};
 use fennelscale_messages::mix;
@@ -14,12 +14,12 @@
 const STEP: f64 = 20.0;
 
 /// What a registry is told, and when.
-pub type Input<'a> = Box<dyn FnOnce(&mut Round, f64) + 'a>;
+pub type Input<'a> = Box<dyn FnOnce(&mut RegistryState, f64) + 'a>;
 
 pub struct World {
     pub now: f64,
     seed: u64,
-    pub nodes: Vec<Option<Round>>,
+    pub nodes: Vec<Option<RegistryState>>,
     lives: Vec<u64>,
     wire: Vec<(f64, usize, usize, Word, u64)>,
     pub cut: BTreeSet<(usize, usize)>,
@@ -29,7 +29,7 @@
     pub walls: Vec<f64>,
     /// What the store holds of maintenance, and steps on their way to it.
     pub store: BTreeMap<String, Entry>,
-    steps: Vec<(f64, usize, Write)>,
+    steps: Vec<(f64, usize, StepWrite)>,
     /// Machines whose stores hold a copy as new as a quorum's, and say so.
     vouched: BTreeSet<usize>,
     /// Steps that the store wrote, and that it refused.
@@ -105,10 +105,10 @@
         self.lives[n] += 1;
         let life = mix((n as u64) << 32 ^ self.lives[n]);
         let mut round =
-            Round::new(host(n), life, &format!("z{n}"), &format!("r{}", n % 3), bootstrap, self.now);
-        round.seats(self.now, seats(self.nodes.len()));
+            RegistryState::new(host(n), life, &format!("z{n}"), &format!("r{}", n % 3), bootstrap, self.now);
+        round.on_seats(self.now, seats(self.nodes.len()));
         let zones = (0..self.nodes.len()).map(|n| (format!("z{n}"), format!("r{}", n % 3)));
-        round.deployment(zones.collect(), 1, (1, 1));
+        round.set_deployment(zones.collect(), 1, (1, 1));
         self.nodes[n] = Some(round);
     }
 
@@ -117,7 +117,7 @@
         self.vouched.remove(&n);
     }
 
-    pub fn with(&mut self, n: usize, input: impl FnOnce(&mut Round, f64)) {
+    pub fn with(&mut self, n: usize, input: impl FnOnce(&mut RegistryState, f64)) {
         self.give(n, Box::new(input));
     }
 
@@ -125,11 +125,11 @@
         let now = self.now;
         let Some(round) = self.nodes[n].as_mut() else { return };
         input(round, now);
-        let outs = round.outs();
+        let outs = round.take_outputs();
         let mut again = false;
         for out in outs {
             match out {
-                Out::Send(to, word) => {
+                Output::SendToRegistry(to, word) => {
                     self.bytes[0] += fennelscale_messages::frame(&word).len();
                     let to = to.0 as usize - 1;
                     let way = if to % 3 == n % 3 { 1.0 } else { 55.0 } * (1.0 + self.chance());
@@ -137,33 +137,35 @@
                         self.wire.push((self.now + way, to, n, word, self.lives[to]));
                     }
                 }
-                Out::Down(to, word) => {
+                Output::SendToProxy(to, word) => {
                     self.bytes[1] += fennelscale_messages::frame(&*word).len();
                     self.downs.push((n, to, word));
                 }
-                Out::ReadList => {
+                Output::ReadBackendList => {
                     self.reads += 1;
                     let mut backends = self.backends.clone();
                     for backend in backends.iter_mut().filter(|backend| backend.id == "i") {
                         backend.draining = self.now > 20_000.0;
                     }
                     let (now, Some(round)) = (self.now, self.nodes[n].as_mut()) else { continue };
-                    round.list_read(now, Some(backends));
+                    round.on_list_read(now, Some(backends));
                     again = true;
                 }
-                Out::Step(write) => {
+                Output::WriteMaintenanceStep(write) => {
                     // Now and then one is held up for long.
                     let way = if self.chance() < 0.1 { 2500.0 } else { 250.0 };
                     self.steps.push((self.now + way, n, write));
                 }
-                Out::Close(_) | Out::Note(_) | Out::Log(..) => {}
+                Output::CloseSession(_) | Output::StoreProxyCount(_) | Output::Log(..) => {}
                 // Readers, and what is kept for them, are the host's matter.
-                Out::Keep(_) | Out::WantEvents(..) | Out::Events(..) => {}
-                Out::WantRequest(..) | Out::Request(..) | Out::Recalled(..) => {}
+                Output::StoreEvents(_) | Output::ReadEvents(..) | Output::DeliverEvents(..) => {}
+                Output::ReadRequestTrace(..)
+                | Output::DeliverRequestTrace(..)
+                | Output::DeliverProxyTrace(..) => {}
             }
         }
         if again {
-            self.give(n, Box::new(Round::tick));
+            self.give(n, Box::new(RegistryState::tick));
         }
     }
 
@@ -176,24 +178,24 @@
             self.wire = later;
             for (_, to, from, word, life) in due {
                 if self.lives[to] == life && !self.cut.contains(&(from, to)) {
-                    self.with(to, |round, now| round.word(now, host(from), word));
+                    self.with(to, |round, now| round.receive_from_registry(now, host(from), word));
                 }
             }
             self.write_steps();
             for n in self.vouched.clone() {
                 // Stores say so with each beat.
-                self.with(n, |round, now| round.fresh(now, true));
+                self.with(n, |round, now| round.on_store_freshness(now, true));
             }
             for n in 0..self.nodes.len() {
                 let wall = TRUE + self.now + self.walls[n];
                 self.with(n, |round, now| {
-                    round.time_of_day(now, wall);
+                    round.set_time_of_day(now, wall);
                     round.tick(now);
                 });
             }
             let mut seen = 0;
             for round in self.nodes.iter().flatten() {
-                let held = round.held(self.now);
+                let held = round.held_duties(self.now);
                 assert_eq!(seen & held, 0, "two hold a duty at {}", self.now);
                 seen |= held;
             }
@@ -207,7 +209,8 @@
         entry.stamp.turn += 1;
         entry.body = body.map(str::to_owned);
         let named = vec![(name.to_owned(), entry.clone())];
-        (0..self.nodes.len()).for_each(|n| self.with(n, |round, now| round.items(now, false, named.clone())));
+        (0..self.nodes.len())
+            .for_each(|n| self.with(n, |round, now| round.on_items(now, false, named.clone())));
     }
 
     /// The store is as new as a quorum's at all registries, and a machine that started hears all that it holds.
@@ -215,8 +218,8 @@
         let all: Vec<_> = self.store.iter().map(|(name, entry)| (name.clone(), entry.clone())).collect();
         self.vouched.insert(n);
         self.with(n, |round, now| {
-            round.items(now, true, all);
-            round.fresh(now, true);
+            round.on_items(now, true, all);
+            round.on_store_freshness(now, true);
         });
     }
 
@@ -226,7 +229,7 @@
         self.steps = later;
         for (_, from, write) in due {
             let all = self.store.iter().map(|(name, entry)| (name.as_str(), entry));
-            if fennelscale_maintenance::seen(all) == write.seen {
+            if fennelscale_maintenance::seen(all) == write.view_hash {
                 for (name, body) in write.records {
                     self.put(&name, body.as_deref());
                     self.written.push((self.now, name));
@@ -234,11 +237,11 @@
             } else {
                 self.refused += 1;
             }
-            self.with(from, Round::stepped);
+            self.with(from, RegistryState::on_maintenance_answer);
         }
     }
 
     pub fn held(&self) -> u64 {
-        self.nodes.iter().flatten().fold(0, |all, round| all | round.held(self.now))
+        self.nodes.iter().flatten().fold(0, |all, round| all | round.held_duties(self.now))
     }
 }
--- a/system/registry/src/calls.rs
+++ b/system/registry/src/api.rs
@@ -9,7 +9,7 @@
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_maintenance::order::Node;
 use fennelscale_maintenance::plan::Why;
-use fennelscale_membership::hours::{NodeState, OrderState};
+use fennelscale_membership::maintenance::{NodeStatus, OrderStatus};
 use fennelscale_messages::depot::{Ask, Change, Entry, Told};
 use http_body_util::Full;
 use hyper::{Method, Response};
@@ -181,7 +181,7 @@
     if named.is_empty() {
         return Vec::new();
     }
-    registry.round.borrow_mut().rehearse(registry.now(), &named)
+    registry.round.borrow_mut().check_orders(registry.now(), &named)
 }
 
 /// Sees that the failure orders of a call are within what the settings allow, and writes beside each which proxies share it. The
@@ -214,7 +214,7 @@
 
 impl Serves<Failures> for Rc<Registry> {
     async fn serve(&self, _: Failures) -> Result<Json, Failure> {
-        let counts = self.round.borrow().failures();
+        let counts = self.round.borrow().failure_counts();
         let sums = |[served, refused, failed]: &[u64; 3]| {
             format!("{{\"served\":{served},\"refused\":{refused},\"failed\":{failed}}}")
         };
@@ -249,23 +249,23 @@
 
 impl Serves<Maintenance> for Rc<Registry> {
     async fn serve(&self, _: Maintenance) -> Result<Json, Failure> {
-        let (time, orders) = self.round.borrow_mut().maintenance(self.now());
+        let (time, orders) = self.round.borrow_mut().maintenance_status(self.now());
         let list = |texts: &[String]| texts.iter().map(|t| quoted(t)).collect::<Vec<_>>().join(",");
-        let node = |node: &NodeState| {
+        let node = |node: &NodeStatus| {
             format!(
                 "{{\"node\":{},\"phase\":\"{}\",\"since\":{},\"why\":{},\"waitsFor\":[{}]}}",
                 quoted(&node.node),
                 node.phase,
                 quoted(&node.since),
-                quoted(&node.why),
-                list(&node.waits_for)
+                quoted(&node.reason),
+                list(&node.waiting_for)
             )
         };
-        let order = |order: &OrderState| {
+        let order = |order: &OrderStatus| {
             format!(
                 "{{\"name\":{},\"state\":\"{}\",\"contract\":{},\"holder\":{},\"hours\":{},\"nodes\":[{}]}}",
                 quoted(&order.name),
-                order.wanted,
+                order.state,
                 quoted(&order.contract),
                 quoted(&order.holder),
                 quoted(&order.hours),
@@ -339,7 +339,7 @@
     {
         let what = asked.path.strip_prefix("/fennelscale/").unwrap_or(&asked.path);
         let cause = format!("{}: {}", failure.kind.row().1, failure.text);
-        registry.with(|round, now| round.refused(now, what, &cause));
+        registry.with(|round, now| round.on_call_refused(now, what, &cause));
     }
     Some(answer)
 }
--- a/system/registry/src/events.rs
+++ b/system/registry/src/events.rs
@@ -1,11 +1,11 @@
 //! The event feed as readers get it: what this registry has, what the others have, what their stores have kept.
 
-use crate::calls::{method, quoted};
+use crate::api::{method, quoted};
 use crate::registry::Registry;
 use fennelscale_host::call::{Asked, Call, Json, Serves};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_membership::feed::{self, Event};
-use fennelscale_membership::streams::{self, Cursor, Joined};
+use fennelscale_membership::merge::{self, Cursor, MergedEvents};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::Order;
 use fennelscale_messages::feed::{At, Told, Wanted};
@@ -104,18 +104,22 @@
 
 impl Registry {
     /// What all registries that are heard have after a cursor.
-    async fn events(&self, call: Events) -> Joined {
+    async fn events(&self, call: Events) -> MergedEvents {
         let Events { after, oldest, wanted } = call;
-        let most = if wanted.most == 0 { feed::MOST } else { wanted.most.min(feed::MOST) };
+        let most = if wanted.most == 0 {
+            feed::MAX_EVENTS_PER_READ
+        } else {
+            wanted.most.min(feed::MAX_EVENTS_PER_READ)
+        };
         let before = after.unwrap_or_default();
         let place = |host: Host| {
             let after = if oldest { Some(At::default()) } else { before.0.get(&host).copied() };
             // All that fits, however few are wanted: what comes behind decides what may be told first.
-            Wanted { after, most: feed::MOST, ..wanted.clone() }
+            Wanted { after, most: feed::MAX_EVENTS_PER_READ, ..wanted.clone() }
         };
         let (me, peers) = {
             let round = self.round.borrow();
-            (round.me(), round.heard(self.now()))
+            (round.local_host(), round.reachable_registries(self.now()))
         };
         let (sender, mut receiver) = mpsc::channel(peers.len().max(1));
         let question = Question(self, self.number());
@@ -132,7 +136,7 @@
                 Ok(None) | Err(_) => break,
             }
         }
-        let mut joined = streams::join(told, &before, most);
+        let mut joined = merge::merge(told, &before, most);
         // A machine that is no seat any more has nothing to tell.
         let (round, known) = (self.round.borrow(), joined.cursor.0.len());
         joined.cursor.0.retain(|host, _| round.is_registry(*host));
--- a/system/registry/src/lib.rs
+++ b/system/registry/src/lib.rs
@@ -2,9 +2,9 @@
 //! holds the sessions of proxies, reads the platform's list where that duty is its own, counts tenants' windows, answers
 //! where clients should go, and takes the outside calls for itself and for the store beside it.
 
-mod calls;
+mod api;
+mod backend_list;
 mod events;
-mod list;
 mod registry;
 mod requests;
 
--- a/system/registry/src/registry.rs
+++ b/system/registry/src/registry.rs
@@ -1,11 +1,11 @@
 //! The registry's host: carries out what the machine says.
 
-use crate::calls;
-use crate::list;
+use crate::api;
+use crate::backend_list;
 use fennelscale_host::link::{self, Peers, Reader, Writer, hear, split};
 use fennelscale_host::start::Signals;
 use fennelscale_host::{call, spawn, start};
-use fennelscale_membership::{Out, Round};
+use fennelscale_membership::{Output, RegistryState};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, Order, Report, Told};
 use fennelscale_messages::feed;
@@ -36,7 +36,7 @@
     pub settings: RefCell<Rc<Settings>>,
     /// Times in a row that the list could not be read.
     unread: Cell<u32>,
-    pub round: RefCell<Round>,
+    pub round: RefCell<RegistryState>,
     pub(crate) peers: Peers,
     pub(crate) sessions: RefCell<HashMap<Host, (u64, Writer)>>,
     depot: RefCell<Option<(u64, Writer)>>,
@@ -62,9 +62,9 @@
     let control = settings.listen.control.ok_or_else(|| missing("listenAddresses.controlPlane"))?;
     let directory = settings.listen.directory.ok_or_else(|| missing("listenAddresses.directory"))?;
     let life = start::life() >> 1;
-    let mut round = Round::new(host, life, &settings.zone, &settings.region, settings.bootstrap, 0.0);
+    let mut round = RegistryState::new(host, life, &settings.zone, &settings.region, settings.bootstrap, 0.0);
     let may_go = settings.tolerance;
-    round.deployment(settings.zones.clone(), may_go.machines, (may_go.zones, may_go.regions));
+    round.set_deployment(settings.zones.clone(), may_go.machines, (may_go.zones, may_go.regions));
     let peers = Peers::new(host, settings.own(Port::Postmaster).port());
     let others = start::listen(settings.own(Port::Postmaster)).await?;
     let sessions = start::listen(settings.own(Port::Sessions)).await?;
@@ -85,7 +85,9 @@
         born: Instant::now(),
     });
     let heard = registry.clone();
-    hear(others, move |from, word: Word| heard.with(|round, now| round.word(now, from, word)));
+    hear(others, move |from, word: Word| {
+        heard.with(|round, now| round.receive_from_registry(now, from, word))
+    });
     let of = registry.clone();
     link::accept(shelf, move |stream| of.clone().hear_depot(stream));
     let of = registry.clone();
@@ -93,12 +95,12 @@
     let of = registry.clone();
     call::listen(control, move |asked| {
         let registry = of.clone();
-        async move { calls::control(&registry, asked).await }
+        async move { api::control(&registry, asked).await }
     });
     let of = registry.clone();
     call::listen(directory, move |asked| {
         let registry = of.clone();
-        async move { calls::directory(&registry, asked).await }
+        async move { api::directory(&registry, asked).await }
     });
     let ticking = registry.clone();
     spawn(async move {
@@ -106,7 +108,7 @@
             sleep(TICK).await;
             let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |t| t.as_secs_f64() * 1000.0);
             ticking.with(|round, now| {
-                round.time_of_day(now, wall);
+                round.set_time_of_day(now, wall);
                 round.tick(now);
             });
         }
@@ -145,22 +147,22 @@
     }
 
     /// Gives the machine an input and carries out what follows.
-    pub fn with(self: &Rc<Self>, input: impl FnOnce(&mut Round, f64)) {
+    pub fn with(self: &Rc<Self>, input: impl FnOnce(&mut RegistryState, f64)) {
         let outs = {
             let mut round = self.round.borrow_mut();
             input(&mut round, self.now());
-            round.outs()
+            round.take_outputs()
         };
         self.carry_out(outs);
     }
 
-    fn carry_out(self: &Rc<Self>, outs: Vec<Out>) {
+    fn carry_out(self: &Rc<Self>, outs: Vec<Output>) {
         // One word goes to many proxies: its frame is made once.
         let mut framed: Option<(*const fennelscale_messages::news::Down, Rc<Vec<u8>>)> = None;
         for out in outs {
             match out {
-                Out::Send(to, word) => self.peers.send(to, &word),
-                Out::Down(to, word) => {
+                Output::SendToRegistry(to, word) => self.peers.send(to, &word),
+                Output::SendToProxy(to, word) => {
                     let at = Rc::as_ptr(&word);
                     let frame = match &framed {
                         Some((known, frame)) if std::ptr::eq(*known, at) && Rc::strong_count(&word) > 1 => {
@@ -173,62 +175,67 @@
                     }
                     framed = Some((at, frame));
                 }
-                Out::ReadList => {
+                Output::ReadBackendList => {
                     let registry = self.clone();
                     spawn(async move {
                         let settings = registry.settings.borrow().clone();
-                        let backends = list::read(&settings).await;
+                        let backends = backend_list::read(&settings).await;
                         registry.note_read(backends.is_some());
-                        registry.with(|round, now| round.list_read(now, backends));
+                        registry.with(|round, now| round.on_list_read(now, backends));
                     });
                 }
-                Out::Note(proxies) => {
+                Output::StoreProxyCount(proxies) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let ask = Ask::Note(fennelscale_membership::FLEET.to_owned(), proxies.to_string());
+                        let ask = Ask::Note(
+                            fennelscale_membership::PROXY_COUNT_NAME.to_owned(),
+                            proxies.to_string(),
+                        );
                         let told = registry.ask(ask).await;
                         tracing::info!(event = "fleet-noted", proxies, done = told == Told::Done);
                     });
                 }
-                Out::Step(write) => {
+                Output::WriteMaintenanceStep(write) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let told = registry.ask(Ask::Step(write.seen, write.records)).await;
+                        let told = registry.ask(Ask::Step(write.view_hash, write.records)).await;
                         if told != Told::Done {
                             tracing::info!(event = "maintenance-step-refused", told = ?told);
                         }
-                        registry.with(Round::stepped);
+                        registry.with(RegistryState::on_maintenance_answer);
                     });
                 }
-                Out::Keep(events) => {
+                Output::StoreEvents(events) => {
                     let last = events.last().map_or(0, |event| event.place.number);
                     if self.tell_depot(&Order::Keep(events)) {
-                        self.round.borrow_mut().kept(last);
+                        self.round.borrow_mut().on_events_stored(last);
                     }
                 }
-                Out::WantEvents(from, question, wanted) => {
+                Output::ReadEvents(from, question, wanted) => {
                     let registry = self.clone();
                     spawn(async move {
                         let told = registry.own_events(wanted).await;
                         registry.peers.send(from, &Word::Events(question, told));
                     });
                 }
-                Out::Events(from, question, told) => {
+                Output::DeliverEvents(from, question, told) => {
                     if let Some(reader) = self.readers.borrow().get(&question) {
                         let _ = reader.try_send((from, told));
                     }
                 }
-                Out::WantRequest(from, question, id) => {
+                Output::ReadRequestTrace(from, question, id) => {
                     let registry = self.clone();
                     spawn(async move {
                         let known = registry.own_request(id).await;
                         registry.peers.send(from, &Word::Request(question, known));
                     });
                 }
-                Out::Request(from, question, known) => self.tell_seeker(question, from, known),
-                Out::Recalled(from, question, known) => self.tell_seeker(question, from, vec![(from, known)]),
-                Out::Close(host) => drop(self.sessions.borrow_mut().remove(&host)),
-                Out::Log(event, about) => tracing::info!(event, about),
+                Output::DeliverRequestTrace(from, question, known) => self.tell_seeker(question, from, known),
+                Output::DeliverProxyTrace(from, question, known) => {
+                    self.tell_seeker(question, from, vec![(from, known)])
+                }
+                Output::CloseSession(host) => drop(self.sessions.borrow_mut().remove(&host)),
+                Output::Log(event, about) => tracing::info!(event, about),
             }
         }
     }
@@ -239,18 +246,18 @@
         let (Up::Hello(member) | Up::Resume(member, _)) = &first else { return };
         let (host, life) = (member.host, self.number());
         self.sessions.borrow_mut().insert(host, (life, writer));
-        self.with(|round, now| round.up(now, host, first));
+        self.with(|round, now| round.receive_from_proxy(now, host, first));
         while self.stands(host, life)
             && let Ok(up) = reader.next::<Up>().await
         {
             if self.stands(host, life) {
-                self.with(|round, now| round.up(now, host, up));
+                self.with(|round, now| round.receive_from_proxy(now, host, up));
             }
         }
         // Only the newest line of a proxy speaks for it.
         if self.stands(host, life) {
             self.sessions.borrow_mut().remove(&host);
-            self.with(|round, now| round.closed(now, host));
+            self.with(|round, now| round.on_session_closed(now, host));
         }
     }
 
@@ -275,10 +282,10 @@
                     }
                 }
                 Report::Items { whole, entries } => {
-                    self.with(|round, now| round.items(now, whole, entries));
+                    self.with(|round, now| round.on_items(now, whole, entries));
                 }
-                Report::Fresh(fresh) => self.with(|round, now| round.fresh(now, fresh)),
-                Report::Seats(seats) => self.with(|round, now| round.seats(now, seats)),
+                Report::Fresh(fresh) => self.with(|round, now| round.on_store_freshness(now, fresh)),
+                Report::Seats(seats) => self.with(|round, now| round.on_seats(now, seats)),
             }
         }
         // A store that has started anew may have dialled before the end of its former life was seen here.
@@ -286,7 +293,7 @@
             return;
         }
         *self.depot.borrow_mut() = None;
-        self.with(|round, now| round.fresh(now, false));
+        self.with(|round, now| round.on_store_freshness(now, false));
         // Nobody knows how these went.
         self.waiting.borrow_mut().clear();
         self.past.borrow_mut().clear();
--- a/system/registry/src/requests.rs
+++ b/system/registry/src/requests.rs
@@ -1,6 +1,6 @@
 //! What became of one request: asked of the proxies here and, by the other registries, of all.
 
-use crate::calls::method;
+use crate::api::method;
 use crate::registry::{Known, Registry};
 use fennelscale_host::call::{Asked, Call, Json, Serves};
 use fennelscale_host::error::{Failure, Kind};
@@ -98,7 +98,7 @@
     }
 
     async fn request(&self, id: u64) -> Known {
-        let peers = self.round.borrow().heard(self.now());
+        let peers = self.round.borrow().reachable_registries(self.now());
         let seeker = Seeker::new(self, peers.len());
         for peer in &peers {
             self.peers.send(*peer, &Word::WantRequest(seeker.number, id));
--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -1,7 +1,7 @@
 //! A core machine: a store and a registry that share a disk and an address.
 
 use crate::Millis;
-use fennelscale_membership::Round;
+use fennelscale_membership::RegistryState;
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, Seat, Told, Word};
 use fennelscale_replication::{Book, Memory, Origin, Out, Place};
@@ -20,7 +20,7 @@
     pub(crate) seat: Seat,
     disk: Memory,
     pub(crate) book: Option<Book>,
-    pub(crate) round: Option<Round>,
+    pub(crate) round: Option<RegistryState>,
     /// Counts starts of either process: lines of an earlier life are closed.
     pub(crate) lives: u64,
     next: u64,
@@ -57,7 +57,8 @@
         let place =
             Place { me: self.seat.clone(), seeds: seeds.to_vec(), bootstrap, tolerance: (1, 1, 1), life };
         let book = Book::new(place, self.disk.clone(), now);
-        let round = Round::new(self.seat.host, life, &self.seat.zone, &self.seat.region, bootstrap, now);
+        let round =
+            RegistryState::new(self.seat.host, life, &self.seat.zone, &self.seat.region, bootstrap, now);
         self.joins = Some(now + JOINS);
         (self.book, self.round) = (Some(book), Some(round));
     }
@@ -79,9 +80,9 @@
         }
         let (Some(book), Some(round)) = (&self.book, self.round.as_mut()) else { return };
         self.joins = None;
-        round.seats(now, book.seats().clone());
-        round.items(now, true, book.all());
-        round.fresh(now, book.is_fresh());
+        round.on_seats(now, book.seats().clone());
+        round.on_items(now, true, book.all());
+        round.on_store_freshness(now, book.is_fresh());
     }
 
     /// Gives the store an input; what it writes is on the disk before anything of it is sent.
@@ -99,9 +100,9 @@
                 Out::Send(to, word) => does.push(Does::Send(to, word)),
                 Out::Answer(id, told) => does.push(Does::Answer(id, told)),
                 Out::News(_) | Out::Seats(_) | Out::Fresh(_) if !joined => {}
-                Out::News(entries) => round.items(now, false, entries),
-                Out::Seats(seats) => round.seats(now, seats),
-                Out::Fresh(fresh) => round.fresh(now, fresh),
+                Out::News(entries) => round.on_items(now, false, entries),
+                Out::Seats(seats) => round.on_seats(now, seats),
+                Out::Fresh(fresh) => round.on_store_freshness(now, fresh),
                 Out::Log(..) => {}
             }
         }
--- a/system/simulation/src/world.rs
+++ b/system/simulation/src/world.rs
@@ -6,7 +6,7 @@
 use crate::core::{Core, Does};
 use crate::proxy::Proxy;
 use crate::{APPLY, CONTACT, Chance, DRAIN, Millis, QUOTA};
-use fennelscale_membership::{Out, Round};
+use fennelscale_membership::{Output, RegistryState};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Ask, Change, Told, Word as StoreWord};
 use fennelscale_messages::news::{Backend, Down, Up};
@@ -131,7 +131,7 @@
 }
 
 /// What a registry is told.
-type Input<'a> = Box<dyn FnOnce(&mut Round, Millis) + 'a>;
+type Input<'a> = Box<dyn FnOnce(&mut RegistryState, Millis) + 'a>;
 
 /// The whole system.
 pub struct World {
@@ -420,7 +420,7 @@
         for n in 0..self.cores.len() {
             for host in &dead {
                 let host = *host;
-                self.registry(n, Box::new(|round, now| round.closed(now, host)));
+                self.registry(n, Box::new(|round, now| round.on_session_closed(now, host)));
             }
         }
     }
@@ -476,7 +476,7 @@
 
     fn answered(&mut self, n: usize, id: u64, told: &Told) {
         if self.steps.remove(&(n, id)) {
-            self.registry(n, Box::new(Round::stepped));
+            self.registry(n, Box::new(RegistryState::on_maintenance_answer));
             return;
         }
         let now = self.now;
@@ -498,34 +498,42 @@
         let now = self.now;
         let Some(round) = self.cores[n].round.as_mut() else { return };
         input(round, now);
-        for out in round.outs() {
+        for out in round.take_outputs() {
             match out {
-                Out::Send(to, word) => {
+                Output::SendToRegistry(to, word) => {
                     let bytes = self.size(&word);
                     self.between(n, to, Event::Registry(n, word), 1, bytes);
                 }
-                Out::Down(host, word) => self.down(n, host, word),
-                Out::ReadList => {
+                Output::SendToProxy(host, word) => self.down(n, host, word),
+                Output::ReadBackendList => {
                     let seen = self.listed.iter().rev().find(|(at, _)| *at <= now - LAG);
                     let backends = seen.map_or_else(|| self.backends.clone(), |(_, list)| list.clone());
                     let backends = self.as_read(backends);
-                    self.registry(n, Box::new(|round, now| round.list_read(now, Some(backends))));
+                    self.registry(n, Box::new(|round, now| round.on_list_read(now, Some(backends))));
                 }
-                Out::Note(proxies) => {
-                    let (id, does) = self.cores[n]
-                        .ask(now, Ask::Note(fennelscale_membership::FLEET.to_owned(), proxies.to_string()));
+                Output::StoreProxyCount(proxies) => {
+                    let (id, does) = self.cores[n].ask(
+                        now,
+                        Ask::Note(fennelscale_membership::PROXY_COUNT_NAME.to_owned(), proxies.to_string()),
+                    );
                     self.steps.insert((n, id));
                     self.store(n, does);
                 }
-                Out::Close(host) => {
+                Output::CloseSession(host) => {
                     let proxy = self.proxies.iter_mut().find(|p| p.host == host);
                     if let Some(proxy) = proxy.filter(|p| p.session.is_some_and(|(core, _)| core == n)) {
                         proxy.lost(now);
                     }
                 }
                 // Readers, and what is kept for them, are the host's matter.
-                Out::Step(_) | Out::Keep(_) | Out::WantEvents(..) | Out::Events(..) => {}
-                Out::WantRequest(..) | Out::Request(..) | Out::Recalled(..) | Out::Log(..) => {}
+                Output::WriteMaintenanceStep(_)
+                | Output::StoreEvents(_)
+                | Output::ReadEvents(..)
+                | Output::DeliverEvents(..) => {}
+                Output::ReadRequestTrace(..)
+                | Output::DeliverRequestTrace(..)
+                | Output::DeliverProxyTrace(..)
+                | Output::Log(..) => {}
             }
         }
     }
@@ -609,7 +617,7 @@
             Event::Registry(from, word) => {
                 if (self.cores[from].lives, self.cores[to].lives) == lives && !self.is_cut(from, to) {
                     let host = self.cores[from].seat.host;
-                    self.registry(to, Box::new(|round, now| round.word(now, host, word)));
+                    self.registry(to, Box::new(|round, now| round.receive_from_registry(now, host, word)));
                 }
             }
             Event::Up(p, up) => {
@@ -619,7 +627,7 @@
                     && self.proxies[p].session.is_some_and(|(n, _)| n == to)
                 {
                     let host = self.proxies[p].host;
-                    self.registry(to, Box::new(|round, now| round.up(now, host, up)));
+                    self.registry(to, Box::new(|round, now| round.receive_from_proxy(now, host, up)));
                 }
             }
             Event::Down(n, word) => {
@@ -701,10 +709,10 @@
         }
         let mut held = 0;
         for round in self.cores.iter().filter_map(|core| core.round.as_ref()) {
-            if held & round.held(now) != 0 {
+            if held & round.held_duties(now) != 0 {
                 self.broken.push("two hold a duty".into());
             }
-            held |= round.held(now);
+            held |= round.held_duties(now);
         }
         self.look_everywhere();
         if now - self.trouble > CONTACT {
@@ -786,7 +794,7 @@
             for n in (0..self.cores.len()).filter(|n| !self.frozen.contains_key(n)).collect::<Vec<_>>() {
                 let does = self.cores[n].store(now, |book, now| book.tick(now));
                 self.store(n, does);
-                self.registry(n, Box::new(Round::tick));
+                self.registry(n, Box::new(RegistryState::tick));
             }
             for p in (0..self.proxies.len()).filter(|p| self.proxies[*p].up).collect::<Vec<_>>() {
                 if self.proxies[p].session.is_none() {
@@ -830,12 +838,13 @@
     /// All duties that are held by a machine that is there.
     pub fn hands(&self) -> u64 {
         let rounds = self.cores.iter().filter_map(|core| core.round.as_ref());
-        rounds.fold(0, |all, round| all | round.held(self.now))
+        rounds.fold(0, |all, round| all | round.held_duties(self.now))
     }
 
     /// The machine that holds a duty.
     pub fn holder(&self, duty: u64) -> Option<usize> {
-        let holds = |core: &Core| core.round.as_ref().is_some_and(|round| round.held(self.now) & duty != 0);
+        let holds =
+            |core: &Core| core.round.as_ref().is_some_and(|round| round.held_duties(self.now) & duty != 0);
         self.cores.iter().position(holds)
     }
 
--- a/system/simulation/tests/long.rs
+++ b/system/simulation/tests/long.rs
@@ -121,7 +121,7 @@
 
 /// All duties, and that of reading the list.
 const ALL: u64 = (1 << (fennelscale_membership::duties::SHARDS + 1)) - 1;
-const LIST: u64 = fennelscale_membership::duties::LIST;
+const LIST: u64 = fennelscale_membership::duties::LIST_DUTY;
 
 /// How soon duties have other hands, and how soon all is as before, after each loss that is to be borne.
 #[test]
