--- a/system/experiments/src/capacity.rs
+++ b/system/experiments/src/capacity.rs
@@ -4,7 +4,7 @@
 use fennelscale_messages::depot::{Ask, Change, Chunk, Entry, Seat, Stamp, Word};
 use fennelscale_messages::news::{Backend, Down, Listing, Member};
 use fennelscale_messages::{Host, frame};
-use fennelscale_proxy::held::{Held, Place};
+use fennelscale_proxy::routing_state::{ProxyLocation, RoutingState};
 use fennelscale_replication::{Book, Item, Memory, Origin, Out, Progress};
 use std::hint::black_box;
 use std::time::Instant;
@@ -193,9 +193,15 @@
     points
 }
 
-fn held() -> Held {
+fn held() -> RoutingState {
     let zones = [("z0".to_owned(), "r0".to_owned())].into();
-    Held::new(Place { me: Host(1), zone: "z0".into(), region: "r0".into(), zones, lag: 800.0 })
+    RoutingState::new(ProxyLocation {
+        host: Host(1),
+        zone: "z0".into(),
+        region: "r0".into(),
+        zone_regions: zones,
+        max_list_age: 800.0,
+    })
 }
 
 fn backend(n: usize) -> Backend {
@@ -215,7 +221,7 @@
     let listing = Listing { stamp: (1, Host(1)), backends: (0..backends).map(backend).collect() };
     let bytes = frame(&Down::Listing(listing.clone())).len() as f64;
     let mut held = held();
-    held.list(0.0, listing);
+    held.set_listing(0.0, listing);
     let begun = Instant::now();
     for service in 0..SERVICES {
         black_box(held.backends(1.0, &format!("s{service}")));
--- a/system/proxy/src/speech.rs
+++ b/system/proxy/src/backend_protocol.rs
@@ -1,6 +1,6 @@
 //! What backends speak beyond HTTP.
 
-use crate::trail::Trail;
+use crate::request_trace::Trail;
 use doorcourse::Name;
 use fennelscale_dataplane::back::backends::{Message, Speech, Verdict};
 use hyper::header::{CONTENT_ENCODING, HOST, HeaderName};
--- a/system/proxy/src/decision_input.rs
+++ b/system/proxy/src/decision_input.rs
@@ -1,6 +1,6 @@
 //! What the decisions of a proxy are told: their settings, and the backends of a service with their terms. No I/O and no clock.
 
-use crate::held::Known;
+use crate::routing_state::KnownBackend;
 use doorcourse::{
     BackendEntry, BackendState, BackendTerms, Class, Effect, Event, Group, MeshTerms, Name, Plan, Settings,
 };
@@ -9,16 +9,16 @@
 /// The plan that all requests are under: quotas are the lease cache's.
 pub const PLAN: &str = "mesh";
 /// The class of requests of which nothing else is known.
-pub const USUAL_CLASS: &str = "usual";
+pub const DEFAULT_CLASS: &str = "usual";
 /// The longest time that a refused client is told to stay away: it heeds a third of what is left.
 const ADVICE: f64 = 500.0;
 /// Between two rounds of housekeeping of one engine, in ms.
 const SWEEP: f64 = 100.0;
 
 /// The settings of the decisions of one service.
-pub fn settings(zone: &Name) -> Settings {
+pub fn engine_settings(zone: &Name) -> Settings {
     let class = Class {
-        name: USUAL_CLASS.into(),
+        name: DEFAULT_CLASS.into(),
         aim: 500.0,
         effect: Effect::Unsafe,
         group: Group::All,
@@ -54,7 +54,7 @@
 }
 
 /// What is told of the backends of a service: where connections go, and what the decisions heed.
-pub struct Told {
+pub struct DecisionInput {
     /// The backends with their addresses. One whose address cannot be read is as good as not listed.
     pub hosts: Vec<Host>,
     /// The same backends with their terms, as one event: nothing is chosen between the two.
@@ -63,7 +63,7 @@
 
 /// All backends of a service, as they are told. The decisions' clock is ahead of the one that the terms are told by, by
 /// `shift` ms.
-pub fn tell(known: &[Known], terms: MeshTerms, shift: f64) -> Told {
+pub fn build(known: &[KnownBackend], terms: MeshTerms, shift: f64) -> DecisionInput {
     let mut hosts = Vec::with_capacity(known.len());
     let mut backends = Vec::with_capacity(known.len());
     for known in known {
@@ -73,10 +73,10 @@
         backends.push((entry.clone(), BackendTerms { cold_until, ..known.terms }));
         hosts.push(Host { entry, dial });
     }
-    Told { hosts, event: Event::Mesh(terms, backends) }
+    DecisionInput { hosts, event: Event::Mesh(terms, backends) }
 }
 
-fn entry_of(known: &Known) -> BackendEntry {
+fn entry_of(known: &KnownBackend) -> BackendEntry {
     BackendEntry {
         name: known.backend.id.as_str().into(),
         zone: known.backend.zone.as_str().into(),
--- a/system/proxy/src/front.rs
+++ b/system/proxy/src/frontend.rs
@@ -1,10 +1,10 @@
 //! The clients' side: connections, their requests, and their answers.
 
+use crate::backend_protocol::{REQUEST_ID, TENANT};
 use crate::decision_input::PLAN;
-use crate::heads::{KEY, passed, patience, single};
-use crate::mislaid::{self, Cut, Fate, Told};
+use crate::failure_injection::{self, Cut, Fate, Told};
+use crate::headers::{KEY, passed, patience, single};
 use crate::proxy::Proxy;
-use crate::speech::{REQUEST_ID, TENANT};
 use bytes::Bytes;
 use doorcourse::{Arrival, RequestBound, RequestId};
 use fennelscale_admission::budget::Budget;
@@ -214,7 +214,7 @@
         let has_body = !request.body().is_end_stream();
         match fate.what {
             What::CutRequest(share) => {
-                mislaid::read_part(request.into_body(), share).await;
+                failure_injection::read_part(request.into_body(), share).await;
                 return Err(Cut);
             }
             What::Refuse => {
@@ -229,7 +229,7 @@
             What::LoseAnswer | What::CutAnswer(_) | What::SlowAnswer(_) => {}
         }
         let response = self.true_answer(request, guest).await;
-        mislaid::fail(fate, response).await
+        failure_injection::fail(fate, response).await
     }
 
     /// What failure orders do to a request, by what its head says.
--- a/system/proxy/src/heads.rs
+++ b/system/proxy/src/headers.rs
@@ -1,6 +1,6 @@
 //! Heads of requests: what of them goes on, and what they say of themselves.
 
-use crate::speech::{DEADLINE, EXPECTED, REQUEST_ID, TENANT};
+use crate::backend_protocol::{DEADLINE, EXPECTED, REQUEST_ID, TENANT};
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, HeaderValue, TE, TRAILER, TRANSFER_ENCODING,
     UPGRADE,
--- a/system/proxy/src/lib.rs
+++ b/system/proxy/src/lib.rs
@@ -1,20 +1,20 @@
 //! `fennelscale-proxy`: the proxy (the field's term: reverse proxy, the data plane). Every machine that clients reach runs one. It looks up
 //! the route, checks the key, takes a unit of the tenant's lease, and has the decision module choose a backend.
 
-mod beside;
-pub mod cold_owner;
+mod backend_protocol;
+pub mod cold_owners;
 pub mod decision_input;
-mod front;
-mod heads;
-pub mod held;
+mod failure_injection;
+mod frontend;
+mod headers;
 mod metrics;
-mod mislaid;
+mod peer_sync;
 mod proxy;
 pub mod registry_choice;
-mod services;
+mod request_trace;
+pub mod routing_state;
+mod service_engines;
 mod session;
-mod speech;
-mod trail;
 
 pub use proxy::run;
 
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -3,7 +3,7 @@
 //! Counters are read from where they are counted at the moment of a scrape; nothing is counted here.
 
 use crate::proxy::Proxy;
-use crate::services::Service;
+use crate::service_engines::Service;
 use bytes::Bytes;
 use doorcourse::Outcome;
 use fennelscale_host::call::Asked;
--- a/system/proxy/src/beside.rs
+++ b/system/proxy/src/peer_sync.rs
@@ -22,7 +22,7 @@
 const PATIENCE: Duration = Duration::from_millis(1200);
 
 /// Answers others and asks them, for as long as the program runs.
-pub fn keep(proxy: Rc<Proxy>, listener: TcpListener) {
+pub fn run(proxy: Rc<Proxy>, listener: TcpListener) {
     let of = proxy.clone();
     link::accept(listener, move |stream| answer(of.clone(), stream));
     spawn(async move {
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -1,12 +1,12 @@
 //! The proxy's host: joins news, lease cache, services and clients.
 
-use crate::beside;
-use crate::front::Front;
-use crate::held::{Held, Place, UPDATE};
+use crate::frontend::Front;
 use crate::metrics::{self, Metrics};
-use crate::services::Services;
+use crate::peer_sync;
+use crate::request_trace::Trail;
+use crate::routing_state::{ProxyLocation, RoutingState, UPDATE_INTERVAL};
+use crate::service_engines::Services;
 use crate::session;
-use crate::trail::Trail;
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::Tenant;
 use fennelscale_dataplane::front::door::Door;
@@ -56,7 +56,7 @@
     pub settings: Settings,
     pub host: Host,
     life: u64,
-    pub held: RefCell<Held>,
+    pub held: RefCell<RoutingState>,
     pub services: Services,
     cache: RefCell<Cache>,
     /// Which tries come too late for their aim.
@@ -103,12 +103,12 @@
         None => None,
     };
     let budget = Budget::divide(settings.limits.descriptors.saturating_sub(OTHERS), 0, 0, 0);
-    let place = Place {
-        me: host,
+    let place = ProxyLocation {
+        host,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        zones: settings.zones.clone(),
-        lag: settings.cloud.lag.as_secs_f64() * 1000.0,
+        zone_regions: settings.zones.clone(),
+        max_list_age: settings.cloud.lag.as_secs_f64() * 1000.0,
     };
     let life = start::life();
     let retry = (settings.bounds.retry_ratio, settings.bounds.retry_slack);
@@ -121,7 +121,7 @@
         settings,
         host,
         life,
-        held: RefCell::new(Held::new(place)),
+        held: RefCell::new(RoutingState::new(place)),
         services,
         cache: RefCell::new(Cache::new(0.0, life)),
         timely: RefCell::default(),
@@ -141,11 +141,11 @@
         born,
     });
     spawn(session::keep(proxy.clone()));
-    beside::keep(proxy.clone(), besides);
+    peer_sync::run(proxy.clone(), besides);
     let of = proxy.clone();
     call::listen(readiness, move |asked| {
         let ready = of.is_ready();
-        async move { crate::front::readiness(&asked, ready) }
+        async move { crate::frontend::readiness(&asked, ready) }
     });
     if let Some(listener) = scrapes {
         let (of, metrics) = (proxy.clone(), Rc::new(Metrics::default()));
@@ -157,7 +157,7 @@
     let ticking = proxy.clone();
     spawn(async move {
         let (mut updated, mut reported) = (Instant::now(), Instant::now());
-        let update = Duration::from_secs_f64(UPDATE / 1000.0);
+        let update = Duration::from_secs_f64(UPDATE_INTERVAL / 1000.0);
         loop {
             sleep(TICK).await;
             ticking.tick();
@@ -167,7 +167,7 @@
                 reported = Instant::now();
                 ticking.services.report_unusual_sends();
             }
-            if updated.elapsed() >= update && ticking.held.borrow().changes(ticking.now()) {
+            if updated.elapsed() >= update && ticking.held.borrow().needs_update(ticking.now()) {
                 updated = Instant::now();
                 ticking.update();
             }
@@ -200,12 +200,12 @@
 
     pub fn is_ready(&self) -> bool {
         let held = self.held.borrow();
-        !self.leaving.get() && held.is_ready() && !held.is_out()
+        !self.leaving.get() && held.is_ready() && !held.is_drained()
     }
 
     /// Whether clients are to go elsewhere: it ends, or a work order has drained it.
     pub fn sends_away(&self) -> bool {
-        self.leaving.get() || self.held.borrow().is_out()
+        self.leaving.get() || self.held.borrow().is_drained()
     }
 
     /// The front side's door, to see whether clients are connected.
@@ -248,24 +248,27 @@
     /// Drained nodes where this proxy has nothing at work.
     fn quiet(&self) -> Vec<String> {
         let held = self.held.borrow();
-        if held.out().is_empty() {
+        if held.drained_nodes().is_empty() {
             return Vec::new();
         }
         let clients = self.door.borrow().as_ref().is_some_and(|door| !door.is_empty());
-        held.quiet(&self.services.working(), clients)
+        held.idle_nodes(&self.services.working(), clients)
     }
 
     /// Drains begin and end; registries hear where nothing is at work any more.
     fn keep_hours(&self) {
         let (was, settled) = {
             let mut held = self.held.borrow_mut();
-            if held.table.drains.is_empty() && held.out().is_empty() && self.quiet.borrow().is_empty() {
+            if held.table.drains.is_empty()
+                && held.drained_nodes().is_empty()
+                && self.quiet.borrow().is_empty()
+            {
                 return;
             }
-            (held.is_out(), held.settle(self.now()))
+            (held.is_drained(), held.update_drains(self.now()))
         };
         if settled {
-            tracing::info!(event = "drains", out = ?self.held.borrow().out());
+            tracing::info!(event = "drains", out = ?self.held.borrow().drained_nodes());
             self.update();
         }
         let quiet = self.quiet();
@@ -273,7 +276,7 @@
             self.quiet.borrow_mut().clone_from(&quiet);
             self.send(&Up::Quiet(quiet));
         }
-        if was != self.held.borrow().is_out() {
+        if was != self.held.borrow().is_drained() {
             self.send(&self.beat());
         }
     }
@@ -330,24 +333,24 @@
     fn tell_parts(&self) {
         let known = self.copies.get();
         self.copies.set(CopyFigures { compared: known.compared + 1, ..known });
-        self.send(&Up::Have(self.held.borrow().digest()));
+        self.send(&Up::Have(self.held.borrow().part_checksums()));
     }
 
     /// The first word of a session: one that holds a copy is sent only what it lacks.
     pub fn greeting(&self) -> Up {
         let held = self.held.borrow();
-        if held.sum() == 0 {
+        if held.checksum() == 0 {
             drop(held);
             return Up::Hello(self.member());
         }
-        let parts = held.digest();
+        let parts = held.part_checksums();
         drop(held);
         Up::Resume(self.member(), parts)
     }
 
     pub fn beat(&self) -> Up {
         let held = self.held.borrow();
-        let (items, listing) = (held.sum(), held.listing.stamp);
+        let (items, listing) = (held.checksum(), held.listing.stamp);
         Up::Beat { ready: self.is_ready(), items, listing, alone: self.cache.borrow().alone(self.now()) }
     }
 
@@ -411,14 +414,14 @@
 
     pub fn have(&self) -> Beside {
         let held = self.held.borrow();
-        Beside::Have { items: held.digest(), listing: held.listing.stamp }
+        Beside::Have { items: held.part_checksums(), listing: held.listing.stamp }
     }
 
     pub fn news_for(&self, items: &[u64], listing: (u64, Host)) -> Beside {
         let held = self.held.borrow();
         let newer = (held.listing.stamp > listing).then(|| held.listing.clone());
-        let members = (held.members.clone(), held.known_gateways());
-        Beside::News { entries: held.differing(items), listing: newer, members }
+        let members = (held.members.clone(), held.known_proxy_count());
+        Beside::News { entries: held.entries_in_differing_parts(items), listing: newer, members }
     }
 
     pub fn session(&self, writer: Option<Writer>) {
@@ -440,7 +443,7 @@
                     let mut held = self.held.borrow_mut();
                     let was = held.is_ready();
                     let news = held.merge(now, entries);
-                    held.fresh |= fresh;
+                    held.up_to_date |= fresh;
                     (news, was)
                 };
                 self.count_items(whole, count, news.len());
@@ -457,7 +460,7 @@
             Down::Listing(listing) => {
                 let was = self.held.borrow().is_ready();
                 let now = self.now();
-                if self.held.borrow_mut().list(now, listing) {
+                if self.held.borrow_mut().set_listing(now, listing) {
                     self.update();
                 }
                 self.tell_ready(was);
@@ -465,8 +468,8 @@
             Down::Members(members, gateways) => {
                 {
                     let mut held = self.held.borrow_mut();
-                    held.tell_members(self.now(), members, gateways);
-                    self.cache.borrow_mut().gateways(held.gateways);
+                    held.set_members(self.now(), members, gateways);
+                    self.cache.borrow_mut().gateways(held.proxy_count);
                 }
                 self.update();
             }
@@ -477,7 +480,7 @@
                 self.carry_out(out, told);
             }
             Down::Time(earliest, latest) => {
-                self.held.borrow_mut().tell_time(self.now(), Span { earliest, latest });
+                self.held.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
             }
             Down::Recall(question, id) => {
                 let known = self.trail.borrow().recall(self.now(), id);
--- a/system/proxy/src/registry_choice.rs
+++ b/system/proxy/src/registry_choice.rs
@@ -4,8 +4,8 @@
 //!
 //! - A proxy goes by the word of one registry, and knows how old that is: each beat of the session bears the time since the registry
 //!   was last in contact with a majority of the core. Once that is longer ago than [`CONTACT_LEASE`], the proxy looks for another
-//!   registry every [`LOOK`], for as long as that lasts, and leaves as soon as one can be reached.
-//! - No registry is ruled out for ever: one that failed is thought of again after [`FAILED`], and while the session's own registry is
+//!   registry every [`PROBE_INTERVAL`], for as long as that lasts, and leaves as soon as one can be reached.
+//! - No registry is ruled out for ever: one that failed is thought of again after [`FAILURE_MEMORY`], and while the session's own registry is
 //!   out of contact, those that failed are looked at too, the one that did so first before the others.
 //! - A proxy that reaches no registry with contact serves on with what it has: its clients reach nobody else. It is not made ready by
 //!   such a registry.
@@ -18,11 +18,11 @@
 pub type Millis = f64;
 
 /// A registry that failed is not thought of as a nearer one for so long.
-pub const FAILED: Millis = 6000.0;
+pub const FAILURE_MEMORY: Millis = 6000.0;
 /// Out of contact, others are looked for this often, ...
-pub const LOOK: Millis = 900.0;
+pub const PROBE_INTERVAL: Millis = 900.0;
 /// ... so many at a time.
-pub const FEW: usize = 2;
+pub const PROBES_AT_ONCE: usize = 2;
 
 /// The choice of one proxy.
 #[derive(Clone, Debug, Default)]
@@ -35,20 +35,20 @@
 
 impl RegistryChoice {
     /// A registry could not be reached, fell silent, or is out of contact.
-    pub fn failed(&mut self, now: Millis, registry: Host) {
+    pub fn record_failure(&mut self, now: Millis, registry: Host) {
         self.failed.insert(registry, now);
     }
 
     /// Whether a registry failed lately.
-    pub fn has_failed(&self, now: Millis, registry: Host) -> bool {
-        self.failed.get(&registry).is_some_and(|at| now - at < FAILED)
+    pub fn failed_recently(&self, now: Millis, registry: Host) -> bool {
+        self.failed.get(&registry).is_some_and(|at| now - at < FAILURE_MEMORY)
     }
 
     /// Those that have not failed lately in the order in which they are given, the nearest first; then the others, the one that failed
     /// first before those that did later.
     fn ranked(&self, now: Millis, registries: &[Host]) -> Vec<Host> {
         let (failed, mut ranked): (Vec<Host>, Vec<Host>) =
-            registries.iter().partition(|host| self.has_failed(now, **host));
+            registries.iter().partition(|host| self.failed_recently(now, **host));
         let mut failed: Vec<(Millis, Host)> =
             failed.into_iter().map(|host| (self.failed[&host], host)).collect();
         failed.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -57,19 +57,19 @@
     }
 
     /// The registry to try next; `registries` are all that are known, the nearest first.
-    pub fn next(&mut self, now: Millis, registries: &[Host]) -> Option<Host> {
-        self.failed.retain(|_, at| now - *at < FAILED);
+    pub fn next_registry(&mut self, now: Millis, registries: &[Host]) -> Option<Host> {
+        self.failed.retain(|_, at| now - *at < FAILURE_MEMORY);
         self.ranked(now, registries).first().copied()
     }
 
     /// A beat of the session: its registry was in contact with a majority so long ago.
-    pub fn heard_beat(&mut self, now: Millis, contact_age: Millis) {
+    pub fn record_heartbeat(&mut self, now: Millis, contact_age: Millis) {
         let at = now - contact_age;
         self.contact = Some(self.contact.map_or(at, |known| known.max(at)));
     }
 
     /// When the session's registry was last in contact; none before the first beat.
-    pub fn contact(&self) -> Option<Millis> {
+    pub fn last_contact(&self) -> Option<Millis> {
         self.contact
     }
 
@@ -84,12 +84,16 @@
     }
 
     /// Registries to look at now in place of the session's; empty while that is in contact, or was looked at just before. Those that
-    /// cannot be reached count as failed ([`Self::failed`]): the next look goes to others.
+    /// cannot be reached count as failed ([`Self::record_failure`]): the next look goes to others.
     pub fn alternatives(&mut self, now: Millis, current: Host, registries: &[Host]) -> Vec<Host> {
-        if !self.is_out_of_contact(now) || self.looked.is_some_and(|at| now - at < LOOK) {
+        if !self.is_out_of_contact(now) || self.looked.is_some_and(|at| now - at < PROBE_INTERVAL) {
             return Vec::new();
         }
         self.looked = Some(now);
-        self.ranked(now, registries).into_iter().filter(|host| *host != current).take(FEW).collect()
+        self.ranked(now, registries)
+            .into_iter()
+            .filter(|host| *host != current)
+            .take(PROBES_AT_ONCE)
+            .collect()
     }
 }
--- a/system/proxy/src/held.rs
+++ b/system/proxy/src/routing_state.rs
@@ -1,7 +1,7 @@
 //! What this proxy holds of the system's news: items and the table made of them, the list of backends, the members.
 //! No I/O and no clock of its own: it is told the time.
 
-use crate::cold_owner::ColdOwners;
+use crate::cold_owners::ColdOwners;
 use fennelscale_config::{Copied, Table, fact};
 use fennelscale_maintenance::clock::Span;
 use fennelscale_maintenance::night::Drain;
@@ -18,7 +18,7 @@
 /// From a reading of the platform's list until proxies have it, in ms: between regions twice, and some.
 const LIST_WAY: f64 = 400.0;
 /// What runs out by itself is brought up to date this often, in ms.
-pub const UPDATE: f64 = 250.0;
+pub const UPDATE_INTERVAL: f64 = 250.0;
 /// What a way costs, as ms that an answer may come later: between zones, between regions.
 const ZONE_PRICE: f64 = 12.0;
 const REGION_PRICE: f64 = 220.0;
@@ -33,22 +33,22 @@
 
 /// Where this proxy is, and the zones' regions.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ProxyLocation {
     /// This machine.
-    pub me: Host,
+    pub host: Host,
     /// Its zone and region.
     pub zone: String,
     /// Its region.
     pub region: String,
     /// The region of each zone.
-    pub zones: BTreeMap<String, String>,
+    pub zone_regions: BTreeMap<String, String>,
     /// How old the platform's list may be when it is read, in ms.
-    pub lag: f64,
+    pub max_list_age: f64,
 }
 
 /// One backend as the decisions are told of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct KnownBackend {
     /// As listed.
     pub backend: Backend,
     /// It may be sent something new.
@@ -70,8 +70,8 @@
 
 /// All news.
 #[derive(Debug)]
-pub struct Held {
-    place: Place,
+pub struct RoutingState {
+    location: ProxyLocation,
     items: Copied,
     /// What follows from the items.
     pub table: Table,
@@ -91,16 +91,16 @@
     /// Who sends to cold backends.
     owners: ColdOwners,
     /// How many proxies there are for shares.
-    pub gateways: f64,
+    pub proxy_count: f64,
     /// A quorum has vouched for the items in this life.
-    pub fresh: bool,
+    pub up_to_date: bool,
 }
 
-impl Held {
+impl RoutingState {
     /// Nothing yet.
-    pub fn new(place: Place) -> Self {
+    pub fn new(location: ProxyLocation) -> Self {
         Self {
-            place,
+            location,
             items: Copied::default(),
             table: Table::default(),
             listing: Listing::default(),
@@ -112,43 +112,43 @@
             members: Vec::new(),
             owners: ColdOwners::default(),
             // Until somebody knows: no part of anything.
-            gateways: f64::INFINITY,
-            fresh: false,
+            proxy_count: f64::INFINITY,
+            up_to_date: false,
         }
     }
 
     /// All items in one number.
-    pub fn sum(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         self.items.sum()
     }
 
     /// All items by parts of their names.
-    pub fn digest(&self) -> Vec<u64> {
+    pub fn part_checksums(&self) -> Vec<u64> {
         self.items.parts().to_vec()
     }
 
     /// Items of the parts in which another copy holds something else.
-    pub fn differing(&self, theirs: &[u64]) -> Vec<Named> {
+    pub fn entries_in_differing_parts(&self, theirs: &[u64]) -> Vec<Named> {
         self.items.differing(theirs)
     }
 
     /// All proxies, and how many there are for shares; 0 where nobody knows: what was known before holds.
-    pub fn tell_members(&mut self, now: f64, members: Vec<Member>, gateways: u32) {
-        self.owners.tell_members(now, &members);
+    pub fn set_members(&mut self, now: f64, members: Vec<Member>, proxies: u32) {
+        self.owners.set_members(now, &members);
         self.members = members;
-        if gateways > 0 {
-            self.gateways = f64::from(gateways);
+        if proxies > 0 {
+            self.proxy_count = f64::from(proxies);
         }
     }
 
     /// How many proxies there are for shares; 0 where that is not known.
-    pub fn known_gateways(&self) -> u32 {
-        if self.gateways.is_finite() { self.gateways as u32 } else { 0 }
+    pub fn known_proxy_count(&self) -> u32 {
+        if self.proxy_count.is_finite() { self.proxy_count as u32 } else { 0 }
     }
 
     /// Whether enough is known to serve clients.
     pub fn is_ready(&self) -> bool {
-        self.fresh && self.listing.stamp.0 > 0 && !self.table.services.is_empty()
+        self.up_to_date && self.listing.stamp.0 > 0 && !self.table.services.is_empty()
     }
 
     /// Entries that came. Names of those that were news.
@@ -162,19 +162,19 @@
             // One that was ready and hears of an end only may have missed the beginning. What had ended before this life is old.
             if let Some(zone) = name.strip_prefix("e:")
                 && fact.is_none()
-                && (self.fresh || self.table.evacuated.contains(zone))
+                && (self.up_to_date || self.table.evacuated.contains(zone))
             {
                 self.back.insert(Node::Zone(zone.to_owned()), Returned { heard: now, evacuated: true });
             }
             self.table.set(&name, entry.stamp, fact);
             news.push(name);
         }
-        self.settle(now);
+        self.update_drains(now);
         news
     }
 
     /// A list that came; false if it is not news.
-    pub fn list(&mut self, now: f64, listing: Listing) -> bool {
+    pub fn set_listing(&mut self, now: f64, listing: Listing) -> bool {
         if listing.stamp <= self.listing.stamp {
             return false;
         }
@@ -189,7 +189,7 @@
     }
 
     /// True time, as a registry vouches for it now.
-    pub fn tell_time(&mut self, now: f64, time: Span) {
+    pub fn set_true_time(&mut self, now: f64, time: Span) {
         self.time = Some((now, time));
     }
 
@@ -201,7 +201,7 @@
     /// Which drains are heeded now: those of the work orders, until their hours have ended by whatever time there is. Whoever is cut
     /// off carries on the last time that it was told. Nodes that go back count as cold for a moment, until the list says how
     /// they are. Whether anything has changed.
-    pub fn settle(&mut self, now: f64) -> bool {
+    pub fn update_drains(&mut self, now: f64) -> bool {
         let over = |ends: f64| self.time.is_some_and(|(at, span)| span.later(now - at).latest >= ends);
         let drains = self.table.drains.values().filter(|drain| !over(drain.ends));
         let out: BTreeSet<Node> = drains.flat_map(Drain::nodes).collect();
@@ -216,28 +216,28 @@
     }
 
     /// Nodes that are drained.
-    pub fn out(&self) -> &BTreeSet<Node> {
+    pub fn drained_nodes(&self) -> &BTreeSet<Node> {
         &self.out
     }
 
     /// Whether this proxy is to be left by its clients.
-    pub fn is_out(&self) -> bool {
-        self.out.contains(&Node::Proxy(self.place.me))
-            || self.out.contains(&Node::Zone(self.place.zone.clone()))
+    pub fn is_drained(&self) -> bool {
+        self.out.contains(&Node::Proxy(self.location.host))
+            || self.out.contains(&Node::Zone(self.location.zone.clone()))
     }
 
     /// Drained nodes where nothing of this proxy's is at work. `working`: backends that may have something of it; `clients`:
     /// whether any are connected here.
-    pub fn quiet(&self, working: &BTreeSet<String>, clients: bool) -> Vec<String> {
+    pub fn idle_nodes(&self, working: &BTreeSet<String>, clients: bool) -> Vec<String> {
         let zone_of =
             |id: &String| self.listing.backends.iter().find(|b| b.id == *id).map(|b| b.zone.as_str());
         let busy = |node: &&Node| match node {
             Node::Backend(id) => working.contains(id),
-            Node::Proxy(host) => *host == self.place.me && clients,
+            Node::Proxy(host) => *host == self.location.host && clients,
             // Of one that is no longer listed nobody knows where it is.
             Node::Zone(zone) => {
                 working.iter().any(|id| zone_of(id).is_none_or(|z| z == zone))
-                    || *zone == self.place.zone && clients
+                    || *zone == self.location.zone && clients
             }
         };
         self.out.iter().filter(|node| !busy(node)).map(Node::to_string).collect()
@@ -245,18 +245,18 @@
 
     /// The number of a region among all, in the order of their names.
     pub fn cell(&self, region: &str) -> u64 {
-        let regions: BTreeSet<&str> = self.place.zones.values().map(String::as_str).collect();
+        let regions: BTreeSet<&str> = self.location.zone_regions.values().map(String::as_str).collect();
         regions.iter().position(|r| *r == region).map_or(u64::MAX, |at| at as u64)
     }
 
     fn region<'a>(&'a self, zone: &str) -> &'a str {
-        self.place.zones.get(zone).map_or("", String::as_str)
+        self.location.zone_regions.get(zone).map_or("", String::as_str)
     }
 
     /// Whether anything runs out by itself: nodes that went back are taken for cold only for a while, and whoever owns cold backends
     /// changes with time.
-    pub fn changes(&self, now: f64) -> bool {
-        !self.back.is_empty() || self.owners.changes(now, UPDATE) && self.has_cold(now)
+    pub fn needs_update(&self, now: f64) -> bool {
+        !self.back.is_empty() || self.owners.may_change(now, UPDATE_INTERVAL) && self.has_cold(now)
     }
 
     /// Whether the list names a backend that is cold now.
@@ -266,9 +266,9 @@
     }
 
     /// The backends of a service, with the terms of the choice as of now.
-    pub fn backends(&mut self, now: f64, service: &str) -> Vec<Known> {
+    pub fn backends(&mut self, now: f64, service: &str) -> Vec<KnownBackend> {
         let longest = self.table.services.values().map(|service| service.cold_start).fold(0.0, f64::max);
-        let kept = longest.max(BACK_COLD) + self.place.lag;
+        let kept = longest.max(BACK_COLD) + self.location.max_list_age;
         self.back.retain(|_, returned| now < returned.heard + kept);
         let of = self.listing.backends.iter().filter(|b| b.service == service);
         let own = self.own(of.clone());
@@ -280,11 +280,11 @@
     /// there are more proxies, each in turn takes the backend with the fewest proxies to a slot. Those of one zone go together
     /// as far as that is even. All proxies that know the same share alike.
     fn own<'a>(&self, backends: impl Iterator<Item = &'a Backend>) -> BTreeMap<&'a str, f64> {
-        let here = |zone: &str| self.region(zone) == self.place.region;
+        let here = |zone: &str| self.region(zone) == self.location.region;
         let mut near: Vec<&Backend> = backends.filter(|b| here(&b.zone) && self.takes(b)).collect();
         let draw = |b: &Backend| fennelscale_messages::hash(b.id.as_bytes());
         near.sort_by_key(|b| (draw(b), &b.id));
-        let proxies = self.members.iter().filter(|m| m.ready && m.region == self.place.region);
+        let proxies = self.members.iter().filter(|m| m.ready && m.region == self.location.region);
         let turn = |b: &Backend, m: &Member| fennelscale_messages::mix(draw(b) ^ u64::from(m.host.0));
         let mut own = BTreeMap::new();
         if near.len() >= proxies.clone().count() {
@@ -294,7 +294,7 @@
                     |(slots, m): &&mut (u32, &Member)| (*slots, m.zone != backend.zone, turn(backend, m));
                 let Some((slots, member)) = parts.iter_mut().min_by_key(first) else { continue };
                 *slots += backend.slots.max(1);
-                if member.host == self.place.me {
+                if member.host == self.location.host {
                     own.insert(backend.id.as_str(), 1.0);
                 }
             }
@@ -309,7 +309,7 @@
             };
             let Some((at, _)) = parts.iter().enumerate().min_by_key(first) else { continue };
             parts[at].0 += 1;
-            if member.host == self.place.me {
+            if member.host == self.location.host {
                 mine = Some(at);
             }
         }
@@ -334,20 +334,20 @@
             return 0.0;
         }
         let until = |returned: &Returned| match returned {
-            Returned { heard, evacuated: false } => heard + BACK_COLD + self.place.lag,
-            Returned { heard, .. } if self.listed >= heard + self.place.lag + LIST_WAY => 0.0,
-            Returned { heard, .. } => heard + cold_start.max(BACK_COLD) + self.place.lag,
+            Returned { heard, evacuated: false } => heard + BACK_COLD + self.location.max_list_age,
+            Returned { heard, .. } if self.listed >= heard + self.location.max_list_age + LIST_WAY => 0.0,
+            Returned { heard, .. } => heard + cold_start.max(BACK_COLD) + self.location.max_list_age,
         };
         let nodes = [Node::Backend(backend.id.clone()), Node::Zone(backend.zone.clone())];
         nodes.iter().filter_map(|node| self.back.get(node)).map(until).fold(0.0, f64::max)
     }
 
-    fn known(&self, now: f64, service: &str, backend: &Backend, own: Option<f64>) -> Known {
+    fn known(&self, now: f64, service: &str, backend: &Backend, own: Option<f64>) -> KnownBackend {
         let region = self.region(&backend.zone);
         let ready = self.takes(backend);
-        let (way, price) = if backend.zone == self.place.zone {
+        let (way, price) = if backend.zone == self.location.zone {
             (IN_ZONE, 0.0)
-        } else if region == self.place.region {
+        } else if region == self.location.region {
             (IN_REGION, ZONE_PRICE)
         } else {
             (FAR, REGION_PRICE)
@@ -358,17 +358,17 @@
         let (cold, cold_start) =
             self.table.services.get(service).map_or((0.0, 0.0), |s| (s.cold_per_s, s.cold_start));
         let cold_until = listed.max(self.back_until(backend, cold_start));
-        let owns = || self.owners.owns(now, self.place.me, backend, |zone| self.region(zone));
+        let owns = || self.owners.owns(now, self.location.host, backend, |zone| self.region(zone));
         let cold_per_s = if cold_until > now && owns() { cold * COLD_SHARE } else { 0.0 };
         let slots = f64::from(backend.slots.max(1));
         let terms = doorcourse::BackendTerms { slots, sharers, own, way, price, cold_until, cold_per_s };
-        Known { backend: backend.clone(), ready, cell: self.cell(region), terms }
+        KnownBackend { backend: backend.clone(), ready, cell: self.cell(region), terms }
     }
 
     /// The terms that hold for all backends of a service together.
-    pub fn mesh(&self, ratio: f64, slack: f64) -> doorcourse::MeshTerms {
+    pub fn mesh_terms(&self, ratio: f64, slack: f64) -> doorcourse::MeshTerms {
         doorcourse::MeshTerms {
-            gateways: self.gateways,
+            gateways: self.proxy_count,
             retry_ratio: ratio,
             retry_slack: slack,
             usual: USUAL,
--- a/system/proxy/src/held/tests.rs
+++ b/system/proxy/src/routing_state/tests.rs
@@ -5,9 +5,15 @@
 
 const ENDS: f64 = 1_800_000_000_000.0;
 
-fn held() -> Held {
+fn held() -> RoutingState {
     let zones = [("a", "r"), ("b", "r")].map(|(z, r)| (z.to_owned(), r.to_owned())).into();
-    let mut held = Held::new(Place { me: Host(1), zone: "a".into(), region: "r".into(), zones, lag: 500.0 });
+    let mut held = RoutingState::new(ProxyLocation {
+        host: Host(1),
+        zone: "a".into(),
+        region: "r".into(),
+        zone_regions: zones,
+        max_list_age: 500.0,
+    });
     let backend = |id: &str, zone: &str| Backend {
         id: id.into(),
         service: "s".into(),
@@ -18,17 +24,17 @@
         cold_ms: 0,
     };
     let backends = vec![backend("x", "a"), backend("y", "a"), backend("z", "b")];
-    held.list(0.0, Listing { stamp: (1, Host(2)), backends });
+    held.set_listing(0.0, Listing { stamp: (1, Host(2)), backends });
     held
 }
 
-fn drain(held: &mut Held, now: f64, turn: u64, nodes: &str) {
+fn drain(held: &mut RoutingState, now: f64, turn: u64, nodes: &str) {
     let body = (!nodes.is_empty()).then(|| format!(r#"{{"nodes":[{nodes}],"ends":{ENDS}}}"#));
     let stamp = Stamp { turn, ..Stamp::default() };
     held.merge(now, vec![("d:o".into(), Entry { stamp, body, ..Entry::default() })]);
 }
 
-fn ready(held: &mut Held, now: f64) -> Vec<String> {
+fn ready(held: &mut RoutingState, now: f64) -> Vec<String> {
     held.backends(now, "s").into_iter().filter(|k| k.ready).map(|k| k.backend.id).collect()
 }
 
@@ -39,11 +45,11 @@
     assert_eq!(ready(&mut held, 1.0), ["y", "z"]);
     drain(&mut held, 2.0, 2, r#""backend:x","zone:b","proxy:0.0.0.1""#);
     assert_eq!(ready(&mut held, 3.0), ["y"]);
-    assert!(held.is_out());
+    assert!(held.is_drained());
     drain(&mut held, 10.0, 3, "");
     assert_eq!(ready(&mut held, 11.0), ["x", "y", "z"]);
-    assert!(!held.is_out());
-    let cold = |held: &mut Held, now| -> Vec<bool> {
+    assert!(!held.is_drained());
+    let cold = |held: &mut RoutingState, now| -> Vec<bool> {
         held.backends(now, "s").iter().map(|known| known.terms.cold_until > now).collect()
     };
     assert_eq!(cold(&mut held, 12.0), [true, false, true]);
@@ -53,16 +59,16 @@
 const COLD_START: f64 = 3000.0;
 
 /// Ready, with a service whose backends are cold for a while after their start.
-fn ready_held() -> Held {
+fn ready_held() -> RoutingState {
     let mut held = held();
     let body = r#"{"name":"s","coldStart":"3s","coldPerS":6.7,"revision":"00000001"}"#;
     let entry = Entry { stamp: Stamp { turn: 1, ..Stamp::default() }, revision: 1, ..Entry::default() };
     held.merge(0.0, vec![("s:s".into(), Entry { body: Some(body.into()), ..entry })]);
-    held.fresh = true;
+    held.up_to_date = true;
     held
 }
 
-fn evacuation(held: &mut Held, now: f64, revision: u64, on: bool) {
+fn evacuation(held: &mut RoutingState, now: f64, revision: u64, on: bool) {
     let entry = Entry {
         stamp: Stamp { turn: 1 + revision, ..Stamp::default() },
         revision,
@@ -72,7 +78,7 @@
     held.merge(now, vec![("e:b".into(), entry)]);
 }
 
-fn is_cold(held: &mut Held, now: f64) -> bool {
+fn is_cold(held: &mut RoutingState, now: f64) -> bool {
     let known = held.backends(now, "s");
     known.iter().any(|known| known.backend.zone == "b" && known.terms.cold_until > now)
 }
@@ -96,9 +102,9 @@
         let mut held = taken_back(missed_its_beginning);
         let listing = held.listing.clone();
         let at = |number| Listing { stamp: (number, Host(2)), ..listing.clone() };
-        held.list(10_000.0 + lag, at(2));
+        held.set_listing(10_000.0 + lag, at(2));
         assert!(is_cold(&mut held, 10_000.0 + lag));
-        held.list(10_000.0 + lag + LIST_WAY, at(3));
+        held.set_listing(10_000.0 + lag + LIST_WAY, at(3));
         assert!(!is_cold(&mut held, 10_000.0 + lag + LIST_WAY));
     }
 }
@@ -106,7 +112,7 @@
 #[test]
 fn an_evacuation_that_had_ended_before_a_life_is_of_no_account_in_it() {
     let mut held = ready_held();
-    held.fresh = false;
+    held.up_to_date = false;
     evacuation(&mut held, 1000.0, 2, false);
     assert!(!is_cold(&mut held, 1000.0));
 }
@@ -115,10 +121,10 @@
 fn a_proxy_that_hears_nothing_more_heeds_no_drain_beyond_the_hours() {
     let mut held = held();
     drain(&mut held, 0.0, 1, r#""backend:x""#);
-    held.tell_time(1000.0, Span { earliest: ENDS - 30_500.0, latest: ENDS - 30_000.0 });
-    assert!(!held.settle(30_000.0), "a second before the end by the latest that it may be");
+    held.set_true_time(1000.0, Span { earliest: ENDS - 30_500.0, latest: ENDS - 30_000.0 });
+    assert!(!held.update_drains(30_000.0), "a second before the end by the latest that it may be");
     assert_eq!(ready(&mut held, 30_000.0), ["y", "z"]);
-    assert!(held.settle(31_000.0));
+    assert!(held.update_drains(31_000.0));
     assert_eq!(ready(&mut held, 31_000.0), ["x", "y", "z"]);
 }
 
@@ -126,7 +132,7 @@
 fn a_node_is_quiet_where_nothing_of_this_proxy_is_at_work() {
     let mut held = held();
     drain(&mut held, 0.0, 1, r#""backend:x","zone:b","proxy:0.0.0.9""#);
-    let quiet = |working: &[&str]| held.quiet(&working.iter().map(|w| (*w).to_owned()).collect(), true);
+    let quiet = |working: &[&str]| held.idle_nodes(&working.iter().map(|w| (*w).to_owned()).collect(), true);
     assert_eq!(
         quiet(&[]),
         ["backend:x", "proxy:0.0.0.9", "zone:b"],
@@ -136,8 +142,12 @@
     assert_eq!(quiet(&["z"]), ["backend:x", "proxy:0.0.0.9"]);
     assert_eq!(quiet(&["gone"]), ["backend:x", "proxy:0.0.0.9"], "it may have been in any zone");
     drain(&mut held, 1.0, 2, r#""zone:a","proxy:0.0.0.1""#);
-    assert_eq!(held.quiet(&BTreeSet::new(), true), Vec::<String>::new(), "its own clients are still there");
-    assert_eq!(held.quiet(&BTreeSet::new(), false).len(), 2);
+    assert_eq!(
+        held.idle_nodes(&BTreeSet::new(), true),
+        Vec::<String>::new(),
+        "its own clients are still there"
+    );
+    assert_eq!(held.idle_nodes(&BTreeSet::new(), false).len(), 2);
 }
 
 /// An item of the incident below: a route with its place, or a tenant with its key; none where it was dropped.
@@ -163,7 +173,7 @@
 const CLAIMS: usize = 3;
 
 /// Which route has each place, and which tenant each key.
-fn answers(held: &Held) -> Vec<Option<String>> {
+fn answers(held: &RoutingState) -> Vec<Option<String>> {
     let route = |place| held.table.route("h", &format!("/p{place}/x")).map(|route| route.name.clone());
     let tenant = |key| held.table.tenant(&format!("k{key}")).map(|tenant| tenant.name.clone());
     (0..CLAIMS).map(route).chain((0..CLAIMS).map(tenant)).collect()
--- a/system/proxy/src/services.rs
+++ b/system/proxy/src/service_engines.rs
@@ -1,9 +1,9 @@
 //! One engine for each service: the decision module with its backends, told what is known of them.
 
-use crate::decision_input::{self, Told, USUAL_CLASS};
-use crate::held::Held;
-use crate::speech::{Mesh, REQUEST_ID};
-use crate::trail::Trail;
+use crate::backend_protocol::{Mesh, REQUEST_ID};
+use crate::decision_input::{self, DEFAULT_CLASS, DecisionInput};
+use crate::request_trace::Trail;
+use crate::routing_state::RoutingState;
 use doorcourse::{Class, Effect, Event, Group, Name, Outcome, Reports, SendCounts};
 use fennelscale_config::{Route, RouteKind};
 use fennelscale_dataplane::back::backends::{Backends, Bounds};
@@ -86,7 +86,7 @@
     }
 
     /// Tells all decisions what is known now, by the proxy's clock.
-    pub fn tell(&self, now: f64, held: &mut Held) {
+    pub fn tell(&self, now: f64, held: &mut RoutingState) {
         let names: Vec<String> = held.table.services.keys().cloned().collect();
         let parts = names.len().max(1);
         for name in names {
@@ -119,14 +119,18 @@
         let seed = self.seed.get();
         self.seed.set(fennelscale_messages::mix(seed.wrapping_add(1)));
         let counters = None::<fn(Duration, Rc<Report>) -> Rc<dyn Counting>>;
-        let engine =
-            match Engine::start(decision_input::settings(&self.zone), seed, backends.clone(), counters) {
-                Ok(engine) => engine,
-                Err(error) => {
-                    tracing::error!(event = "engine", error = %error);
-                    return None;
-                }
-            };
+        let engine = match Engine::start(
+            decision_input::engine_settings(&self.zone),
+            seed,
+            backends.clone(),
+            counters,
+        ) {
+            Ok(engine) => engine,
+            Err(error) => {
+                tracing::error!(event = "engine", error = %error);
+                return None;
+            }
+        };
         spawn(backends.clone().keep_tidy());
         Some(Rc::new(Service {
             engine,
@@ -174,11 +178,12 @@
         BackendFigures { sends: self.engine.sends(), misdirected: self.engine.ended_as(Outcome::Misdirected) }
     }
 
-    fn tell(&self, now: f64, held: &mut Held, name: &str, (ratio, slack): (f64, f64)) {
+    fn tell(&self, now: f64, held: &mut RoutingState, name: &str, (ratio, slack): (f64, f64)) {
         // Each engine has a clock of its own: it began at another moment, and the time of day may have jumped between.
         let shift = self.engine.now() - now;
         let known = held.backends(now, name);
-        let Told { hosts, event } = decision_input::tell(&known, held.mesh(ratio, slack), shift);
+        let DecisionInput { hosts, event } =
+            decision_input::build(&known, held.mesh_terms(ratio, slack), shift);
         self.seq.set(self.seq.get() + 1);
         // Connections first, so that nothing is sent by an older list: what was chosen by one that names others is withdrawn.
         self.backends.update(&List { seq: self.seq.get(), whole: true, hosts });
@@ -197,7 +202,7 @@
             return name.as_str().into();
         }
         if classes.len() >= CLASSES {
-            return USUAL_CLASS.into();
+            return DEFAULT_CLASS.into();
         }
         let effect = if kind == 's' { Effect::Safe } else { Effect::Unsafe };
         // A rank is all that is told; each step halves what a request counts in line.
--- a/system/proxy/src/session.rs
+++ b/system/proxy/src/session.rs
@@ -24,7 +24,7 @@
 pub async fn keep(proxy: Rc<Proxy>) {
     let mut choice = RegistryChoice::default();
     loop {
-        let Some(host) = choice.next(proxy.now(), &proxy.registries()) else {
+        let Some(host) = choice.next_registry(proxy.now(), &proxy.registries()) else {
             sleep(PAUSE).await;
             continue;
         };
@@ -32,7 +32,7 @@
         if let Err(why) = hold(&proxy, host, &mut choice).await
             && why != NEARER
         {
-            choice.failed(proxy.now(), host);
+            choice.record_failure(proxy.now(), host);
             let held_ms = begun.elapsed().as_millis() as u64;
             tracing::info!(event = "session-ended", registry = %host, why, held_ms);
         }
@@ -113,7 +113,7 @@
                 Next::Word(Ok(word)) => break word,
                 Next::Word(Err(_)) => break 'session "closed",
                 Next::Looked(look) => {
-                    look.failed.into_iter().for_each(|registry| choice.failed(proxy.now(), registry));
+                    look.failed.into_iter().for_each(|registry| choice.record_failure(proxy.now(), registry));
                     if look.reached {
                         break 'session "its registry is out of contact";
                     }
@@ -124,7 +124,7 @@
                         break 'session "silent";
                     }
                     writer.send(&proxy.beat());
-                    if proxy.nearer(host, |other| choice.has_failed(proxy.now(), other)) {
+                    if proxy.nearer(host, |other| choice.failed_recently(proxy.now(), other)) {
                         break 'session NEARER;
                     }
                 }
@@ -132,8 +132,8 @@
         };
         heard = Instant::now();
         if let Down::Beat { contact_age } = word {
-            choice.heard_beat(proxy.now(), f64::from(contact_age));
-            proxy.contact(choice.contact());
+            choice.record_heartbeat(proxy.now(), f64::from(contact_age));
+            proxy.contact(choice.last_contact());
             // It serves until another takes this session: where all are cut off, an old word is better than none.
             let others = choice.alternatives(proxy.now(), host, &proxy.registries());
             if !others.is_empty() && looking.is_none() {
@@ -143,7 +143,7 @@
         // At the first start only seeds are known; the nearest is heard of with the first news.
         let told = matches!(word, Down::Registries(_));
         proxy.news(word);
-        if told && proxy.nearer(host, |other| choice.has_failed(proxy.now(), other)) {
+        if told && proxy.nearer(host, |other| choice.failed_recently(proxy.now(), other)) {
             break NEARER;
         }
         if proxy.ended() {
--- a/system/proxy/tests/cold_owner.rs
+++ b/system/proxy/tests/cold_owners.rs
@@ -2,7 +2,7 @@
 
 use fennelscale_messages::Host;
 use fennelscale_messages::news::{Backend, Member};
-use fennelscale_proxy::cold_owner::{ColdOwners, GRACE};
+use fennelscale_proxy::cold_owners::{ColdOwners, TAKEOVER_GRACE};
 
 const SECOND: f64 = 1000.0;
 
@@ -31,8 +31,8 @@
 #[test]
 fn proxies_of_the_zone_share_its_backends_and_others_own_none() {
     let mut owners = ColdOwners::default();
-    owners.tell_members(0.0, &[member(1, "a", true), member(2, "a", true), member(3, "b", true)]);
-    let all = [1, 2, 3].map(|proxy| owned(&owners, GRACE, proxy));
+    owners.set_members(0.0, &[member(1, "a", true), member(2, "a", true), member(3, "b", true)]);
+    let all = [1, 2, 3].map(|proxy| owned(&owners, TAKEOVER_GRACE, proxy));
     assert!(all[0] > 30 && all[1] > 30 && all[0] + all[1] == 100 && all[2] == 0, "{all:?}");
 }
 
@@ -40,28 +40,29 @@
 fn a_proxy_that_has_just_started_owns_nothing_yet() {
     let mut owners = ColdOwners::default();
     assert_eq!(owned(&owners, 0.0, 1), 0);
-    owners.tell_members(0.0, &[member(1, "a", true)]);
-    owners.tell_members(GRACE - 1.0, &[member(1, "a", true)]);
-    assert_eq!([GRACE - 1.0, GRACE].map(|now| owned(&owners, now, 1)), [0, 100]);
+    owners.set_members(0.0, &[member(1, "a", true)]);
+    owners.set_members(TAKEOVER_GRACE - 1.0, &[member(1, "a", true)]);
+    assert_eq!([TAKEOVER_GRACE - 1.0, TAKEOVER_GRACE].map(|now| owned(&owners, now, 1)), [0, 100]);
 }
 
 #[test]
 fn nobody_takes_over_from_one_that_may_still_send() {
     let mut owners = ColdOwners::default();
     let both = |ready| [member(1, "a", true), member(2, "a", ready)];
-    owners.tell_members(0.0, &both(true));
-    let (now, before) = (2.0 * GRACE, owned(&owners, 2.0 * GRACE, 1));
+    owners.set_members(0.0, &both(true));
+    let (now, before) = (2.0 * TAKEOVER_GRACE, owned(&owners, 2.0 * TAKEOVER_GRACE, 1));
     // It is missing, or not ready; a shorter list later does not begin the time anew.
     for list in [vec![member(1, "a", true)], both(false).to_vec()] {
         let mut owners = owners.clone();
-        owners.tell_members(now, &list);
-        assert!(owners.changes(now + SECOND, SECOND));
-        owners.tell_members(now + SECOND, &list);
-        let [early, late] = [now + GRACE - 1.0, now + GRACE].map(|now| owned(&owners, now, 1));
+        owners.set_members(now, &list);
+        assert!(owners.may_change(now + SECOND, SECOND));
+        owners.set_members(now + SECOND, &list);
+        let [early, late] =
+            [now + TAKEOVER_GRACE - 1.0, now + TAKEOVER_GRACE].map(|now| owned(&owners, now, 1));
         assert_eq!((early, late), (before, 100));
-        assert!(!owners.changes(now + GRACE + SECOND, SECOND));
+        assert!(!owners.may_change(now + TAKEOVER_GRACE + SECOND, SECOND));
     }
-    owners.tell_members(now, &[member(1, "a", true)]);
-    owners.tell_members(now + SECOND, &both(true));
-    assert_eq!(owned(&owners, now + GRACE, 1), before, "it is there again");
+    owners.set_members(now, &[member(1, "a", true)]);
+    owners.set_members(now + SECOND, &both(true));
+    assert_eq!(owned(&owners, now + TAKEOVER_GRACE, 1), before, "it is there again");
 }
--- a/system/simulation/src/decisions.rs
+++ b/system/simulation/src/decisions.rs
@@ -4,8 +4,8 @@
 use crate::Millis;
 use doorcourse::{Action, Arrival, AttemptEnd, Event, Gateway, Name, Outcome, RequestId};
 use fennelscale_messages::Host;
-use fennelscale_proxy::decision_input::{self, PLAN, USUAL_CLASS};
-use fennelscale_proxy::held::{Held, UPDATE};
+use fennelscale_proxy::decision_input::{self, DEFAULT_CLASS, PLAN};
+use fennelscale_proxy::routing_state::{RoutingState, UPDATE_INTERVAL};
 use std::collections::BTreeMap;
 
 /// The one service.
@@ -42,7 +42,7 @@
 impl Decisions {
     pub(crate) fn new(zone: &str, host: Host, life: u64) -> Self {
         let seed = fennelscale_messages::mix(u64::from(host.0) ^ life << 32);
-        let settings = decision_input::settings(&zone.into());
+        let settings = decision_input::engine_settings(&zone.into());
         Self {
             gateway: Gateway::new(settings, seed).expect("the settings of the program"),
             next: 0,
@@ -55,17 +55,17 @@
     }
 
     /// News came, or something of them has run out.
-    pub(crate) fn tell(&mut self, now: Millis, held: &mut Held) {
+    pub(crate) fn tell(&mut self, now: Millis, held: &mut RoutingState) {
         self.updated = now;
         let known = held.backends(now, SERVICE);
-        let told = decision_input::tell(&known, held.mesh(RETRY.0, RETRY.1), 0.0);
+        let told = decision_input::build(&known, held.mesh_terms(RETRY.0, RETRY.1), 0.0);
         self.handle(now, told.event);
     }
 
     /// Time passes and so many requests come. What goes to backends.
-    pub(crate) fn tick(&mut self, now: Millis, arrivals: usize, held: &mut Held) -> Vec<Send> {
+    pub(crate) fn tick(&mut self, now: Millis, arrivals: usize, held: &mut RoutingState) -> Vec<Send> {
         self.run_due(now);
-        if held.changes(now) && now - self.updated >= UPDATE {
+        if held.needs_update(now) && now - self.updated >= UPDATE_INTERVAL {
             self.tell(now, held);
         }
         for _ in 0..arrivals {
@@ -74,7 +74,7 @@
                 id: self.next,
                 customer: Name::from(""),
                 plan: PLAN.into(),
-                class: USUAL_CLASS.into(),
+                class: DEFAULT_CLASS.into(),
                 units: 1.0,
                 repeat: false,
                 patience: PATIENCE,
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -5,8 +5,8 @@
 use doorcourse::Outcome;
 use fennelscale_messages::Host;
 use fennelscale_messages::news::{Down, Member, Up};
-use fennelscale_proxy::held::{Held, Place};
 use fennelscale_proxy::registry_choice::RegistryChoice;
+use fennelscale_proxy::routing_state::{ProxyLocation, RoutingState};
 use fennelscale_quota_lease::{Admission, Cache, Comer, Terms};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     zones: BTreeMap<String, String>,
     pub(crate) up: bool,
     pub(crate) life: u64,
-    pub(crate) held: Held,
+    pub(crate) held: RoutingState,
     /// Where clients press: which backends get their requests.
     decisions: Option<Decisions>,
     cache: Cache,
@@ -56,7 +56,7 @@
             zones: zones.clone(),
             up: false,
             life: 0,
-            held: Held::new(place),
+            held: RoutingState::new(place),
             decisions,
             cache: Cache::new(0.0, 0),
             session: None,
@@ -78,7 +78,7 @@
         }
         self.life += 1;
         self.up = true;
-        self.held = Held::new(place(self.host, &self.zone, &self.region, &self.zones));
+        self.held = RoutingState::new(place(self.host, &self.zone, &self.region, &self.zones));
         let pressed = self.decisions.is_some();
         self.decisions = pressed.then(|| Decisions::new(&self.zone, self.host, self.life));
         self.cache = Cache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.life << 32));
@@ -107,14 +107,14 @@
     /// The session is over, and its registry not thought of for a while.
     pub(crate) fn lost(&mut self, now: Millis) {
         if let Some((core, _)) = self.session.take() {
-            self.choice.failed(now, core_host(core));
+            self.choice.record_failure(now, core_host(core));
         }
     }
 
     /// The core machine to dial; `cores` are all that are known, the nearest first.
     pub(crate) fn next_core(&mut self, now: Millis, cores: &[usize]) -> Option<usize> {
         let hosts: Vec<Host> = cores.iter().map(|core| core_host(*core)).collect();
-        let next = self.choice.next(now, &hosts)?;
+        let next = self.choice.next_registry(now, &hosts)?;
         cores.iter().copied().find(|core| core_host(*core) == next)
     }
 
@@ -128,15 +128,15 @@
 
     pub(crate) fn dialled(&mut self, now: Millis, core: usize, life: u64) -> Up {
         (self.session, self.heard, self.beat_at) = (Some((core, life)), now, now + BEAT);
-        if self.held.sum() == 0 {
+        if self.held.checksum() == 0 {
             Up::Hello(self.member())
         } else {
-            Up::Resume(self.member(), self.held.digest())
+            Up::Resume(self.member(), self.held.part_checksums())
         }
     }
 
     pub(crate) fn dial_failed(&mut self, now: Millis, core: usize) {
-        self.choice.failed(now, core_host(core));
+        self.choice.record_failure(now, core_host(core));
     }
 
     /// A word of the session's registry.
@@ -156,20 +156,20 @@
                     }
                     *seen = entry.revision;
                 }
-                self.held.fresh |= fresh;
+                self.held.up_to_date |= fresh;
             }
-            Down::Listing(listing) => drop(self.held.list(now, listing.clone())),
+            Down::Listing(listing) => drop(self.held.set_listing(now, listing.clone())),
             Down::Members(members, gateways) => {
-                self.held.tell_members(now, members.clone(), *gateways);
-                self.cache.gateways(self.held.gateways);
+                self.held.set_members(now, members.clone(), *gateways);
+                self.cache.gateways(self.held.proxy_count);
             }
             Down::Grant(grant) => {
                 let mut told = Vec::new();
                 self.cache.grant(now, grant.clone(), out, &mut told);
                 self.told(told);
             }
-            Down::Beat { contact_age } => self.choice.heard_beat(now, f64::from(*contact_age)),
-            Down::Compare => out.push(Up::Have(self.held.digest())),
+            Down::Beat { contact_age } => self.choice.record_heartbeat(now, f64::from(*contact_age)),
+            Down::Compare => out.push(Up::Have(self.held.part_checksums())),
             Down::Registries(_) | Down::Time(..) | Down::Recall(..) => {}
         }
         // As in the program: whatever may bear on the choice of a backend is told to the decisions with the word that brought it.
@@ -202,7 +202,7 @@
     }
 
     fn beat(&self, now: Millis) -> Up {
-        let (ready, items, listing) = (self.held.is_ready(), self.held.sum(), self.held.listing.stamp);
+        let (ready, items, listing) = (self.held.is_ready(), self.held.checksum(), self.held.listing.stamp);
         Up::Beat { ready, items, listing, alone: self.cache.alone(now) }
     }
 
@@ -277,6 +277,12 @@
     Host(core as u32 + 1)
 }
 
-fn place(host: Host, zone: &str, region: &str, zones: &BTreeMap<String, String>) -> Place {
-    Place { me: host, zone: zone.to_owned(), region: region.to_owned(), zones: zones.clone(), lag: 500.0 }
+fn place(host: Host, zone: &str, region: &str, zones: &BTreeMap<String, String>) -> ProxyLocation {
+    ProxyLocation {
+        host,
+        zone: zone.to_owned(),
+        region: region.to_owned(),
+        zone_regions: zones.clone(),
+        max_list_age: 500.0,
+    }
 }
