--- a/system/config-store/src/diary.rs
+++ b/system/config-store/src/diary.rs
@@ -8,7 +8,7 @@
 //! and synced together. A record that does not check out ends its file; what stands behind it is cut off before the next is
 //! written.
 
-use fennelscale_messages::feed::{At, Event, Told, Wanted};
+use fennelscale_messages::feed::{Event, EventPage, EventQuery, FeedPosition};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read as _, Seek as _, SeekFrom, Write as _};
 use std::path::PathBuf;
@@ -138,37 +138,37 @@
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn read(&self, wanted: &Wanted) -> io::Result<Option<Told>> {
+    pub fn read(&self, wanted: &EventQuery) -> io::Result<Option<EventPage>> {
         let mut files = [self.kept(0)?, self.kept(1)?];
         files.sort_by_key(|file| file.number);
         let all: Vec<Event> = files.into_iter().flat_map(|file| file.events).collect();
         let after = wanted.after.unwrap_or_default();
-        let of = |event: &Event| event.place.life == after.life;
-        let begin = match all.iter().position(|event| of(event) && event.place.number > after.number) {
+        let of = |event: &Event| event.position.incarnation == after.incarnation;
+        let begin = match all.iter().position(|event| of(event) && event.position.number > after.number) {
             Some(begin) => begin,
-            None if after.life == 0 => 0,
+            None if after.incarnation == 0 => 0,
             None => match all.iter().rposition(of) {
                 Some(last) => last + 1,
                 None => return Ok(None),
             },
         };
-        let most = if wanted.most == 0 { PAGE } else { wanted.most.min(PAGE) };
-        let mut told = Told { at: after, ..Told::default() };
+        let most = if wanted.limit == 0 { PAGE } else { wanted.limit.min(PAGE) };
+        let mut told = EventPage { position: after, ..EventPage::default() };
         for event in &all[begin..] {
-            let At { life, number } = event.place;
+            let FeedPosition { incarnation: life, number } = event.position;
             // Another life: the last second of the one before may not have been kept, nor the first events of this one.
-            told.missed |= if told.at.life == life {
-                number != told.at.number + 1
+            told.missed |= if told.position.incarnation == life {
+                number != told.position.number + 1
             } else {
-                after.life != 0 || number != 1
+                after.incarnation != 0 || number != 1
             };
-            if wanted.takes(event) {
+            if wanted.matches(event) {
                 if told.events.len() == most {
                     break;
                 }
                 told.events.push(event.clone());
             }
-            told.at = event.place;
+            told.position = event.position;
         }
         Ok(Some(told))
     }
@@ -177,38 +177,50 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelscale_messages::feed::Kind;
+    use fennelscale_messages::feed::EventKind;
 
     fn event(life: u64, number: u64) -> Event {
         let (what, cause) = (format!("r:{}", number % 3), "by hand".to_owned());
         let id = format!("item-chosen/{what}/{number}");
-        Event { place: At { life, number }, id, kind: Kind::ItemChosen, what, cause, at: 0.0 }
+        Event {
+            position: FeedPosition { incarnation: life, number },
+            id,
+            kind: EventKind::ItemChosen,
+            subject: what,
+            cause,
+            at: 0.0,
+        }
     }
 
     fn events(life: u64, numbers: std::ops::RangeInclusive<u64>) -> Vec<Event> {
         numbers.map(|number| event(life, number)).collect()
     }
 
-    fn after(diary: &Diary, life: u64, number: u64) -> Option<Told> {
-        diary.read(&Wanted { after: Some(At { life, number }), ..Wanted::default() }).unwrap()
+    fn after(diary: &Diary, life: u64, number: u64) -> Option<EventPage> {
+        diary
+            .read(&EventQuery {
+                after: Some(FeedPosition { incarnation: life, number }),
+                ..EventQuery::default()
+            })
+            .unwrap()
     }
 
     /// Reads on until there is nothing more.
-    fn all(diary: &Diary, mut at: At) -> (Vec<At>, bool) {
+    fn all(diary: &Diary, mut at: FeedPosition) -> (Vec<FeedPosition>, bool) {
         let (mut places, mut missed) = (Vec::new(), false);
         loop {
-            let told = after(diary, at.life, at.number).unwrap();
+            let told = after(diary, at.incarnation, at.number).unwrap();
             missed |= told.missed;
-            places.extend(told.events.iter().map(|event| event.place));
-            if told.at == at {
+            places.extend(told.events.iter().map(|event| event.position));
+            if told.position == at {
                 return (places, missed);
             }
-            at = told.at;
+            at = told.position;
         }
     }
 
-    fn places(life: u64, numbers: std::ops::RangeInclusive<u64>) -> Vec<At> {
-        numbers.map(|number| At { life, number }).collect()
+    fn places(life: u64, numbers: std::ops::RangeInclusive<u64>) -> Vec<FeedPosition> {
+        numbers.map(|number| FeedPosition { incarnation: life, number }).collect()
     }
 
     /// A folder of its own, gone at the end.
@@ -237,16 +249,28 @@
         // The store starts again beside a registry that lives on.
         let mut diary = folder.diary();
         diary.keep(&events(11, 701..=900)).unwrap();
-        assert_eq!(all(&diary, At { life: 11, number: 5 }), (places(11, 6..=900), false));
+        assert_eq!(all(&diary, FeedPosition { incarnation: 11, number: 5 }), (places(11, 6..=900), false));
         diary.keep(&events(12, 1..=3)).unwrap();
         let both = [places(11, 900..=900), places(12, 1..=3)].concat();
-        assert_eq!(all(&diary, At { life: 11, number: 899 }), (both, true), "the last second may be lost");
+        assert_eq!(
+            all(&diary, FeedPosition { incarnation: 11, number: 899 }),
+            (both, true),
+            "the last second may be lost"
+        );
         assert_eq!(after(&diary, 13, 1), None, "nobody's life");
         // A place ahead of what was kept, as after a loss of power.
-        assert_eq!(all(&diary, At { life: 11, number: 950 }).0, places(12, 1..=3));
-        let wanted = Wanted { after: Some(At::default()), what: "r:1".into(), most: 7, ..Wanted::default() };
+        assert_eq!(all(&diary, FeedPosition { incarnation: 11, number: 950 }).0, places(12, 1..=3));
+        let wanted = EventQuery {
+            after: Some(FeedPosition::default()),
+            subject_prefix: "r:1".into(),
+            limit: 7,
+            ..EventQuery::default()
+        };
         let told = diary.read(&wanted).unwrap().unwrap();
-        assert_eq!(told.events.iter().map(|e| e.place.number).collect::<Vec<_>>(), [1, 4, 7, 10, 13, 16, 19]);
+        assert_eq!(
+            told.events.iter().map(|e| e.position.number).collect::<Vec<_>>(),
+            [1, 4, 7, 10, 13, 16, 19]
+        );
     }
 
     #[test]
@@ -259,8 +283,11 @@
         let size: u64 = (0..2).map(|n| std::fs::metadata(diary.path(n)).unwrap().len()).sum();
         assert!((ROOM / 2..ROOM + ROOM / 4).contains(&size), "{size}");
         let told = after(&diary, 1, 3).unwrap();
-        assert!(told.missed && told.events[0].place.number > 10_000, "it is told of what is gone");
-        assert_eq!(all(&diary, At { life: 1, number: 59_000 }), (places(1, 59_001..=60_000), false));
+        assert!(told.missed && told.events[0].position.number > 10_000, "it is told of what is gone");
+        assert_eq!(
+            all(&diary, FeedPosition { incarnation: 1, number: 59_000 }),
+            (places(1, 59_001..=60_000), false)
+        );
     }
 
     #[test]
@@ -278,7 +305,7 @@
             std::fs::write(folder.diary().path(0), &torn).unwrap();
             let mut diary = folder.diary();
             diary.keep(&events(2, 1..=2)).unwrap();
-            let kept = all(&diary, At::default()).0;
+            let kept = all(&diary, FeedPosition::default()).0;
             let (before, now) = kept.split_at(kept.len() - 2);
             assert_eq!(now, places(2, 1..=2), "cut at {cut}");
             assert_eq!(before, &places(1, 1..=4)[..before.len()]);
@@ -297,7 +324,7 @@
         assert!(diary.keep(&events(1, 4..=5)).is_err());
         std::fs::remove_dir_all(diary.path(1)).unwrap();
         diary.keep(&events(1, 6..=7)).unwrap();
-        let (kept, missed) = all(&diary, At { life: 1, number: 1 });
+        let (kept, missed) = all(&diary, FeedPosition { incarnation: 1, number: 1 });
         assert_eq!((kept, missed), ([places(1, 2..=3), places(1, 6..=7)].concat(), true));
     }
 
@@ -309,6 +336,6 @@
         // As if that had failed after all of it was written: the next one stands in its place.
         diary.writing.as_mut().unwrap().good = NUMBER as u64;
         diary.keep(&events(2, 1..=1)).unwrap();
-        assert_eq!(all(&diary, At::default()).0, places(2, 1..=1));
+        assert_eq!(all(&diary, FeedPosition::default()).0, places(2, 1..=1));
     }
 }
--- a/system/config-store/src/disk/tests.rs
+++ b/system/config-store/src/disk/tests.rs
@@ -1,17 +1,18 @@
 use super::*;
 use crate::store::Store;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Entry, Epoch, Stamp, Told};
+use fennelscale_messages::store::{Entry, Stamp, StoreRequest, StoreResponse, Term};
 use fennelscale_replication::{Book, Origin, Out};
 use proptest::prelude::*;
 use rustix::process::{Resource, Rlimit, Signal, getrlimit, setrlimit};
 use std::collections::BTreeMap;
 
 fn writes(round: u64) -> Writes {
-    let vows = Vows { promised: Epoch { round, seat: Host(1) }, joined: Epoch::default() };
+    let vows = Vows { promised: Term { number: round, leader: Host(1) }, joined: Term::default() };
     let entry = Entry { revision: round, body: Some("{}".into()), ..Entry::default() };
     let item = Item { chosen: Some(entry), pending: None };
-    let progress = Progress { position: Stamp { turn: round, ..Stamp::default() }, ..Progress::default() };
+    let progress =
+        Progress { position: Stamp { sequence: round, ..Stamp::default() }, ..Progress::default() };
     Writes { vows: Some(vows), progress: Some(progress), items: vec![(format!("r:{}", round % 3), item)] }
 }
 
@@ -284,7 +285,7 @@
 /// A store whose disk takes no writes for a while: it says nothing then, and goes on from what was synced.
 fn suspends_and_goes_on() {
     let folder = std::env::temp_dir().join(format!("config-store-suspended-{}", std::process::id()));
-    let me = fennelscale_messages::depot::Seat { host: Host(1), zone: "z".into(), region: "r".into() };
+    let me = fennelscale_messages::store::Member { host: Host(1), zone: "z".into(), region: "r".into() };
     let place = fennelscale_replication::Place {
         me,
         seeds: vec![Host(1)],
@@ -302,7 +303,7 @@
     let position = store.book().unwrap().position();
     limit(Some(0));
     let note = |store: &mut Store, now: f64, text: &str| {
-        let ask = Ask::Note("n".into(), text.into());
+        let ask = StoreRequest::Note("n".into(), text.into());
         store.with(now, |book, now| book.call(now, Origin::Registry(1), ask))
     };
     assert!(note(&mut store, now, "lost").is_err(), "a write that does not come to the disk");
@@ -314,7 +315,7 @@
     let book = store.book().unwrap();
     assert_eq!((book.position(), book.is_voting(), book.item("m:n")), (position, true, None));
     let outs = note(&mut store, now + 2100.0, "kept").unwrap();
-    assert!(outs.contains(&Out::Answer(1, Told::Done)), "{outs:?}");
+    assert!(outs.contains(&Out::Answer(1, StoreResponse::Done)), "{outs:?}");
     // Another disk in its place, an empty one: the life that was there at the first start founds nothing on it.
     limit(Some(0));
     assert!(note(&mut store, now + 2200.0, "lost").is_err());
--- a/system/config-store/src/lib.rs
+++ b/system/config-store/src/lib.rs
@@ -9,7 +9,7 @@
 use fennelscale_host::link::{Peers, Writer, hear, split};
 use fennelscale_host::{link, spawn, start};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Order, Report, Seat, Told, Word};
+use fennelscale_messages::store::{Member, RegistryToStore, StoreMessage, StoreResponse, StoreToRegistry};
 use fennelscale_node_settings::{Port, Settings};
 use fennelscale_replication::{Book, Origin, Out, Place};
 use std::cell::RefCell;
@@ -50,11 +50,11 @@
         miette::miette!(help = "the store runs on machines that have it", "settings field {field} is missing")
     };
     let folder = settings.data.as_ref().ok_or_else(|| unusable("dataDirectory"))?;
-    let host = Host::of(settings.ip).ok_or_else(|| unusable("ipAddress (IPv4)"))?;
+    let host = Host::from_ip(settings.ip).ok_or_else(|| unusable("ipAddress (IPv4)"))?;
     let life = fennelscale_messages::mix(u64::from(std::process::id()) ^ start::life());
     let place = Place {
-        me: Seat { host, zone: settings.zone.clone(), region: settings.region.clone() },
-        seeds: settings.seeds.iter().filter_map(|seed| Host::of(seed.ip())).collect(),
+        me: Member { host, zone: settings.zone.clone(), region: settings.region.clone() },
+        seeds: settings.seeds.iter().filter_map(|seed| Host::from_ip(seed.ip())).collect(),
         bootstrap: settings.bootstrap,
         tolerance: (settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions),
         life: life >> 24,
@@ -73,7 +73,7 @@
         spawn(store.clone().reopen());
     }
     let heard = store.clone();
-    hear(others, move |from, word: Word| heard.with(|book, now| book.word(now, from, word)));
+    hear(others, move |from, word: StoreMessage| heard.with(|book, now| book.word(now, from, word)));
     // The registry of this machine is the one caller; it listens, as it may start later or again.
     let at = settings.own(Port::Shelf);
     let calls = store.clone();
@@ -114,7 +114,7 @@
             Ok(outs) => self.carry_out(outs),
             Err(error) => {
                 tracing::error!(event = "disk-failed", error);
-                self.report(&Report::Fresh(false));
+                self.report(&StoreToRegistry::UpToDate(false));
                 spawn(self.clone().reopen());
             }
         }
@@ -124,10 +124,10 @@
         for out in outs {
             match out {
                 Out::Send(to, word) => self.peers.send(to, &word),
-                Out::Answer(id, told) => self.report(&Report::Answer(id, told)),
-                Out::News(entries) => self.report(&Report::Items { whole: false, entries }),
-                Out::Seats(seats) => self.report(&Report::Seats(seats)),
-                Out::Fresh(fresh) => self.report(&Report::Fresh(fresh)),
+                Out::Answer(id, told) => self.report(&StoreToRegistry::Response(id, told)),
+                Out::News(entries) => self.report(&StoreToRegistry::Items { complete: false, entries }),
+                Out::Seats(seats) => self.report(&StoreToRegistry::Members(seats)),
+                Out::Fresh(fresh) => self.report(&StoreToRegistry::UpToDate(fresh)),
                 Out::Log(event, about) => tracing::info!(event, about),
             }
         }
@@ -151,8 +151,12 @@
     /// Tells the registry all that this store holds.
     fn report_all(&self) {
         let reports = self.store.borrow().book().map(|book| {
-            let items = Report::Items { whole: true, entries: book.all() };
-            [Report::Seats(book.seats().clone()), items, Report::Fresh(book.is_fresh())]
+            let items = StoreToRegistry::Items { complete: true, entries: book.all() };
+            [
+                StoreToRegistry::Members(book.seats().clone()),
+                items,
+                StoreToRegistry::UpToDate(book.is_fresh()),
+            ]
         });
         reports.iter().flatten().for_each(|report| self.report(report));
     }
@@ -181,7 +185,7 @@
         self.born.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn report(&self, report: &Report) {
+    fn report(&self, report: &StoreToRegistry) {
         if let Some(registry) = self.registry.borrow().as_ref() {
             registry.send(report);
         }
@@ -191,24 +195,26 @@
         let (mut reader, writer) = split(stream);
         *self.registry.borrow_mut() = Some(writer);
         self.report_all();
-        while let Ok(order) = reader.next::<Order>().await {
+        while let Ok(order) = reader.next::<RegistryToStore>().await {
             match order {
-                Order::Call(id, _) if self.store.borrow().book().is_none() => {
-                    self.report(&Report::Answer(id, Told::Unclear));
+                RegistryToStore::Call(id, _) if self.store.borrow().book().is_none() => {
+                    self.report(&StoreToRegistry::Response(id, StoreResponse::Unclear));
+                }
+                RegistryToStore::Call(id, ask) => {
+                    self.with(|book, now| book.call(now, Origin::Registry(id), ask))
                 }
-                Order::Call(id, ask) => self.with(|book, now| book.call(now, Origin::Registry(id), ask)),
                 // Nothing is promised of events: without them the store goes on.
-                Order::Keep(events) => {
+                RegistryToStore::SaveEvents(events) => {
                     if let Err(error) = self.diary.borrow_mut().keep(&events) {
                         tracing::warn!(event = "events-not-kept", count = events.len(), error = %error);
                     }
                 }
-                Order::Kept(id, wanted) => {
+                RegistryToStore::ReadEvents(id, wanted) => {
                     let told = self.diary.borrow().read(&wanted).unwrap_or_else(|error| {
                         tracing::warn!(event = "events-unreadable", error = %error);
                         None
                     });
-                    self.report(&Report::Kept(id, told));
+                    self.report(&StoreToRegistry::SavedEvents(id, told));
                 }
             }
         }
--- a/system/config/src/call.rs
+++ b/system/config/src/call.rs
@@ -1,7 +1,7 @@
 //! Calls of the operator: read into changes, and all items laid out again.
 
 use crate::{Invalid, LIMITS, fact};
-use fennelscale_messages::depot::{self, Change};
+use fennelscale_messages::store::{self, Change};
 use sonic_rs::{JsonValueTrait, LazyValue};
 use std::collections::BTreeMap;
 use std::collections::hash_map::{Entry, HashMap};
@@ -134,7 +134,7 @@
 }
 
 /// All items that stand, laid out as calls are, each as it was sent.
-pub fn lay_out<'a>(entries: impl Iterator<Item = (&'a str, &'a depot::Entry)>) -> String {
+pub fn lay_out<'a>(entries: impl Iterator<Item = (&'a str, &'a store::Entry)>) -> String {
     let (mut tenants, mut services, mut limits) = (Vec::new(), Vec::new(), None);
     let mut orders = ORDERS.map(|_| Vec::new());
     let mut hosts: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
--- a/system/config/src/claims.rs
+++ b/system/config/src/claims.rs
@@ -4,7 +4,7 @@
 //! may know the new holder of a claim and an older version of the former one. All claims are kept: the newest holds, and when it goes the next one
 //! does. Who holds follows from the newest items alone, not from the order in which they came.
 
-use fennelscale_messages::depot::Stamp;
+use fennelscale_messages::store::Stamp;
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::Hash;
--- a/system/config/src/lib.rs
+++ b/system/config/src/lib.rs
@@ -18,7 +18,7 @@
 pub use table::Table;
 
 use fennelscale_maintenance::order::MOST_ORDERS;
-use fennelscale_messages::depot::{Entry, Named, PARTS};
+use fennelscale_messages::store::{DIGEST_PARTS, Entry, NamedEntry};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// The name of the item that is there once.
@@ -38,19 +38,19 @@
 pub fn entry_hash((name, entry): (&str, &Entry)) -> u64 {
     let stamp = entry.stamp;
     let of = fennelscale_messages::hash(name.as_bytes());
-    let at = fennelscale_messages::mix(stamp.epoch.round ^ u64::from(stamp.epoch.seat.0) << 32)
-        ^ fennelscale_messages::mix(stamp.turn.wrapping_add(0x9e37_79b9_7f4a_7c15));
+    let at = fennelscale_messages::mix(stamp.term.number ^ u64::from(stamp.term.leader.0) << 32)
+        ^ fennelscale_messages::mix(stamp.sequence.wrapping_add(0x9e37_79b9_7f4a_7c15));
     fennelscale_messages::mix(of ^ at)
 }
 
 /// The part of a digest that a name is in.
 pub fn part(name: &str) -> usize {
-    (fennelscale_messages::hash(name.as_bytes()) >> 40) as usize % PARTS
+    (fennelscale_messages::hash(name.as_bytes()) >> 40) as usize % DIGEST_PARTS
 }
 
 /// All entries in one number for each part.
 pub fn digest<'a>(entries: impl IntoIterator<Item = (&'a String, &'a Entry)>) -> Vec<u64> {
-    let mut digest = vec![0; PARTS];
+    let mut digest = vec![0; DIGEST_PARTS];
     for (name, entry) in entries {
         digest[part(name)] ^= entry_hash((name, entry));
     }
@@ -121,7 +121,7 @@
 pub struct Copied {
     entries: BTreeMap<String, Entry>,
     sum: u64,
-    parts: [u64; PARTS],
+    parts: [u64; DIGEST_PARTS],
 }
 
 impl Copied {
@@ -150,12 +150,12 @@
     }
 
     /// All entries in one number for each part of their names.
-    pub fn parts(&self) -> &[u64; PARTS] {
+    pub fn parts(&self) -> &[u64; DIGEST_PARTS] {
         &self.parts
     }
 
     /// The entries of the parts in which another copy holds something else.
-    pub fn differing(&self, theirs: &[u64]) -> Vec<Named> {
+    pub fn differing(&self, theirs: &[u64]) -> Vec<NamedEntry> {
         let differs = |name: &str| theirs.get(part(name)) != Some(&self.parts[part(name)]);
         let entries = self.entries.iter().filter(|(name, _)| differs(name));
         entries.map(|(name, entry)| (name.clone(), entry.clone())).collect()
--- a/system/config/src/table.rs
+++ b/system/config/src/table.rs
@@ -3,7 +3,7 @@
 use crate::claims::Claims;
 use crate::{Fact, Limits, Route, Service, Tenant};
 use fennelscale_maintenance::night::Drain;
-use fennelscale_messages::depot::Stamp;
+use fennelscale_messages::store::Stamp;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
--- a/system/config/src/tests.rs
+++ b/system/config/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use fennelscale_messages::depot::Stamp;
+use fennelscale_messages::store::Stamp;
 use proptest::prelude::*;
 
 const CALL: &str = r#"{"upsert":{"tenants":[{"name":"c","apiKeys":["k1","k2"],"priority":1,"ratePerS":10,"burst":10,"allowedRegions":[],"revision":"00000007"}],
@@ -98,7 +98,7 @@
     #[test]
     fn merging_takes_no_heed_of_order(order in Just((0..12u64).collect::<Vec<_>>()).prop_shuffle()) {
         let entry = |n: u64| {
-            let stamp = fennelscale_messages::depot::Stamp { turn: n, ..Default::default() };
+            let stamp = fennelscale_messages::store::Stamp { sequence: n, ..Default::default() };
             (format!("r:{}", n % 3), Entry { stamp, revision: n, ..Entry::default() })
         };
         let copy = |order: &[u64]| {
--- a/system/experiments/src/capacity.rs
+++ b/system/experiments/src/capacity.rs
@@ -1,9 +1,9 @@
 //! What each role holds, sends and spends by the size of a deployment: one measure at a time, at several sizes, on the state machines
 //! that the programs run. Bytes are those of frames and records as they are sent and written; memory is the growth of this process.
 
-use fennelscale_messages::depot::{Ask, Change, Chunk, Entry, Seat, Stamp, Word};
-use fennelscale_messages::news::{Backend, Down, Listing, Member};
-use fennelscale_messages::{Host, frame};
+use fennelscale_messages::session::{Backend, BackendList, ProxyInfo, RegistryToProxy};
+use fennelscale_messages::store::{Change, Entry, Member, SnapshotChunk, Stamp, StoreMessage, StoreRequest};
+use fennelscale_messages::{Host, encode_frame};
 use fennelscale_proxy::held::{Held, Place};
 use fennelscale_replication::{Book, Item, Memory, Origin, Out, Progress};
 use std::hint::black_box;
@@ -114,7 +114,7 @@
     let changes = (0..SERVICES).map(service).chain((0..items).map(|n| item(n, 1)));
     let entry = |(turn, change): (usize, Change)| {
         let Change { name, revision, host, body } = change;
-        let stamp = Stamp { turn: turn as u64 + 1, ..Stamp::default() };
+        let stamp = Stamp { sequence: turn as u64 + 1, ..Stamp::default() };
         (name, Entry { stamp, revision, host, body, ..Entry::default() })
     };
     changes.enumerate().map(entry).collect()
@@ -122,7 +122,7 @@
 
 /// A store of one seat with a configuration on its disk, which writes.
 fn store(entries: &[(String, Entry)]) -> Book {
-    let me = Seat { host: Host(1), zone: "z".into(), region: "r".into() };
+    let me = Member { host: Host(1), zone: "z".into(), region: "r".into() };
     let place = fennelscale_replication::Place {
         me,
         seeds: vec![Host(1)],
@@ -158,7 +158,7 @@
     point("store: ms to start", begun.elapsed().as_secs_f64() * 1000.0);
     let begun = Instant::now();
     for revision in 2..2 + CHANGES {
-        let ask = Ask::Change(vec![item(revision as usize * 7 % items, revision)]);
+        let ask = StoreRequest::Change(vec![item(revision as usize * 7 % items, revision)]);
         book.call(10_000.0, Origin::Registry(revision), ask);
         black_box(book.writes());
         let outs = book.outs();
@@ -168,15 +168,16 @@
     let (mut after, mut chunks, mut bytes) = (String::new(), 0.0, 0.0);
     let begun = Instant::now();
     loop {
-        book.word(10_000.0, Host(2), Word::Fetch { since: Stamp::default(), after });
+        book.word(10_000.0, Host(2), StoreMessage::Fetch { since: Stamp::default(), after });
         let sent = book.outs().into_iter().find_map(|out| match out {
-            Out::Send(_, Word::Chunk(chunk)) => Some(chunk),
+            Out::Send(_, StoreMessage::Chunk(chunk)) => Some(chunk),
             _ => None,
         });
-        let Some(Chunk { since, after: of, entries, next, position }) = sent else { break };
-        let chunk = Word::Chunk(Chunk { since, after: of, entries, next: next.clone(), position });
+        let Some(SnapshotChunk { since, after: of, entries, next, position }) = sent else { break };
+        let chunk =
+            StoreMessage::Chunk(SnapshotChunk { since, after: of, entries, next: next.clone(), position });
         chunks += 1.0;
-        bytes += frame(&chunk).len() as f64;
+        bytes += encode_frame(&chunk).len() as f64;
         let Some(next) = next else { break };
         after = next;
     }
@@ -184,8 +185,8 @@
     point("store: chunks of a whole copy", chunks);
     point("store: bytes of a whole copy on the wire", bytes);
     drop(book);
-    let down = Down::Items { whole: true, fresh: true, entries: entries.clone() };
-    point("gateway: bytes of all items on the wire", frame(&down).len() as f64);
+    let down = RegistryToProxy::Items { complete: true, up_to_date: true, entries: entries.clone() };
+    point("gateway: bytes of all items on the wire", encode_frame(&down).len() as f64);
     let mut held = held();
     let begun = Instant::now();
     held.merge(0.0, entries);
@@ -212,8 +213,8 @@
 
 /// What a list of so many backends costs.
 pub fn of_backends(backends: usize) -> Vec<Point> {
-    let listing = Listing { stamp: (1, Host(1)), backends: (0..backends).map(backend).collect() };
-    let bytes = frame(&Down::Listing(listing.clone())).len() as f64;
+    let listing = BackendList { stamp: (1, Host(1)), backends: (0..backends).map(backend).collect() };
+    let bytes = encode_frame(&RegistryToProxy::BackendList(listing.clone())).len() as f64;
     let mut held = held();
     held.list(0.0, listing);
     let begun = Instant::now();
@@ -230,17 +231,17 @@
 
 /// What knowing so many gateways costs.
 pub fn of_gateways(gateways: usize) -> Vec<Point> {
-    let member = |n: usize| Member {
+    let member = |n: usize| ProxyInfo {
         host: Host(n as u32),
-        life: fennelscale_messages::mix(n as u64),
+        incarnation: fennelscale_messages::mix(n as u64),
         zone: format!("zone-{}", n % 70),
         region: format!("region-{}", n % 27),
         port: 8686,
         ready: true,
-        quiet: Vec::new(),
+        idle_nodes: Vec::new(),
     };
-    let members: Vec<Member> = (0..gateways).map(member).collect();
-    let bytes = frame(&Down::Members(members, gateways as u32)).len() as f64;
+    let members: Vec<ProxyInfo> = (0..gateways).map(member).collect();
+    let bytes = encode_frame(&RegistryToProxy::Proxies(members, gateways as u32)).len() as f64;
     vec![Point {
         what: "gateway, registry: bytes of all members",
         of: "gateways",
--- a/system/fennelctl/src/config.rs
+++ b/system/fennelctl/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::{Asked, Gateways};
 use fennelscale_config::{Invalid, check_together, content, fact, read_call};
-use fennelscale_messages::depot::Change;
+use fennelscale_messages::store::Change;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 
--- a/system/host/src/link.rs
+++ b/system/host/src/link.rs
@@ -5,7 +5,7 @@
 //! not acknowledged within [`SILENCE`] ends its connection.
 
 use crate::spawn;
-use fennelscale_messages::{Host, frame, length, read};
+use fennelscale_messages::{Host, decode_frame, encode_frame, frame_length};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io;
@@ -54,14 +54,14 @@
         let mut head = [0; 4];
         self.0.read_exact(&mut head).await?;
         let unreadable = |error| io::Error::new(io::ErrorKind::InvalidData, error);
-        let length = length(head).map_err(unreadable)?;
+        let length = frame_length(head).map_err(unreadable)?;
         // Grows with what comes: a length alone takes no memory.
         let mut body = Vec::with_capacity(length.min(JOINED));
         (&mut self.0).take(length as u64).read_to_end(&mut body).await?;
         if body.len() < length {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        read(&body).map_err(unreadable)
+        decode_frame(&body).map_err(unreadable)
     }
 }
 
@@ -72,7 +72,7 @@
 impl Writer {
     /// Sends a word; false if the line is down or full.
     pub fn send<T: bitcode::Encode>(&self, word: &T) -> bool {
-        self.0.try_send(Rc::new(frame(word))).is_ok()
+        self.0.try_send(Rc::new(encode_frame(word))).is_ok()
     }
 
     /// Sends a frame that goes to several.
@@ -130,7 +130,7 @@
             spawn(keep(me, at, receiver));
             sender
         });
-        let _ = line.try_send(Rc::new(frame(word)));
+        let _ = line.try_send(Rc::new(encode_frame(word)));
     }
 }
 
@@ -143,7 +143,7 @@
             continue;
         };
         let (mut input, mut output) = stream.into_split();
-        let mut bytes = frame(&me);
+        let mut bytes = encode_frame(&me);
         bytes.extend_from_slice(&first);
         let mut nothing = [0; 1];
         loop {
--- a/system/maintenance/src/lib.rs
+++ b/system/maintenance/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod order;
 pub mod plan;
 
-use fennelscale_messages::depot::Entry;
+use fennelscale_messages::store::Entry;
 
 /// Milliseconds; of a steady clock or since 1970, as said where it stands.
 pub type Millis = f64;
--- a/system/maintenance/src/order.rs
+++ b/system/maintenance/src/order.rs
@@ -38,7 +38,7 @@
             ("backend", id) => Ok(Self::Backend(id.to_owned())),
             ("zone", zone) => Ok(Self::Zone(zone.to_owned())),
             ("proxy", at) => {
-                let ip = at.parse().ok().and_then(fennelscale_messages::Host::of);
+                let ip = at.parse().ok().and_then(fennelscale_messages::Host::from_ip);
                 ip.map(Self::Proxy).ok_or_else(wrong)
             }
             _ => Err(wrong()),
--- a/system/maintenance/src/plan.rs
+++ b/system/maintenance/src/plan.rs
@@ -21,7 +21,7 @@
 use crate::night::{Night, Phase, Step};
 use crate::order::{Node, Order, Wanted};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Backend, Member};
+use fennelscale_messages::session::{Backend, ProxyInfo};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -43,8 +43,8 @@
     pub zones: BTreeMap<String, String>,
     /// The platform's list.
     pub backends: Vec<Backend>,
-    /// Proxies with a session; [`Member::quiet`] says where each has nothing at work.
-    pub members: Vec<Member>,
+    /// Proxies with a session; [`ProxyInfo::quiet`] says where each has nothing at work.
+    pub members: Vec<ProxyInfo>,
     /// Proxies that went silent and may still serve: how many.
     pub silent: usize,
     /// Zones of seats that are not heard.
@@ -123,7 +123,7 @@
         }
     }
 
-    fn holds_proxy(node: &Node, member: &Member) -> bool {
+    fn holds_proxy(node: &Node, member: &ProxyInfo) -> bool {
         match node {
             Node::Proxy(host) => *host == member.host,
             Node::Zone(zone) => *zone == member.zone,
@@ -229,7 +229,7 @@
     /// Whether clients still have somewhere to go. A region whose last proxy is drained is lost to its clients, who go to another:
     /// so many regions at once as the deployment bears.
     fn leaves_proxies(&self, node: &Node, out: &[Node]) -> Result<(), Why> {
-        let takes = |m: &&Member, with: bool| {
+        let takes = |m: &&ProxyInfo, with: bool| {
             m.ready && !out.iter().any(|n| Self::holds_proxy(n, m)) && !(with && Self::holds_proxy(node, m))
         };
         let regions: BTreeSet<&str> = self.zones.values().map(String::as_str).collect();
@@ -385,7 +385,7 @@
     /// Which proxies still have something at work at a node, or do not know of the drain yet.
     pub fn waits_for(&self, node: &Node) -> Vec<Host> {
         let name = node.to_string();
-        let busy = self.members.iter().filter(|m| !m.quiet.contains(&name));
+        let busy = self.members.iter().filter(|m| !m.idle_nodes.contains(&name));
         busy.map(|m| m.host).collect()
     }
 }
--- a/system/maintenance/tests/nights.rs
+++ b/system/maintenance/tests/nights.rs
@@ -8,8 +8,8 @@
 use fennelscale_maintenance::order::{Most, Node, Order, Wanted};
 use fennelscale_maintenance::plan::{Scene, next};
 use fennelscale_maintenance::seen;
-use fennelscale_messages::depot::Entry;
-use fennelscale_messages::news::{Backend, Member};
+use fennelscale_messages::session::{Backend, ProxyInfo};
+use fennelscale_messages::store::Entry;
 use fennelscale_messages::{Host, mix};
 use jiff::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -208,17 +208,17 @@
         self.history.iter().rev().find(|(at, _)| *at <= then).map_or(&self.store, |(_, store)| store)
     }
 
-    fn members(&self) -> Vec<Member> {
+    fn members(&self) -> Vec<ProxyInfo> {
         let there = self.proxies.iter().enumerate().filter(|(_, p)| !p.cut);
         there
-            .map(|(n, p)| Member {
+            .map(|(n, p)| ProxyInfo {
                 host: Host(100 + n as u32),
-                life: 1,
+                incarnation: 1,
                 zone: zone_name(n),
                 region: region_of(&zone_name(n)),
                 port: 1,
                 ready: true,
-                quiet: p.quiet.clone(),
+                idle_nodes: p.quiet.clone(),
             })
             .collect()
     }
--- a/system/membership/benches/bytes.rs
+++ b/system/membership/benches/bytes.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Member, Up};
+use fennelscale_messages::session::{ProxyInfo, ProxyToRegistry};
 use world::World;
 
 fn main() {
@@ -19,23 +19,28 @@
         let of = |n: usize| n % registries;
         for n in 0..proxies {
             let (zone, region) = (format!("z{}", of(n)), format!("r{}", of(n) % 3));
-            let member = Member {
+            let member = ProxyInfo {
                 host: Host(1000 + n as u32),
-                life: 1,
+                incarnation: 1,
                 zone,
                 region,
                 port: 80,
                 ready: true,
-                quiet: Vec::new(),
+                idle_nodes: Vec::new(),
             };
-            world.with(of(n), move |round, now| round.up(now, member.host, Up::Hello(member)));
+            world.with(of(n), move |round, now| round.up(now, member.host, ProxyToRegistry::Hello(member)));
         }
         world.run(4000.0);
         world.bytes = [0; 2];
         for _ in 0..25 {
             for n in 0..proxies {
                 let listing = world.nodes[of(n)].as_ref().map(|r| r.listing().stamp).unwrap_or_default();
-                let beat = Up::Beat { ready: true, items: 0, listing, alone: 0 };
+                let beat = ProxyToRegistry::Heartbeat {
+                    ready: true,
+                    items_hash: 0,
+                    list_stamp: listing,
+                    self_granted: 0,
+                };
                 world.with(of(n), move |round, now| round.up(now, Host(1000 + n as u32), beat));
             }
             world.run(400.0);
--- a/system/membership/src/contact.rs
+++ b/system/membership/src/contact.rs
@@ -2,7 +2,7 @@
 //! session with the beats, and a proxy goes elsewhere when it is too old.
 
 use crate::{Millis, Round};
-use fennelscale_messages::news::CONTACT_LEASE;
+use fennelscale_messages::session::CONTACT_LEASE;
 
 /// A registry without seats is taken for one that waits to be founded for so long.
 const SEATLESS: Millis = 4000.0;
@@ -33,6 +33,6 @@
 
     /// Until then nothing is expected of a registry that has just started: one that knows no seats may wait to be founded.
     fn grace(&self) -> Millis {
-        self.born + if self.seats.seats.is_empty() { SEATLESS - CONTACT_LEASE } else { 0.0 }
+        self.born + if self.seats.members.is_empty() { SEATLESS - CONTACT_LEASE } else { 0.0 }
     }
 }
--- a/system/membership/src/copies.rs
+++ b/system/membership/src/copies.rs
@@ -9,7 +9,7 @@
 //!   full that it has to be sent again.
 
 use crate::Millis;
-use fennelscale_messages::news::CONTACT_LEASE;
+use fennelscale_messages::session::CONTACT_LEASE;
 use std::collections::VecDeque;
 
 /// A sum that this copy had is followed for so long after the next change: the longest way twice, and a full link.
--- a/system/membership/src/failures.rs
+++ b/system/membership/src/failures.rs
@@ -1,6 +1,6 @@
 //! What proxies have counted of failure orders.
 
-use crate::feed::Kind;
+use crate::feed::EventKind;
 use crate::{Millis, Round};
 use fennelscale_messages::Host;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
                 let mark = fennelscale_messages::mix(life ^ u64::from(from.0)) ^ failed;
                 let cause =
                     format!("proxy {from}: {failed} failed of {named} that it names, {over} left untouched");
-                self.feed.note(now, Kind::FailureMet, &order, mark, cause);
+                self.feed.note(now, EventKind::FailureMet, &order, mark, cause);
             }
         }
     }
--- a/system/membership/src/feed.rs
+++ b/system/membership/src/feed.rs
@@ -9,7 +9,7 @@
 //! - Readers ask; nobody waits for them. A slow one costs nothing and is told what it missed.
 
 use crate::Millis;
-pub use fennelscale_messages::feed::{At, Event, Kind, Told, VERSION, Wanted};
+pub use fennelscale_messages::feed::{Event, EventKind, EventPage, EventQuery, FeedPosition, VERSION};
 use std::collections::VecDeque;
 
 /// Events that are kept.
@@ -47,10 +47,10 @@
     }
 
     /// Something happened. `mark` tells it from the same thing at another time, wherever it was seen.
-    pub fn note(&mut self, at: Millis, kind: Kind, what: &str, mark: u64, cause: String) {
+    pub fn note(&mut self, at: Millis, kind: EventKind, what: &str, mark: u64, cause: String) {
         let id = format!("{}/{what}/{mark:x}", kind.name());
-        let place = At { life: self.life, number: self.next };
-        self.events.push_back(Event { place, id, kind, what: what.to_owned(), cause, at });
+        let place = FeedPosition { incarnation: self.life, number: self.next };
+        self.events.push_back(Event { position: place, id, kind, subject: what.to_owned(), cause, at });
         self.next += 1;
         if self.events.len() > KEPT {
             self.events.pop_front();
@@ -58,7 +58,7 @@
     }
 
     /// Something happened that only this registry saw.
-    pub fn note_own(&mut self, at: Millis, kind: Kind, what: &str, cause: String) {
+    pub fn note_own(&mut self, at: Millis, kind: EventKind, what: &str, cause: String) {
         self.note(at, kind, what, fennelscale_messages::mix(self.life ^ self.next), cause);
     }
 
@@ -77,7 +77,7 @@
             0 => String::new(),
             n => format!(" (and {n} that were not told)"),
         };
-        self.note_own(now, Kind::CallRefused, what, format!("{cause}{others}"));
+        self.note_own(now, EventKind::CallRefused, what, format!("{cause}{others}"));
     }
 
     /// What the store is to keep now. What it could not be given is offered again.
@@ -86,7 +86,7 @@
             return Vec::new();
         }
         self.kept.1 = now;
-        let oldest = self.events.front().map_or(self.next, |event| event.place.number);
+        let oldest = self.events.front().map_or(self.next, |event| event.position.number);
         let from = (self.kept.0 + 1).saturating_sub(oldest) as usize;
         self.events.iter().skip(from).take(BATCH).cloned().collect()
     }
@@ -97,28 +97,33 @@
     }
 
     /// Events of this life after a place of it. One of another life begins at the oldest.
-    pub fn read(&self, now: Millis, wanted: &Wanted) -> Told {
-        let oldest = self.events.front().map_or(self.next, |event| event.place.number);
+    pub fn read(&self, now: Millis, wanted: &EventQuery) -> EventPage {
+        let oldest = self.events.front().map_or(self.next, |event| event.position.number);
         let (from, missed) = match wanted.after {
             None => (oldest, oldest > 1),
             // The future of this life has not been told by it: somebody else's place.
-            Some(At { life, number }) if life == self.life && number < self.next => {
+            Some(FeedPosition { incarnation: life, number }) if life == self.life && number < self.next => {
                 (number + 1, number + 1 < oldest)
             }
             Some(_) => (oldest, true),
         };
-        let most = if wanted.most == 0 { MOST } else { wanted.most.min(MOST) };
+        let most = if wanted.limit == 0 { MOST } else { wanted.limit.min(MOST) };
         let (mut events, mut last) = (Vec::new(), from.saturating_sub(1));
         for event in self.events.iter().skip(from.saturating_sub(oldest) as usize) {
-            if wanted.takes(event) {
+            if wanted.matches(event) {
                 if events.len() == most {
                     break;
                 }
                 events.push(event.clone());
             }
-            last = event.place.number;
+            last = event.position.number;
+        }
+        EventPage {
+            events,
+            position: FeedPosition { incarnation: self.life, number: last },
+            missed,
+            now: Some(now),
         }
-        Told { events, at: At { life: self.life, number: last }, missed, now: Some(now) }
     }
 }
 
@@ -129,7 +134,7 @@
     fn feed(events: u64) -> Feed {
         let mut feed = Feed::new(7);
         for n in 0..events {
-            let kind = if n % 2 == 0 { Kind::ItemChosen } else { Kind::MemberJoined };
+            let kind = if n % 2 == 0 { EventKind::ItemChosen } else { EventKind::MemberJoined };
             feed.note(n as f64, kind, &format!("r:{n}"), n, String::new());
         }
         feed
@@ -140,13 +145,13 @@
         for most in [1, 3, 100] {
             let (feed, mut after, mut seen) = (feed(50), None, Vec::new());
             loop {
-                let told = feed.read(0.0, &Wanted { after, most, ..Wanted::default() });
+                let told = feed.read(0.0, &EventQuery { after, limit: most, ..EventQuery::default() });
                 assert!(!told.missed);
                 if told.events.is_empty() {
                     break;
                 }
-                seen.extend(told.events.iter().map(|event| event.place.number));
-                after = Some(told.at);
+                seen.extend(told.events.iter().map(|event| event.position.number));
+                after = Some(told.position);
             }
             assert_eq!(seen, (1..=50).collect::<Vec<_>>());
         }
@@ -156,8 +161,8 @@
     fn who_was_too_slow_or_comes_from_elsewhere_is_told_so() {
         let feed = feed(KEPT as u64 + 10);
         let read = |after: Option<(u64, u64)>| {
-            let after = after.map(|(life, number)| At { life, number });
-            feed.read(0.0, &Wanted { after, ..Wanted::default() })
+            let after = after.map(|(life, number)| FeedPosition { incarnation: life, number });
+            feed.read(0.0, &EventQuery { after, ..EventQuery::default() })
         };
         assert!(read(Some((7, 2))).missed && read(None).missed);
         assert!(!read(Some((7, 100))).missed);
@@ -169,9 +174,10 @@
     #[test]
     fn filters_pass_over_the_rest_and_the_cursor_goes_on() {
         let feed = feed(20);
-        let told = feed.read(0.0, &Wanted { kind: Some(Kind::MemberJoined), ..Wanted::default() });
-        assert_eq!((told.events.len(), told.at), (10, At { life: 7, number: 20 }));
-        let told = feed.read(0.0, &Wanted { what: "r:1".into(), ..Wanted::default() });
+        let told =
+            feed.read(0.0, &EventQuery { kind: Some(EventKind::MemberJoined), ..EventQuery::default() });
+        assert_eq!((told.events.len(), told.position), (10, FeedPosition { incarnation: 7, number: 20 }));
+        let told = feed.read(0.0, &EventQuery { subject_prefix: "r:1".into(), ..EventQuery::default() });
         assert_eq!(told.events.len(), 11);
         let ids: std::collections::BTreeSet<_> = told.events.iter().map(|event| event.id.clone()).collect();
         assert_eq!(ids.len(), 11);
@@ -189,8 +195,8 @@
             if n % 2 == 0
                 && let Some(last) = events.last()
             {
-                feed.kept(last.place.number);
-                given.extend(events.iter().map(|event| event.place.number));
+                feed.kept(last.position.number);
+                given.extend(events.iter().map(|event| event.position.number));
             }
         }
         assert_eq!(given, (1..=600).collect::<Vec<_>>());
@@ -202,10 +208,11 @@
         for n in 0..100_000 {
             feed.refused(f64::from(n) / 100.0, "config", "invalid: cut short");
         }
-        let told = feed.read(0.0, &Wanted::default());
+        let told = feed.read(0.0, &EventQuery::default());
         assert_eq!((told.events.len(), told.missed), (11, false));
         feed.refused(5000.0, "config", "invalid: cut short");
-        let told = feed.read(0.0, &Wanted { kind: Some(Kind::CallRefused), ..Wanted::default() });
+        let told =
+            feed.read(0.0, &EventQuery { kind: Some(EventKind::CallRefused), ..EventQuery::default() });
         assert!(told.events[10].cause.ends_with("(and 99990 that were not told)"), "{:?}", told.events[10]);
     }
 }
--- a/system/membership/src/hours.rs
+++ b/system/membership/src/hours.rs
@@ -3,7 +3,7 @@
 //! An order is a key like a tenant: the registry that holds the key's duty decides for it. That two may think so for a moment does
 //! no harm: the store writes a step only while all that was looked at still stands.
 
-use crate::feed::{Feed, Kind};
+use crate::feed::{EventKind, Feed};
 use crate::{Millis, Out, Round, duties};
 use fennelscale_config::{Copied, Fact, fact};
 use fennelscale_maintenance::clock::{Clock, Span};
@@ -13,7 +13,7 @@
 use fennelscale_maintenance::plan::{self, Next, Scene, Why};
 use fennelscale_maintenance::{CONTRACT, DRAIN, NIGHT, ORDER, counts};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Named};
+use fennelscale_messages::store::{Entry, NamedEntry};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A step that has no answer is decided anew after this: the store's own patience is less.
@@ -133,10 +133,10 @@
             let known = before.and_then(|night| night.nodes.get(node)).map_or(0, Vec::len);
             for (at, step) in steps.iter().enumerate().skip(known) {
                 let kind = match step.phase {
-                    Phase::Draining => Kind::NodeDraining,
-                    Phase::Out => Kind::NodeOut,
-                    Phase::Serviced => Kind::NodeServiced,
-                    Phase::Unserviced => Kind::NodeUnserviced,
+                    Phase::Draining => EventKind::NodeDraining,
+                    Phase::Out => EventKind::NodeOut,
+                    Phase::Serviced => EventKind::NodeServiced,
+                    Phase::Unserviced => EventKind::NodeUnserviced,
                 };
                 let mark = fennelscale_messages::hash(order.as_bytes()) ^ at as u64;
                 let cause = format!("order {order}, decided by {}: {}", step.by, step.why);
@@ -227,7 +227,7 @@
         let doubtful = !self.vouched.holds(now) || self.is_cut(now) || self.listing.stamp.0 == 0;
         let silent = self.counted(now).silent;
         let unheard =
-            self.seats.seats.iter().filter(|seat| seat.host != self.me && !self.alive(seat.host, now));
+            self.seats.members.iter().filter(|seat| seat.host != self.me && !self.alive(seat.host, now));
         let unheard = unheard.map(|seat| seat.zone.clone()).collect();
         let homes = self.hours.homes.get_or_insert_with(|| homes(&self.items)).clone();
         let evacuated = self.items.entries().iter().filter(|(_, entry)| entry.body.is_some());
@@ -256,7 +256,7 @@
             return;
         }
         self.hours.look_at = now + LOOK;
-        let seats: Vec<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
+        let seats: Vec<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
         let wrong = self.hours.clocks_may_err;
         self.hours.clock.settle(now, &seats, wrong);
         if self.hours.busy.is_some_and(|since| now - since < UNANSWERED) {
@@ -300,7 +300,7 @@
     }
 
     /// What would stand in the way of orders that a call brings, however long one waits. `changed`: items of the call.
-    pub fn rehearse(&mut self, now: Millis, changed: &[Named]) -> Vec<(String, Node, Why)> {
+    pub fn rehearse(&mut self, now: Millis, changed: &[NamedEntry]) -> Vec<(String, Node, Why)> {
         let mut scene = self.scene(now);
         let mut hours = Hours { contracts: std::mem::take(&mut scene.contracts), ..Hours::default() };
         changed.iter().for_each(|(name, entry)| hours.item(name, entry));
--- a/system/membership/src/leasing.rs
+++ b/system/membership/src/leasing.rs
@@ -3,9 +3,9 @@
 use crate::{Millis, Out, Peer, RESTED, Round, SILENT, duties};
 use fennelscale_config::Fact;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::Entry;
-use fennelscale_messages::news::{Down, Grant};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{Grant, RegistryToProxy};
+use fennelscale_messages::store::Entry;
 use fennelscale_quota_lease::{Ask, Counts, Sent, Terms};
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
         let draw = |host: &Host| {
             fennelscale_messages::mix(fennelscale_messages::hash(tenant.as_bytes()) ^ u64::from(host.0))
         };
-        let here = self.seats.seats.iter().filter(|seat| seat.region == self.zones.1).map(|seat| seat.host);
+        let here = self.seats.members.iter().filter(|seat| seat.region == self.zones.1).map(|seat| seat.host);
         let alive = here.filter(|host| *host == self.me || self.alive(*host, now));
         alive.max_by_key(draw).unwrap_or(self.me)
     }
@@ -49,8 +49,8 @@
         for sent in sent {
             match sent {
                 Sent::Down(proxy, grant) => match self.ways.get(&proxy) {
-                    Some(by) => self.out.push(Out::Send(*by, Word::Grant(proxy, grant))),
-                    None => self.out.push(Out::Down(proxy, Rc::new(Down::Grant(grant)))),
+                    Some(by) => self.out.push(Out::Send(*by, RegistryMessage::Grant(proxy, grant))),
+                    None => self.out.push(Out::Down(proxy, Rc::new(RegistryToProxy::Grant(grant)))),
                 },
                 Sent::Up(tenant, units, next, demand) => self.ask_holder(now, tenant, units, next, demand),
             }
@@ -64,7 +64,10 @@
                 let grant = self.count(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
                 self.relay_grant(now, grant);
             }
-            Some(host) => self.out.push(Out::Send(host, Word::Ask { from, tenant, units, next, demand })),
+            Some(host) => self.out.push(Out::Send(
+                host,
+                RegistryMessage::RequestUnits { from, tenant, units, next_window: next, demand },
+            )),
             None => {
                 let terms = self.terms.get(&tenant).copied().unwrap_or_default();
                 self.relay_grant(now, closed(&tenant, next, terms));
@@ -119,5 +122,5 @@
 /// Nobody grants now: the proxy is on its own until the window after next.
 fn closed(tenant: &str, next: bool, terms: Terms) -> Grant {
     let (tenant, ends) = (tenant.to_owned(), terms.window());
-    Grant { tenant, units: 0.0, window: 0, begins: 0.0, ends, next, closed: true }
+    Grant { tenant, units: 0.0, window: 0, begins_in: 0.0, ends_in: ends, next_window: next, closed: true }
 }
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -26,13 +26,15 @@
 pub mod streams;
 
 use duties::Duties;
-use feed::{Feed, Kind};
+use feed::{EventKind, Feed};
 use fennelscale_config::Copied;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::Seats;
-use fennelscale_messages::feed::{Event, Told, Wanted};
-use fennelscale_messages::news::{Backend, Down, Listing, Member, RegistryPlace, Up};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::feed::{Event, EventPage, EventQuery};
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{
+    Backend, BackendList, ProxyInfo, ProxyToRegistry, RegistryInfo, RegistryToProxy,
+};
+use fennelscale_messages::store::MemberList;
 use fennelscale_quota_lease::{Ask, Counts, Relay, Terms};
 use hours::Hours;
 use members::Members;
@@ -71,9 +73,9 @@
 #[derive(Clone, Debug)]
 pub enum Out {
     /// Sends a word to a registry.
-    Send(Host, Word),
+    Send(Host, RegistryMessage),
     /// Sends a word to a proxy.
-    Down(Host, Rc<Down>),
+    Down(Host, Rc<RegistryToProxy>),
     /// Reads the platform's list and tells [`Round::list_read`].
     ReadList,
     /// Has the store keep how many proxies there are, for registries that start anew.
@@ -85,9 +87,9 @@
     /// Gives the store events to keep, and tells [`Round::kept`] if it took them.
     Keep(Vec<Event>),
     /// Looks up what a reader at another registry wants, also what the store has of earlier lives, and sends it with that number.
-    WantEvents(Host, u64, Wanted),
+    WantEvents(Host, u64, EventQuery),
     /// Another registry's part of what a reader here wants.
-    Events(Host, u64, Told),
+    Events(Host, u64, EventPage),
     /// Asks the proxies here for a request and sends that registry what they know, with that number.
     WantRequest(Host, u64, u64),
     /// What proxies of another registry know of a request.
@@ -112,7 +114,7 @@
     life: u64,
     born: Millis,
     zones: (String, String),
-    seats: Seats,
+    seats: MemberList,
     peers: BTreeMap<Host, Peer>,
     members: Members,
     duties: Duties,
@@ -129,7 +131,7 @@
     told_fresh: bool,
     /// What was sent to proxies because their copies differed: comparisons asked for, and entries.
     resent: (u64, u64),
-    listing: Listing,
+    listing: BackendList,
     /// The highest number of a list that was heard of. Guards against lists that begin to count anew when all registries have
     /// started again: a proxy that lived on would take none of them.
     highest: u64,
@@ -166,7 +168,7 @@
             life,
             born: now,
             zones: (zone.to_owned(), region.to_owned()),
-            seats: Seats::default(),
+            seats: MemberList::default(),
             peers: BTreeMap::new(),
             members: Members::default(),
             duties: Duties::new(if bootstrap { f64::MIN } else { now }),
@@ -179,7 +181,7 @@
             vouched: copies::Vouched::never(now),
             told_fresh: false,
             resent: (0, 0),
-            listing: Listing::default(),
+            listing: BackendList::default(),
             highest: 0,
             read_at: now,
             told_heard: Vec::new(),
@@ -205,12 +207,12 @@
     }
 
     /// All proxies that are thought to be there.
-    pub fn members(&self, now: Millis) -> Vec<Member> {
+    pub fn members(&self, now: Millis) -> Vec<ProxyInfo> {
         self.members.all(now)
     }
 
     /// The newest list of backends.
-    pub fn listing(&self) -> &Listing {
+    pub fn listing(&self) -> &BackendList {
         &self.listing
     }
 
@@ -225,18 +227,18 @@
     }
 
     /// Where a client of a place should go: the proxies of its region that take clients, or all if there are none.
-    pub fn resolve(&self, now: Millis, region: &str) -> Vec<Member> {
-        let ready: Vec<Member> = self.members.all(now).into_iter().filter(|m| m.ready).collect();
-        let near: Vec<Member> = ready.iter().filter(|m| m.region == region).cloned().collect();
+    pub fn resolve(&self, now: Millis, region: &str) -> Vec<ProxyInfo> {
+        let ready: Vec<ProxyInfo> = self.members.all(now).into_iter().filter(|m| m.ready).collect();
+        let near: Vec<ProxyInfo> = ready.iter().filter(|m| m.region == region).cloned().collect();
         if near.is_empty() { ready } else { near }
     }
 
     fn majority(&self) -> usize {
-        self.seats.seats.len() / 2 + 1
+        self.seats.members.len() / 2 + 1
     }
 
     fn others(&self) -> BTreeSet<Host> {
-        let mut others: BTreeSet<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
+        let mut others: BTreeSet<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
         others.remove(&self.me);
         others
     }
@@ -250,10 +252,10 @@
     }
 
     /// The seats, as the store has them chosen.
-    pub fn seats(&mut self, now: Millis, seats: Seats) {
+    pub fn seats(&mut self, now: Millis, seats: MemberList) {
         if seats.version != self.seats.version {
-            let hosts: Vec<String> = seats.seats.iter().map(|seat| seat.host.to_string()).collect();
-            self.feed.note(now, Kind::SeatsChanged, "seats", seats.version, hosts.join(" "));
+            let hosts: Vec<String> = seats.members.iter().map(|seat| seat.host.to_string()).collect();
+            self.feed.note(now, EventKind::SeatsChanged, "seats", seats.version, hosts.join(" "));
         }
         self.seats = seats;
         self.tell_registries(now);
@@ -265,26 +267,26 @@
         self.tell(&Rc::new(self.registries(now)));
     }
 
-    fn registries(&self, now: Millis) -> Down {
-        let place = |host: Host, zone: &str, region: &str| RegistryPlace {
+    fn registries(&self, now: Millis) -> RegistryToProxy {
+        let place = |host: Host, zone: &str, region: &str| RegistryInfo {
             host,
             zone: zone.to_owned(),
             region: region.to_owned(),
-            heard: host == self.me || self.alive(host, now),
+            reachable: host == self.me || self.alive(host, now),
         };
-        let seats = self.seats.seats.iter().map(|seat| place(seat.host, &seat.zone, &seat.region));
-        let mut all: Vec<RegistryPlace> = seats.collect();
+        let seats = self.seats.members.iter().map(|seat| place(seat.host, &seat.zone, &seat.region));
+        let mut all: Vec<RegistryInfo> = seats.collect();
         if !all.iter().any(|known| known.host == self.me) {
             all.push(place(self.me, &self.zones.0, &self.zones.1));
         }
-        Down::Registries(all)
+        RegistryToProxy::Registries(all)
     }
 
     /// Time passes; to be told every 50 ms or so.
     pub fn tick(&mut self, now: Millis) {
         for host in self.members.expire(now) {
             self.out.push(Out::Close(host));
-            self.feed.note_own(now, Kind::MemberSilent, &host.to_string(), self.here());
+            self.feed.note_own(now, EventKind::MemberSilent, &host.to_string(), self.here());
             self.out.push(Out::Log("session-silent", format!("proxy={host}")));
         }
         self.look_vouched(now);
@@ -332,8 +334,8 @@
     /// Whether a machine has a registry, by the seats that are known; without any, nobody can say.
     pub fn is_registry(&self, host: Host) -> bool {
         host == self.me
-            || self.seats.seats.is_empty()
-            || self.seats.seats.iter().any(|seat| seat.host == host)
+            || self.seats.members.is_empty()
+            || self.seats.members.iter().any(|seat| seat.host == host)
     }
 
     /// Proxies with a session here.
@@ -384,11 +386,18 @@
         self.duties.sent(self.number, now);
         let (roll, listing) = (self.members.roll_hash(), self.listing.stamp);
         let highest = self.highest.max(listing.0);
-        let beat = Word::Beat { life: self.life, number: self.number, claims, roll, listing, highest };
+        let beat = RegistryMessage::Heartbeat {
+            incarnation: self.life,
+            number: self.number,
+            claims,
+            sessions_hash: roll,
+            list_stamp: listing,
+            highest_list: highest,
+        };
         for host in self.others() {
             self.out.push(Out::Send(host, beat.clone()));
         }
-        if self.seats.seats.iter().any(|seat| seat.host == self.me) {
+        if self.seats.members.iter().any(|seat| seat.host == self.me) {
             let granted = self.duties.vote(now, self.me, claims);
             self.duties.heard(self.me, self.number, granted);
         }
@@ -414,9 +423,9 @@
                 let what =
                     if 1 << key == duties::LIST { "list".to_owned() } else { format!("tenants-{key}") };
                 if gained & 1 << key != 0 {
-                    self.feed.note_own(now, Kind::DutyTaken, &what, self.here());
+                    self.feed.note_own(now, EventKind::DutyTaken, &what, self.here());
                 } else if lost & 1 << key != 0 {
-                    self.feed.note_own(now, Kind::DutyLost, &what, self.here());
+                    self.feed.note_own(now, EventKind::DutyLost, &what, self.here());
                 }
             }
         }
@@ -458,15 +467,15 @@
             return;
         }
         let stamp = (self.listing.stamp.0.max(self.highest) + 1, self.me);
-        let listing = Listing { stamp, backends };
+        let listing = BackendList { stamp, backends };
         self.take_listing(now, listing);
         let listing = self.listing.clone();
         for host in self.others() {
-            self.out.push(Out::Send(host, Word::Listing(listing.clone())));
+            self.out.push(Out::Send(host, RegistryMessage::BackendList(listing.clone())));
         }
     }
 
-    fn take_listing(&mut self, now: Millis, listing: Listing) {
+    fn take_listing(&mut self, now: Millis, listing: BackendList) {
         if listing.stamp <= self.listing.stamp {
             return;
         }
@@ -478,13 +487,20 @@
         // Whoever read it waits for the same.
         self.tell_list_from = self.tell_list_from.filter(|from| now < *from);
         self.listing = listing;
-        self.tell(&Rc::new(Down::Listing(self.listing.clone())));
+        self.tell(&Rc::new(RegistryToProxy::BackendList(self.listing.clone())));
     }
 
     /// A word from another registry.
-    pub fn word(&mut self, now: Millis, from: Host, word: Word) {
+    pub fn word(&mut self, now: Millis, from: Host, word: RegistryMessage) {
         match word {
-            Word::Beat { life, number, claims, roll, listing, highest } => {
+            RegistryMessage::Heartbeat {
+                incarnation: life,
+                number,
+                claims,
+                sessions_hash: roll,
+                list_stamp: listing,
+                highest_list: highest,
+            } => {
                 self.highest = self.highest.max(highest);
                 let known = self.peers.get(&from);
                 let wants_roll =
@@ -495,90 +511,132 @@
                 self.peers.insert(from, Peer { heard: now, life, claims });
                 self.members.heard_registry(from, now);
                 if wants_roll {
-                    self.out.push(Out::Send(from, Word::WantRoll));
+                    self.out.push(Out::Send(from, RegistryMessage::RequestSessions));
                 }
                 if listing > self.listing.stamp {
-                    self.out.push(Out::Send(from, Word::WantListing));
+                    self.out.push(Out::Send(from, RegistryMessage::RequestBackendList));
                 }
                 let granted = self.duties.vote(now, from, claims);
                 let wall = self.hours.wall(now);
-                self.out.push(Out::Send(from, Word::Heard { number, life, granted, wall }));
+                self.out.push(Out::Send(
+                    from,
+                    RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall },
+                ));
             }
-            Word::Heard { number, life, granted, wall } => {
-                if life == self.life && self.seats.seats.iter().any(|seat| seat.host == from) {
+            RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall } => {
+                if life == self.life && self.seats.members.iter().any(|seat| seat.host == from) {
                     if let (Some(wall), Some(sent)) = (wall, self.duties.sent_at(number)) {
                         self.hours.heard_time(from, sent, now, wall);
                     }
                     self.duties.heard(from, number, granted);
                 }
             }
-            Word::Roll { members, silent, alone } => self.members.roll(from, members, silent, alone, now),
-            Word::WantRoll => {
+            RegistryMessage::Sessions { proxies: members, silent, self_granted: alone } => {
+                self.members.roll(from, members, silent, alone, now)
+            }
+            RegistryMessage::RequestSessions => {
                 let (members, silent, alone) = self.members.own_roll();
-                self.out.push(Out::Send(from, Word::Roll { members, silent, alone }));
+                self.out.push(Out::Send(
+                    from,
+                    RegistryMessage::Sessions { proxies: members, silent, self_granted: alone },
+                ));
             }
-            Word::Listing(listing) => self.take_listing(now, listing),
-            Word::WantListing => {
+            RegistryMessage::BackendList(listing) => self.take_listing(now, listing),
+            RegistryMessage::RequestBackendList => {
                 let listing = self.listing.clone();
-                self.out.push(Out::Send(from, Word::Listing(listing)));
+                self.out.push(Out::Send(from, RegistryMessage::BackendList(listing)));
             }
-            Word::Ask { from: proxy, tenant, units, next, demand } => {
+            RegistryMessage::RequestUnits { from: proxy, tenant, units, next_window: next, demand } => {
                 let grant = self.count(now, Ask { tenant: &tenant, proxy, units, next, demand });
-                self.out.push(Out::Send(from, Word::Grant(proxy, grant)));
+                self.out.push(Out::Send(from, RegistryMessage::Grant(proxy, grant)));
             }
-            Word::AskNear { from: proxy, tenant, units, next, demand } => {
+            RegistryMessage::RequestUnitsFromRelay {
+                from: proxy,
+                tenant,
+                units,
+                next_window: next,
+                demand,
+            } => {
                 self.relay_ask(now, proxy, Some(from), &tenant, units, next, demand);
             }
-            Word::Grant(to, grant) if to == self.me => self.relay_grant(now, grant),
-            Word::Grant(proxy, grant) => self.out.push(Out::Down(proxy, Rc::new(Down::Grant(grant)))),
-            Word::Back { tenant, units, window } => {
+            RegistryMessage::Grant(to, grant) if to == self.me => self.relay_grant(now, grant),
+            RegistryMessage::Grant(proxy, grant) => {
+                self.out.push(Out::Down(proxy, Rc::new(RegistryToProxy::Grant(grant))))
+            }
+            RegistryMessage::ReturnUnits { tenant, units, window } => {
                 if self.held(now) & duties::bit_of(&tenant) != 0 {
                     self.counts.back(now, &tenant, units, window);
                 }
             }
-            Word::WantEvents(question, wanted) => self.out.push(Out::WantEvents(from, question, wanted)),
-            Word::Events(question, told) => self.out.push(Out::Events(from, question, told)),
-            Word::WantRequest(question, id) => self.out.push(Out::WantRequest(from, question, id)),
-            Word::Request(question, known) => self.out.push(Out::Request(from, question, known)),
+            RegistryMessage::RequestEvents(question, wanted) => {
+                self.out.push(Out::WantEvents(from, question, wanted))
+            }
+            RegistryMessage::Events(question, told) => self.out.push(Out::Events(from, question, told)),
+            RegistryMessage::LookUpRequest(question, id) => {
+                self.out.push(Out::WantRequest(from, question, id))
+            }
+            RegistryMessage::RequestRecords(question, known) => {
+                self.out.push(Out::Request(from, question, known))
+            }
         }
     }
 
     /// A word from a proxy of this registry's.
-    pub fn up(&mut self, now: Millis, from: Host, up: Up) {
+    pub fn up(&mut self, now: Millis, from: Host, up: ProxyToRegistry) {
         match up {
-            Up::Hello(member) => self.hello(now, member, None),
-            Up::Resume(member, parts) => self.hello(now, member, Some(&parts)),
-            Up::Have(parts) => self.on_have(now, from, &parts),
-            Up::Beat { ready, items, listing, alone } => {
+            ProxyToRegistry::Hello(member) => self.hello(now, member, None),
+            ProxyToRegistry::Resume(member, parts) => self.hello(now, member, Some(&parts)),
+            ProxyToRegistry::Digest(parts) => self.on_have(now, from, &parts),
+            ProxyToRegistry::Heartbeat {
+                ready,
+                items_hash: items,
+                list_stamp: listing,
+                self_granted: alone,
+            } => {
                 if self.members.alone(from, alone) {
                     self.beat_at = now;
                 }
                 self.on_up_beat(now, from, ready, items, listing);
             }
-            Up::Ask { tenant, units, next, demand } => {
+            ProxyToRegistry::RequestUnits { tenant, units, next_window: next, demand } => {
                 self.members.heard(from, now);
                 let near = self.near(now, &tenant);
                 if near == self.me {
                     self.relay_ask(now, from, None, &tenant, units, next, demand);
                 } else {
-                    self.out.push(Out::Send(near, Word::AskNear { from, tenant, units, next, demand }));
+                    self.out.push(Out::Send(
+                        near,
+                        RegistryMessage::RequestUnitsFromRelay {
+                            from,
+                            tenant,
+                            units,
+                            next_window: next,
+                            demand,
+                        },
+                    ));
                 }
             }
-            Up::Back { tenant, units, window } => match self.holder(now, duties::bit_of(&tenant)) {
-                Some(host) if host == self.me => self.counts.back(now, &tenant, units, window),
-                Some(host) => self.out.push(Out::Send(host, Word::Back { tenant, units, window })),
-                None => {}
-            },
-            Up::Quiet(nodes) => {
+            ProxyToRegistry::ReturnUnits { tenant, units, window } => {
+                match self.holder(now, duties::bit_of(&tenant)) {
+                    Some(host) if host == self.me => self.counts.back(now, &tenant, units, window),
+                    Some(host) => {
+                        self.out.push(Out::Send(host, RegistryMessage::ReturnUnits { tenant, units, window }))
+                    }
+                    None => {}
+                }
+            }
+            ProxyToRegistry::IdleNodes(nodes) => {
                 if self.members.quiet(from, nodes, now) {
                     self.beat_at = now;
                 }
             }
-            Up::Met(counts) => self.met(now, from, counts),
-            Up::Recalled(question, known) => self.out.push(Out::Recalled(from, question, known)),
-            Up::Bye => {
+            ProxyToRegistry::FailureCounts(counts) => self.met(now, from, counts),
+            ProxyToRegistry::RequestRecord(question, known) => {
+                self.out.push(Out::Recalled(from, question, known))
+            }
+            ProxyToRegistry::EndSession => {
                 self.members.bye(from, now);
-                self.feed.note_own(now, Kind::MemberLeft, &from.to_string(), "it said so".into());
+                self.feed.note_own(now, EventKind::MemberLeft, &from.to_string(), "it said so".into());
                 self.beat_at = now;
             }
         }
@@ -587,7 +645,7 @@
     /// A proxy's line is down.
     pub fn closed(&mut self, now: Millis, proxy: Host) {
         if self.members.closed(proxy, now) {
-            self.feed.note_own(now, Kind::MemberLeft, &proxy.to_string(), "its line is down".into());
+            self.feed.note_own(now, EventKind::MemberLeft, &proxy.to_string(), "its line is down".into());
             self.out.push(Out::Log("session-closed", format!("proxy={proxy}")));
             self.beat_at = now;
         }
--- a/system/membership/src/members.rs
+++ b/system/membership/src/members.rs
@@ -10,7 +10,7 @@
 use crate::copies::{Compared, Comparison, Standing};
 use crate::{Millis, SILENT};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Down, Member};
+use fennelscale_messages::session::{ProxyInfo, RegistryToProxy};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Debug)]
 struct Session {
-    member: Member,
+    member: ProxyInfo,
     heard: Millis,
     copy: Comparison,
     /// The keys of quotas that it spends by itself: their holders do not reach it.
@@ -55,7 +55,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Roll {
-    members: Vec<Member>,
+    members: Vec<ProxyInfo>,
     /// Whose sessions went silent there, and of how many each spends the part of one.
     silent: Vec<Parted>,
     /// Who spends by itself though it has a session there.
@@ -86,29 +86,31 @@
     version: u64,
     /// What was counted: at which version, until when it holds.
     counts: Cell<Option<Counted>>,
-    told: Option<Down>,
+    told: Option<RegistryToProxy>,
     told_at: Millis,
     /// Of what was looked at last, to tell: the version, the count, until when there is nothing new.
     looked: Option<(u64, u32, Millis)>,
 }
 
-fn roll_hash<'a>(members: impl Iterator<Item = &'a Member>, silent: &[Parted], alone: &[(Host, u64)]) -> u64 {
+fn roll_hash<'a>(
+    members: impl Iterator<Item = &'a ProxyInfo>, silent: &[Parted], alone: &[(Host, u64)],
+) -> u64 {
     let part = |(host, of): &Parted| u64::from(host.0) ^ u64::from(*of) << 32;
     let hash = silent.iter().fold(1, |hash, silent| fennelscale_messages::mix(hash ^ part(silent)));
     let hash = alone.iter().fold(hash, |hash, (host, keys)| {
         fennelscale_messages::mix(fennelscale_messages::mix(hash ^ u64::from(host.0)) ^ keys)
     });
     members.fold(hash, |hash, m| {
-        let text = format!("{}{:x}{}{}", m.host, m.life, m.port, m.ready);
+        let text = format!("{}{:x}{}{}", m.host, m.incarnation, m.port, m.ready);
         let hash = fennelscale_messages::mix(hash ^ fennelscale_messages::hash(text.as_bytes()));
-        m.quiet.iter().fold(hash, |hash, node| {
+        m.idle_nodes.iter().fold(hash, |hash, node| {
             fennelscale_messages::mix(hash ^ fennelscale_messages::hash(node.as_bytes()))
         })
     })
 }
 
 impl Members {
-    pub(crate) fn hello(&mut self, member: Member, now: Millis) {
+    pub(crate) fn hello(&mut self, member: ProxyInfo, now: Millis) {
         self.version += 1;
         self.silent.remove(&member.host);
         self.sessions
@@ -152,14 +154,14 @@
 
     /// The life of a proxy with a session here.
     pub(crate) fn life(&self, host: Host) -> Option<u64> {
-        self.sessions.get(&host).map(|session| session.member.life)
+        self.sessions.get(&host).map(|session| session.member.incarnation)
     }
 
     /// Where a proxy has nothing at work. Whether others should hear of a change.
     pub(crate) fn quiet(&mut self, host: Host, nodes: Vec<String>, now: Millis) -> bool {
         let Some(session) = self.sessions.get_mut(&host) else { return false };
         session.heard = now;
-        std::mem::replace(&mut session.member.quiet, nodes.clone()) != nodes
+        std::mem::replace(&mut session.member.idle_nodes, nodes.clone()) != nodes
     }
 
     pub(crate) fn bye(&mut self, host: Host, _now: Millis) {
@@ -207,7 +209,7 @@
     }
 
     /// Sessions here; who went silent, and who spends by itself.
-    pub(crate) fn own_roll(&self) -> (Vec<Member>, Vec<Parted>, Vec<(Host, u64)>) {
+    pub(crate) fn own_roll(&self) -> (Vec<ProxyInfo>, Vec<Parted>, Vec<(Host, u64)>) {
         let members = self.sessions.values().map(|session| session.member.clone());
         (members.collect(), self.own_silent(), self.own_alone())
     }
@@ -232,7 +234,7 @@
     }
 
     pub(crate) fn roll(
-        &mut self, registry: Host, members: Vec<Member>, mut silent: Vec<Parted>,
+        &mut self, registry: Host, members: Vec<ProxyInfo>, mut silent: Vec<Parted>,
         mut alone: Vec<(Host, u64)>, now: Millis,
     ) {
         self.version += 1;
@@ -274,12 +276,12 @@
     }
 
     /// All members, each once: a session here goes before what others say, a registry that is heard before one that is not.
-    pub fn all(&self, now: Millis) -> Vec<Member> {
+    pub fn all(&self, now: Millis) -> Vec<ProxyInfo> {
         self.each(now).into_values().map(|(_, member)| member.clone()).collect()
     }
 
-    fn each(&self, now: Millis) -> BTreeMap<Host, (Millis, &Member)> {
-        let mut all: BTreeMap<Host, (Millis, &Member)> = BTreeMap::new();
+    fn each(&self, now: Millis) -> BTreeMap<Host, (Millis, &ProxyInfo)> {
+        let mut all: BTreeMap<Host, (Millis, &ProxyInfo)> = BTreeMap::new();
         for roll in self.rolls.values() {
             for member in &roll.members {
                 let known = all.entry(member.host).or_insert((roll.heard, member));
@@ -363,11 +365,11 @@
         true
     }
 
-    pub(crate) fn is_news(&mut self, word: &Down, now: Millis) -> bool {
+    pub(crate) fn is_news(&mut self, word: &RegistryToProxy, now: Millis) -> bool {
         let news = self.told.as_ref() != Some(word) && now - self.told_at >= APART;
         if news {
             (self.told, self.told_at) = (Some(word.clone()), now);
-            if let Down::Members(_, count) = word {
+            if let RegistryToProxy::Proxies(_, count) = word {
                 self.tells(now, *count);
             }
         }
@@ -380,9 +382,17 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn member(host: u32, life: u64, ready: bool) -> Member {
+    fn member(host: u32, life: u64, ready: bool) -> ProxyInfo {
         let (zone, region) = ("a".to_owned(), "r".to_owned());
-        Member { host: Host(host), life, zone, region, port: 1, ready, quiet: Vec::new() }
+        ProxyInfo {
+            host: Host(host),
+            incarnation: life,
+            zone,
+            region,
+            port: 1,
+            ready,
+            idle_nodes: Vec::new(),
+        }
     }
 
     #[derive(Clone, Debug)]
@@ -456,7 +466,7 @@
                 apply(&mut looks, now, happens);
                 prop_assert_eq!(kept.counted(now), looks.count(now));
                 let count = kept.counted(now).all as u32;
-                let word = Down::Members(kept.all(now), count);
+                let word = RegistryToProxy::Proxies(kept.all(now), count);
                 let told = kept.may_have_news(now, count) && kept.is_news(&word, now);
                 prop_assert_eq!(told, looks.is_news(&word, now));
             }
--- a/system/membership/src/news.rs
+++ b/system/membership/src/news.rs
@@ -1,11 +1,11 @@
 //! What proxies are told: items, the list, members, and how gaps are mended.
 
 use crate::copies::Standing;
-use crate::feed::Kind;
+use crate::feed::EventKind;
 use crate::{Millis, Out, Round};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Named};
-use fennelscale_messages::news::{Backend, Down, Listing, Member};
+use fennelscale_messages::session::{Backend, BackendList, ProxyInfo, RegistryToProxy};
+use fennelscale_messages::store::{Entry, NamedEntry};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
 
 impl Round {
     /// Chosen entries from the store: all of them, or those that are new.
-    pub fn items(&mut self, now: Millis, whole: bool, entries: Vec<Named>) {
+    pub fn items(&mut self, now: Millis, whole: bool, entries: Vec<NamedEntry>) {
         let mut fresh = Vec::new();
         for (name, entry) in entries {
             self.set_terms(&name, &entry);
@@ -53,11 +53,15 @@
         }
         if !fresh.is_empty() {
             let vouched = self.vouched.holds(now);
-            self.tell(&Rc::new(Down::Items { whole: false, fresh: vouched, entries: fresh }));
+            self.tell(&Rc::new(RegistryToProxy::Items {
+                complete: false,
+                up_to_date: vouched,
+                entries: fresh,
+            }));
         }
     }
 
-    pub(crate) fn tell(&mut self, word: &Rc<Down>) {
+    pub(crate) fn tell(&mut self, word: &Rc<RegistryToProxy>) {
         for host in self.members.sessions() {
             self.out.push(Out::Down(host, word.clone()));
         }
@@ -65,37 +69,40 @@
 
     fn note_item(&mut self, now: Millis, name: &str, entry: &Entry) {
         let (kind, what) = match (name.strip_prefix("e:"), entry.body.is_some()) {
-            (Some(zone), true) => (Kind::ZoneEvacuated, zone),
+            (Some(zone), true) => (EventKind::ZoneEvacuated, zone),
             (Some(zone), false) => {
                 self.tell_list_from = Some(now + crate::RETURNED);
-                (Kind::ZoneBack, zone)
+                (EventKind::ZoneBack, zone)
             }
-            (None, true) => (Kind::ItemChosen, name),
-            (None, false) => (Kind::ItemDropped, name),
+            (None, true) => (EventKind::ItemChosen, name),
+            (None, false) => (EventKind::ItemDropped, name),
         };
         let stamp = entry.stamp;
         let cause = format!(
             "version {:08x}, written by {} in turn {}",
-            entry.revision, stamp.epoch.seat, stamp.epoch.round
+            entry.revision, stamp.term.leader, stamp.term.number
         );
         self.feed.note(now, kind, what, entry.revision, cause);
     }
 
-    pub(crate) fn note_listing(&mut self, now: Millis, listing: &Listing) {
+    pub(crate) fn note_listing(&mut self, now: Millis, listing: &BackendList) {
         let before: BTreeMap<&str, bool> =
             self.listing.backends.iter().map(|b| (b.id.as_str(), b.draining)).collect();
         let cause = format!("list {} read by {}", listing.stamp.0, listing.stamp.1);
         let mut events = Vec::new();
         for backend in &listing.backends {
             match before.get(backend.id.as_str()) {
-                None => events.push((Kind::BackendListed, backend.id.clone())),
-                Some(false) if backend.draining => events.push((Kind::BackendDraining, backend.id.clone())),
+                None => events.push((EventKind::BackendListed, backend.id.clone())),
+                Some(false) if backend.draining => {
+                    events.push((EventKind::BackendDraining, backend.id.clone()))
+                }
                 Some(_) => {}
             }
         }
         let stands = |id: &&str| listing.backends.iter().any(|b| b.id == **id);
-        events
-            .extend(before.into_keys().filter(|id| !stands(id)).map(|id| (Kind::BackendGone, id.to_owned())));
+        events.extend(
+            before.into_keys().filter(|id| !stands(id)).map(|id| (EventKind::BackendGone, id.to_owned())),
+        );
         for (kind, id) in events {
             self.feed.note(now, kind, &id, 0, cause.clone());
         }
@@ -115,18 +122,22 @@
             return;
         }
         self.told_fresh = vouched;
-        let kind = if vouched { Kind::CopyFresh } else { Kind::CopyDoubtful };
+        let kind = if vouched { EventKind::CopyFresh } else { EventKind::CopyDoubtful };
         self.feed.note_own(now, kind, &self.me.to_string(), "by the store's beats".into());
         if vouched {
             // Proxies that wait to be ready may be: what they hold is vouched for from now on.
-            self.tell(&Rc::new(Down::Items { whole: false, fresh: true, entries: Vec::new() }));
+            self.tell(&Rc::new(RegistryToProxy::Items {
+                complete: false,
+                up_to_date: true,
+                entries: Vec::new(),
+            }));
         }
     }
 
     /// What a proxy lacks, by the parts that it holds; all for one that holds nothing.
-    fn lacking(&self, now: Millis, parts: Option<&[u64]>) -> Down {
+    fn lacking(&self, now: Millis, parts: Option<&[u64]>) -> RegistryToProxy {
         let entries = self.items.differing(parts.unwrap_or_default());
-        Down::Items { whole: parts.is_none(), fresh: self.vouched.holds(now), entries }
+        RegistryToProxy::Items { complete: parts.is_none(), up_to_date: self.vouched.holds(now), entries }
     }
 
     /// A proxy tells what it holds, having been asked. What is only on its way is not sent again.
@@ -136,32 +147,35 @@
             return;
         }
         let word = self.lacking(now, Some(parts));
-        if let Down::Items { entries, .. } = &word {
+        if let RegistryToProxy::Items { entries, .. } = &word {
             self.resent.1 += entries.len() as u64;
         }
         self.out.push(Out::Down(from, Rc::new(word)));
     }
 
     /// A session begins; `parts` of the items are what its proxy holds already.
-    pub(crate) fn hello(&mut self, now: Millis, member: Member, parts: Option<&[u64]>) {
+    pub(crate) fn hello(&mut self, now: Millis, member: ProxyInfo, parts: Option<&[u64]>) {
         let host = member.host;
-        self.out
-            .push(Out::Log("session", format!("proxy={host} zone={} life={:x}", member.zone, member.life)));
+        self.out.push(Out::Log(
+            "session",
+            format!("proxy={host} zone={} life={:x}", member.zone, member.incarnation),
+        ));
         self.feed.note(
             now,
-            Kind::MemberJoined,
+            EventKind::MemberJoined,
             &host.to_string(),
-            member.life,
+            member.incarnation,
             format!("zone {}", member.zone),
         );
         self.members.hello(member, now);
         let members = self.members_word(now);
-        if let Down::Members(_, count) = &members {
+        if let RegistryToProxy::Proxies(_, count) = &members {
             self.members.tells(now, *count);
         }
         // The list last: with it a proxy is ready, and by then it knows with whom it shares the backends.
         let items = self.lacking(now, parts);
-        let words = [self.registries(now), members, items, Down::Listing(self.listing.clone())];
+        let words =
+            [self.registries(now), members, items, RegistryToProxy::BackendList(self.listing.clone())];
         self.out.extend(words.into_iter().map(|word| Out::Down(host, Rc::new(word))));
         // Others hear of it at once.
         self.beat_at = now;
@@ -175,31 +189,31 @@
         }
         let contact_age = self.contact_age(now) as u32;
         if let Some(time) = self.hours.time(now) {
-            self.out.push(Out::Down(from, Rc::new(Down::Time(time.earliest, time.latest))));
+            self.out.push(Out::Down(from, Rc::new(RegistryToProxy::Time(time.earliest, time.latest))));
         }
-        self.out.push(Out::Down(from, Rc::new(Down::Beat { contact_age })));
+        self.out.push(Out::Down(from, Rc::new(RegistryToProxy::Heartbeat { contact_age })));
         let standing = self.sums.standing(now, self.items.sum(), items);
         let compared = self.members.compare(from, now, standing);
         if let Some(lags) = compared.lags {
-            let kind = if lags { Kind::MemberLagging } else { Kind::MemberCurrent };
+            let kind = if lags { EventKind::MemberLagging } else { EventKind::MemberCurrent };
             let cause = format!("its items against those of registry {}", self.me);
             self.feed.note_own(now, kind, &from.to_string(), cause);
         }
         if compared.asks {
             self.resent.0 += 1;
-            self.out.push(Out::Down(from, Rc::new(Down::Compare)));
+            self.out.push(Out::Down(from, Rc::new(RegistryToProxy::RequestDigest)));
         }
         self.highest = self.highest.max(listing.0);
         if listing < self.listing.stamp {
-            let word = Rc::new(Down::Listing(self.listing.clone()));
+            let word = Rc::new(RegistryToProxy::BackendList(self.listing.clone()));
             self.out.push(Out::Down(from, word));
         }
     }
 
-    fn members_word(&self, now: Millis) -> Down {
+    fn members_word(&self, now: Millis) -> RegistryToProxy {
         // Where each has nothing at work is the registries' matter.
-        let members = self.members.all(now).into_iter().map(|m| Member { quiet: Vec::new(), ..m });
-        Down::Members(members.collect(), self.told_count(now))
+        let members = self.members.all(now).into_iter().map(|m| ProxyInfo { idle_nodes: Vec::new(), ..m });
+        RegistryToProxy::Proxies(members.collect(), self.told_count(now))
     }
 
     pub(crate) fn tell_members(&mut self, now: Millis) {
--- a/system/membership/src/quotas.rs
+++ b/system/membership/src/quotas.rs
@@ -1,8 +1,8 @@
 //! Events at the edges of quotas: spent, and back.
 
-use crate::feed::Kind;
+use crate::feed::EventKind;
 use crate::{Millis, Round};
-use fennelscale_messages::news::Grant;
+use fennelscale_messages::session::Grant;
 use std::collections::BTreeMap;
 
 /// When a tenant last got nothing of a window at hand, and of which window that was.
@@ -16,7 +16,7 @@
 impl Round {
     /// The count kept here was asked for units.
     pub(crate) fn quota_edge(&mut self, now: Millis, grant: &Grant) {
-        if grant.closed || grant.next || grant.units >= 1.0 {
+        if grant.closed || grant.next_window || grant.units >= 1.0 {
             return;
         }
         if let Some(spent) = self.spent.get_mut(&grant.tenant) {
@@ -24,7 +24,7 @@
         } else if self.spent.len() < MOST {
             self.spent.insert(grant.tenant.clone(), (now, grant.window));
             let cause = format!("window {} at registry {}, who holds its count", grant.window, self.me);
-            self.feed.note_own(now, Kind::QuotaSpent, &format!("t:{}", grant.tenant), cause);
+            self.feed.note_own(now, EventKind::QuotaSpent, &format!("t:{}", grant.tenant), cause);
         }
     }
 
@@ -36,7 +36,7 @@
         for (tenant, window) in back {
             self.spent.remove(&tenant);
             let cause = format!("nothing refused since window {window} at registry {}", self.me);
-            self.feed.note_own(now, Kind::QuotaBack, &format!("t:{tenant}"), cause);
+            self.feed.note_own(now, EventKind::QuotaBack, &format!("t:{tenant}"), cause);
         }
     }
 }
@@ -45,11 +45,12 @@
 mod tests {
     use super::*;
     use fennelscale_messages::Host;
-    use fennelscale_messages::feed::Wanted;
+    use fennelscale_messages::feed::EventQuery;
 
-    fn told(round: &Round) -> Vec<(Kind, String)> {
-        let told = round.feed().read(0.0, &Wanted { what: "t:".into(), ..Wanted::default() });
-        told.events.into_iter().map(|event| (event.kind, event.what)).collect()
+    fn told(round: &Round) -> Vec<(EventKind, String)> {
+        let told =
+            round.feed().read(0.0, &EventQuery { subject_prefix: "t:".into(), ..EventQuery::default() });
+        told.events.into_iter().map(|event| (event.kind, event.subject)).collect()
     }
 
     #[test]
@@ -59,9 +60,9 @@
             tenant: "x".into(),
             units,
             window: 3,
-            begins: 0.0,
-            ends: 100.0,
-            next,
+            begins_in: 0.0,
+            ends_in: 100.0,
+            next_window: next,
             closed,
         };
         // Something was granted; nothing was, but ahead, or by nobody.
@@ -73,10 +74,10 @@
             round.quota_edge(f64::from(n) * 100.0, &grant(0.0, false, false));
             round.quotas_back(f64::from(n) * 100.0);
         }
-        assert_eq!(told(&round), [(Kind::QuotaSpent, "t:x".to_owned())]);
+        assert_eq!(told(&round), [(EventKind::QuotaSpent, "t:x".to_owned())]);
         round.quotas_back(4900.0 + BACK);
         round.quotas_back(4900.0 + 2.0 * BACK);
-        let both = [(Kind::QuotaSpent, "t:x".to_owned()), (Kind::QuotaBack, "t:x".to_owned())];
+        let both = [(EventKind::QuotaSpent, "t:x".to_owned()), (EventKind::QuotaBack, "t:x".to_owned())];
         assert_eq!(told(&round), both);
         assert!(round.spent.is_empty());
     }
@@ -87,7 +88,15 @@
         for n in 0..3 * MOST {
             let (tenant, units) = (n.to_string(), 0.0);
             let ends = 100.0;
-            let grant = Grant { tenant, units, window: 0, begins: 0.0, ends, next: false, closed: false };
+            let grant = Grant {
+                tenant,
+                units,
+                window: 0,
+                begins_in: 0.0,
+                ends_in: ends,
+                next_window: false,
+                closed: false,
+            };
             round.quota_edge(0.0, &grant);
         }
         assert_eq!(round.spent.len(), MOST);
--- a/system/membership/src/status.rs
+++ b/system/membership/src/status.rs
@@ -11,7 +11,7 @@
         vec![
             ("registry", self.me.to_string()),
             ("zone", self.zones.0.clone()),
-            ("seats", self.seats.seats.len().to_string()),
+            ("seats", self.seats.members.len().to_string()),
             ("seats_version", self.seats.version.to_string()),
             ("registries_heard", alive.to_string()),
             ("copy_fresh", self.vouched.holds(now).to_string()),
--- a/system/membership/src/streams.rs
+++ b/system/membership/src/streams.rs
@@ -10,7 +10,7 @@
 //! - A cursor is a place in each registry's feed ([`Cursor`]): it is as good at any other gateway, and after a start of all.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::feed::{At, Event, Kind, Told};
+use fennelscale_messages::feed::{Event, EventKind, EventPage, FeedPosition};
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::fmt;
@@ -21,13 +21,13 @@
 
 /// How far a reader is in each registry's feed.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Cursor(pub BTreeMap<Host, At>);
+pub struct Cursor(pub BTreeMap<Host, FeedPosition>);
 
 impl fmt::Display for Cursor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, (host, at)) in self.0.iter().enumerate() {
             let dot = if n > 0 { "." } else { "" };
-            write!(f, "{dot}{:x}_{:x}-{}", host.0, at.life, at.number)?;
+            write!(f, "{dot}{:x}_{:x}-{}", host.0, at.incarnation, at.number)?;
         }
         Ok(())
     }
@@ -43,7 +43,10 @@
                 let (host, at) = part.split_once('_')?;
                 let (life, number) = at.split_once('-')?;
                 let life = u64::from_str_radix(life, 16).ok()?;
-                Some((Host(u32::from_str_radix(host, 16).ok()?), At { life, number: number.parse().ok()? }))
+                Some((
+                    Host(u32::from_str_radix(host, 16).ok()?),
+                    FeedPosition { incarnation: life, number: number.parse().ok()? },
+                ))
             };
             let (host, at) = place().ok_or(())?;
             all.insert(host, at);
@@ -70,7 +73,11 @@
 fn version(event: &Event) -> Option<u64> {
     let versioned = matches!(
         event.kind,
-        Kind::ItemChosen | Kind::ItemDropped | Kind::ZoneEvacuated | Kind::ZoneBack | Kind::SeatsChanged
+        EventKind::ItemChosen
+            | EventKind::ItemDropped
+            | EventKind::ZoneEvacuated
+            | EventKind::ZoneBack
+            | EventKind::SeatsChanged
     );
     let mark = event.id.rsplit_once('/').filter(|_| versioned)?.1;
     u64::from_str_radix(mark, 16).ok()
@@ -78,18 +85,18 @@
 
 struct Stream {
     host: Host,
-    told: Told,
+    told: EventPage,
     /// Events that are left, and how many are not.
     left: VecDeque<Event>,
     gone: usize,
     /// The place of each id, and where each thing's events are that are left.
     ids: HashMap<String, usize>,
     things: HashMap<String, VecDeque<usize>>,
-    place: At,
+    place: FeedPosition,
 }
 
 impl Stream {
-    fn new(host: Host, mut told: Told, before: Option<At>) -> Self {
+    fn new(host: Host, mut told: EventPage, before: Option<FeedPosition>) -> Self {
         let left: VecDeque<Event> = std::mem::take(&mut told.events).into();
         let (mut ids, mut things) =
             (HashMap::<String, usize>::new(), HashMap::<String, VecDeque<usize>>::new());
@@ -97,18 +104,21 @@
             // The second of an id in one stream is a repeat: it goes with the first.
             if let Entry::Vacant(place) = ids.entry(event.id.clone()) {
                 place.insert(n);
-                things.entry(event.what.clone()).or_default().push_back(n);
+                things.entry(event.subject.clone()).or_default().push_back(n);
             }
         }
-        let first = left.front().map(|event| At { number: event.place.number - 1, ..event.place });
-        let place = before.or(first).unwrap_or(told.at);
+        let first =
+            left.front().map(|event| FeedPosition { number: event.position.number - 1, ..event.position });
+        let place = before.or(first).unwrap_or(told.position);
         Self { host, told, left, gone: 0, ids, things, place }
     }
 
     /// How long ago its first event was; one of an earlier life longer than any of this one.
     fn age(&self) -> f64 {
         match (self.left.front(), self.told.now) {
-            (Some(event), Some(now)) if event.place.life == self.told.at.life => now - event.at,
+            (Some(event), Some(now)) if event.position.incarnation == self.told.position.incarnation => {
+                now - event.at
+            }
             (Some(_), _) => f64::INFINITY,
             (None, _) => f64::NEG_INFINITY,
         }
@@ -122,7 +132,7 @@
     /// Told, or told by another: no more of it here.
     fn over(&mut self, event: &Event) {
         let Some(place) = self.ids.get(&event.id) else { return };
-        if let Some(places) = self.things.get_mut(&event.what) {
+        if let Some(places) = self.things.get_mut(&event.subject) {
             places.retain(|other| other != place);
         }
     }
@@ -130,18 +140,18 @@
     /// Leaves out what has been told from the front on.
     fn skip(&mut self, seen: &HashSet<String>) {
         while let Some(event) = self.left.front().filter(|event| seen.contains(&event.id)) {
-            self.place = event.place;
+            self.place = event.position;
             self.left.pop_front();
             self.gone += 1;
         }
         if self.left.is_empty() {
-            self.place = self.told.at;
+            self.place = self.told.position;
         }
     }
 
     /// Whether it has an event of the same thing that comes before this one: by its version, else by its place here.
     fn goes_before(&self, event: &Event) -> bool {
-        let Some((first, other)) = self.first_of(&event.what) else { return false };
+        let Some((first, other)) = self.first_of(&event.subject) else { return false };
         match (version(other), version(event)) {
             (Some(other), Some(event)) => other < event,
             _ => self.ids.get(&event.id).is_some_and(|place| first < *place),
@@ -150,7 +160,7 @@
 }
 
 /// Joins what registries have told, after a cursor, to one answer of so many events at most.
-pub fn join(told: BTreeMap<Host, Told>, before: &Cursor, most: usize) -> Joined {
+pub fn join(told: BTreeMap<Host, EventPage>, before: &Cursor, most: usize) -> Joined {
     let mut joined = Joined { missed: told.values().any(|told| told.missed), ..Joined::default() };
     let mut streams: Vec<Stream> =
         told.into_iter().map(|(host, told)| Stream::new(host, told, before.0.get(&host).copied())).collect();
@@ -189,7 +199,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelscale_messages::feed::Wanted;
+    use fennelscale_messages::feed::EventQuery;
     use proptest::prelude::*;
 
     /// What one registry saw: of each thing versions in their order, some of them skipped, and things of its own.
@@ -199,11 +209,11 @@
         for (n, (thing, ahead, own)) in steps.iter().enumerate() {
             let at = n as f64 * 10.0;
             if *own {
-                feed.note_own(at, Kind::DutyTaken, &format!("tenants-{thing}"), String::new());
+                feed.note_own(at, EventKind::DutyTaken, &format!("tenants-{thing}"), String::new());
             } else {
                 versions[*thing] += ahead;
                 let what = format!("r:{thing}");
-                feed.note(at, Kind::ItemChosen, &what, versions[*thing], String::new());
+                feed.note(at, EventKind::ItemChosen, &what, versions[*thing], String::new());
             }
         }
         feed
@@ -229,7 +239,7 @@
                 let told = feeds.iter().enumerate().filter(|(n, _)| answers(*n)).map(|(n, feed)| {
                     let host = Host(n as u32);
                     let after = cursor.0.get(&host).copied();
-                    (host, feed.read(1000.0, &Wanted { after, ..Wanted::default() }))
+                    (host, feed.read(1000.0, &EventQuery { after, ..EventQuery::default() }))
                 });
                 let joined = join(told.collect(), &cursor, most);
                 prop_assert!(!joined.missed && (joined.events.is_empty() || joined.cursor != cursor), "no progress");
@@ -240,10 +250,10 @@
                     for (_, event) in &joined.events {
                         if let Some(version) = version(event) {
                             // What was told from behind may come again.
-                            let before = last.get(&event.what).copied().unwrap_or(0);
+                            let before = last.get(&event.subject).copied().unwrap_or(0);
                             let again = got.contains(&event.id);
                             prop_assert!(again || before < version, "{} after {}: {}", version, before, event.id);
-                            last.insert(event.what.clone(), version.max(before));
+                            last.insert(event.subject.clone(), version.max(before));
                         }
                     }
                 }
@@ -257,7 +267,7 @@
             }
             let got: HashSet<String> = got.into_iter().collect();
             for feed in &feeds {
-                let all = feed.read(1000.0, &Wanted::default());
+                let all = feed.read(1000.0, &EventQuery::default());
                 prop_assert!(all.events.iter().all(|event| got.contains(&event.id)), "one is missing");
             }
         }
@@ -276,12 +286,12 @@
     #[test]
     fn registries_that_disagree_hold_no_reader_up() {
         let (mut one, mut other) = (crate::feed::Feed::new(1), crate::feed::Feed::new(2));
-        one.note(1.0, Kind::ItemChosen, "r:a", 1, String::new());
-        one.note(2.0, Kind::ItemChosen, "r:a", 2, String::new());
-        other.note(1.0, Kind::ItemChosen, "r:a", 2, String::new());
-        other.note(2.0, Kind::ItemChosen, "r:a", 1, String::new());
+        one.note(1.0, EventKind::ItemChosen, "r:a", 1, String::new());
+        one.note(2.0, EventKind::ItemChosen, "r:a", 2, String::new());
+        other.note(1.0, EventKind::ItemChosen, "r:a", 2, String::new());
+        other.note(2.0, EventKind::ItemChosen, "r:a", 1, String::new());
         let told = [(Host(1), &one), (Host(2), &other)];
-        let told = told.map(|(host, feed)| (host, feed.read(9.0, &Wanted::default()))).into();
+        let told = told.map(|(host, feed)| (host, feed.read(9.0, &EventQuery::default()))).into();
         assert_eq!(join(told, &Cursor::default(), 10).events.len(), 2);
     }
 }
--- a/system/membership/tests/nights/mod.rs
+++ b/system/membership/tests/nights/mod.rs
@@ -3,9 +3,9 @@
 
 use crate::world::{TRUE, World, backend};
 use fennelscale_maintenance::night::{Night, Phase};
-use fennelscale_membership::feed::{Kind, Wanted};
+use fennelscale_membership::feed::{EventKind, EventQuery};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Down, Member, Up};
+use fennelscale_messages::session::{ProxyInfo, ProxyToRegistry, RegistryToProxy};
 
 const CONTRACT: &str = r#"{"name":"n","revision":"00000001","timeZone":"UTC","hours":[{"days":["wed"],"from":"22:00:20","to":"22:02:00"}],"places":["r0","r1","r2"],"approvedBy":"a"}"#;
 const ORDER: &str = r#"{"name":"o","revision":"00000001","contract":"n","nodes":["backend:s0","backend:s1","proxy:0.0.0.101"],"length":"3s","backBefore":"10s","state":"running","approvedBy":"a"}"#;
@@ -25,21 +25,30 @@
             world.nodes[at].as_ref().unwrap().members(world.now).iter().any(|m| m.host == Host(100 + n));
         let (zone, region) = (format!("z{n}"), format!("r{}", n % 3));
         let quiet = quiet.to_vec();
-        let member = Member {
+        let member = ProxyInfo {
             host: Host(100 + n),
-            life: 1,
+            incarnation: 1,
             zone,
             region,
             port: 80,
             ready: true,
-            quiet: quiet.clone(),
+            idle_nodes: quiet.clone(),
         };
         world.with(at, |round, now| {
             if !known {
-                round.up(now, member.host, Up::Hello(member.clone()));
+                round.up(now, member.host, ProxyToRegistry::Hello(member.clone()));
             }
-            round.up(now, member.host, Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 });
-            round.up(now, member.host, Up::Quiet(quiet));
+            round.up(
+                now,
+                member.host,
+                ProxyToRegistry::Heartbeat {
+                    ready: true,
+                    items_hash: 0,
+                    list_stamp: (0, Host(0)),
+                    self_granted: 0,
+                },
+            );
+            round.up(now, member.host, ProxyToRegistry::IdleNodes(quiet));
         });
     }
 }
@@ -98,8 +107,8 @@
         }
         // The feed of any registry tells each step once.
         let feed = world.nodes[(killed + 1) % 6].as_ref().unwrap().feed();
-        for kind in [Kind::NodeDraining, Kind::NodeOut, Kind::NodeServiced] {
-            let told = feed.read(0.0, &Wanted { kind: Some(kind), ..Wanted::default() });
+        for kind in [EventKind::NodeDraining, EventKind::NodeOut, EventKind::NodeServiced] {
+            let told = feed.read(0.0, &EventQuery { kind: Some(kind), ..EventQuery::default() });
             assert_eq!(told.events.len(), 3, "seed {seed}");
         }
     }
@@ -116,7 +125,7 @@
     go(&mut world, 45_000.0);
     assert!(!world.written.is_empty());
     let told = world.downs.iter().filter_map(|(.., word)| match **word {
-        Down::Time(earliest, latest) => Some((earliest, latest)),
+        RegistryToProxy::Time(earliest, latest) => Some((earliest, latest)),
         _ => None,
     });
     let told: Vec<_> = told.collect();
--- a/system/membership/tests/registries.rs
+++ b/system/membership/tests/registries.rs
@@ -6,9 +6,11 @@
 
 use fennelscale_membership::{BEAT, READ, RETURNED, SILENT, duties};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Stamp};
-use fennelscale_messages::news::{CONTACT_LEASE, Down, Listing, Member, Up};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{
+    BackendList, CONTACT_LEASE, ProxyInfo, ProxyToRegistry, RegistryToProxy,
+};
+use fennelscale_messages::store::{Entry, Stamp};
 use std::collections::BTreeSet;
 use world::{World, host};
 
@@ -57,20 +59,27 @@
     assert_eq!(world.held(), ALL);
 }
 
-fn member(n: u32, ready: bool) -> Member {
+fn member(n: u32, ready: bool) -> ProxyInfo {
     let (zone, region) = (format!("z{}", n % 6), format!("r{}", n % 3));
-    Member { host: Host(100 + n), life: 1, zone, region, port: 80, ready, quiet: Vec::new() }
+    ProxyInfo { host: Host(100 + n), incarnation: 1, zone, region, port: 80, ready, idle_nodes: Vec::new() }
 }
 
 #[test]
 fn a_session_makes_a_member_everywhere_and_a_cut_core_still_answers() {
     let mut world = World::new(1, 6);
     for n in 0..6_u32 {
-        world.with(n as usize, |round, now| round.up(now, Host(100 + n), Up::Hello(member(n, true))));
+        world.with(n as usize, |round, now| {
+            round.up(now, Host(100 + n), ProxyToRegistry::Hello(member(n, true)))
+        });
     }
     let beat = |world: &mut World| {
         for n in 0..6_u32 {
-            let up = Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 };
+            let up = ProxyToRegistry::Heartbeat {
+                ready: true,
+                items_hash: 0,
+                list_stamp: (0, Host(0)),
+                self_granted: 0,
+            };
             world.with(n as usize, |round, now| round.up(now, Host(100 + n), up));
         }
     };
@@ -96,7 +105,7 @@
     // A proxy that says goodbye is gone at once; one that is silent counts for shares for a while.
     world.cut.clear();
     world.run(1000.0);
-    world.with(0, |round, now| round.up(now, Host(100), Up::Bye));
+    world.with(0, |round, now| round.up(now, Host(100), ProxyToRegistry::EndSession));
     world.run(2500.0);
     let round = world.nodes[1].as_ref().unwrap();
     assert!(round.members(world.now).iter().all(|m| m.host != Host(100)));
@@ -115,8 +124,8 @@
         assert!(round.listing().backends[0].draining, "the news has reached all");
     }
     let newest = world.nodes[0].as_ref().unwrap().listing().clone();
-    let old = Listing { stamp: (newest.stamp.0 - 1, Host(99)), backends: Vec::new() };
-    world.with(0, |round, now| round.word(now, host(1), Word::Listing(old)));
+    let old = BackendList { stamp: (newest.stamp.0 - 1, Host(99)), backends: Vec::new() };
+    world.with(0, |round, now| round.word(now, host(1), RegistryMessage::BackendList(old)));
     assert_eq!(*world.nodes[0].as_ref().unwrap().listing(), newest);
 }
 
@@ -129,7 +138,7 @@
     let before = stamp(&world);
     world.run(3000.0);
     assert_eq!(stamp(&world), before, "nothing has changed");
-    let dropped = Entry { stamp: Stamp { turn: 7, ..Stamp::default() }, revision: 2, ..Entry::default() };
+    let dropped = Entry { stamp: Stamp { sequence: 7, ..Stamp::default() }, revision: 2, ..Entry::default() };
     for n in 0..6 {
         world.with(n, |round, now| round.items(now, false, vec![("e:z1".into(), dropped.clone())]));
     }
@@ -152,8 +161,8 @@
         // A reading begins; before it ends a list of another registry comes.
         round.tick(now + 2000.0);
         assert!(round.outs().iter().any(|out| matches!(out, fennelscale_membership::Out::ReadList)));
-        let newer = Listing { stamp: (round.listing().stamp.0 + 1, Host(99)), backends: Vec::new() };
-        round.word(now + 2010.0, host(1), Word::Listing(newer.clone()));
+        let newer = BackendList { stamp: (round.listing().stamp.0 + 1, Host(99)), backends: Vec::new() };
+        round.word(now + 2010.0, host(1), RegistryMessage::BackendList(newer.clone()));
         round.list_read(now + 2020.0, Some(vec![]));
         round.outs();
         assert_eq!(*round.listing(), newer);
@@ -168,16 +177,20 @@
     let mut world = World::new(4, 6);
     // Its list is of before the start of all: of a higher number than any that is read now.
     let old = (40, Host(3));
-    world.with(2, |round, now| round.up(now, Host(102), Up::Hello(member(2, true))));
+    world.with(2, |round, now| round.up(now, Host(102), ProxyToRegistry::Hello(member(2, true))));
     for _ in 0..8 {
         world.with(2, |round, now| {
-            round.up(now, Host(102), Up::Beat { ready: true, items: 0, listing: old, alone: 0 })
+            round.up(
+                now,
+                Host(102),
+                ProxyToRegistry::Heartbeat { ready: true, items_hash: 0, list_stamp: old, self_granted: 0 },
+            )
         });
         world.run(400.0);
     }
     let newer = world.downs.iter().any(|(_, to, word)| {
         *to == Host(102)
-            && matches!(&**word, fennelscale_messages::news::Down::Listing(listing) if listing.stamp > old)
+            && matches!(&**word, fennelscale_messages::session::RegistryToProxy::BackendList(listing) if listing.stamp > old)
     });
     assert!(newer, "it hears of a list that it takes");
     let stamps: BTreeSet<_> = world.nodes.iter().flatten().map(|r| r.listing().stamp).collect();
@@ -188,19 +201,28 @@
 }
 
 /// Whether a word is a beat whose sender's contact has been lost for longer than proxies go by it.
-fn is_out_of_contact(word: &Down) -> bool {
-    matches!(word, Down::Beat { contact_age } if f64::from(*contact_age) > CONTACT_LEASE)
+fn is_out_of_contact(word: &RegistryToProxy) -> bool {
+    matches!(word, RegistryToProxy::Heartbeat { contact_age } if f64::from(*contact_age) > CONTACT_LEASE)
 }
 
 #[test]
 fn a_registry_that_is_cut_off_tells_its_proxies_to_look_elsewhere() {
     let mut world = World::new(6, 6);
-    world.with(0, |round, now| round.up(now, Host(100), Up::Hello(member(0, true))));
+    world.with(0, |round, now| round.up(now, Host(100), ProxyToRegistry::Hello(member(0, true))));
     let told = |world: &mut World| {
         world.downs.clear();
         world.with(0, |round, now| {
             round.fresh(now, true);
-            round.up(now, Host(100), Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 });
+            round.up(
+                now,
+                Host(100),
+                ProxyToRegistry::Heartbeat {
+                    ready: true,
+                    items_hash: 0,
+                    list_stamp: (0, Host(0)),
+                    self_granted: 0,
+                },
+            );
         });
         world.downs.iter().any(|(.., word)| is_out_of_contact(word))
     };
@@ -220,10 +242,12 @@
 #[test]
 fn proxies_are_told_which_registries_are_heard() {
     let mut world = World::new(6, 6);
-    world.with(1, |round, now| round.up(now, Host(100), Up::Hello(member(0, true))));
+    world.with(1, |round, now| round.up(now, Host(100), ProxyToRegistry::Hello(member(0, true))));
     let heard = |world: &World| {
         world.downs.iter().rev().find_map(|(.., word)| match &**word {
-            Down::Registries(places) => Some(places.iter().filter(|place| place.heard).count()),
+            RegistryToProxy::Registries(places) => {
+                Some(places.iter().filter(|place| place.reachable).count())
+            }
             _ => None,
         })
     };
@@ -232,7 +256,12 @@
         world.downs.clear();
         for _ in 0..6 {
             world.run(400.0);
-            let up = Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 };
+            let up = ProxyToRegistry::Heartbeat {
+                ready: true,
+                items_hash: 0,
+                list_stamp: (0, Host(0)),
+                self_granted: 0,
+            };
             world.with(1, |round, now| round.up(now, Host(100), up));
         }
     };
@@ -256,10 +285,19 @@
 #[test]
 fn a_registry_whose_store_has_forgotten_all_tells_its_proxies_to_look_elsewhere() {
     let mut round = fennelscale_membership::Round::new(host(5), 9, "z5", "r2", false, 0.0);
-    round.up(10.0, Host(100), Up::Hello(member(0, true)));
+    round.up(10.0, Host(100), ProxyToRegistry::Hello(member(0, true)));
     let mut told = |now: f64| {
         round.tick(now);
-        round.up(now, Host(100), Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 });
+        round.up(
+            now,
+            Host(100),
+            ProxyToRegistry::Heartbeat {
+                ready: true,
+                items_hash: 0,
+                list_stamp: (0, Host(0)),
+                self_granted: 0,
+            },
+        );
         round
             .outs()
             .iter()
@@ -280,13 +318,18 @@
     let mut world = World::new(6, 6);
     world.with(0, |round, now| {
         round.fresh(now, true);
-        round.up(now, Host(100), Up::Hello(member(0, true)));
+        round.up(now, Host(100), ProxyToRegistry::Hello(member(0, true)));
     });
     let mut told = Vec::new();
     for _ in 0..6 {
         world.run(400.0);
         world.downs.clear();
-        let up = Up::Beat { ready: true, items: 0, listing: (0, Host(0)), alone: 0 };
+        let up = ProxyToRegistry::Heartbeat {
+            ready: true,
+            items_hash: 0,
+            list_stamp: (0, Host(0)),
+            self_granted: 0,
+        };
         world.with(0, |round, now| round.up(now, Host(100), up));
         told.push(world.downs.iter().any(|(.., word)| is_out_of_contact(word)));
     }
@@ -294,8 +337,8 @@
     assert_eq!(told[4..], [true; 2], "every other registry is heard, and its own store is not");
     // A proxy that starts is not made ready by such a registry.
     world.downs.clear();
-    world.with(0, |round, now| round.up(now, Host(101), Up::Hello(member(1, false))));
-    let vouches = |word: &Down| matches!(word, Down::Items { fresh: true, .. });
+    world.with(0, |round, now| round.up(now, Host(101), ProxyToRegistry::Hello(member(1, false))));
+    let vouches = |word: &RegistryToProxy| matches!(word, RegistryToProxy::Items { up_to_date: true, .. });
     assert!(!world.downs.iter().any(|(.., word)| vouches(word)));
 }
 
@@ -303,7 +346,7 @@
 fn route_entry(number: u64) -> (String, Entry) {
     let name = format!("r:r{}", number % 500);
     let body = format!(r#"{{"name":"r{}","padding":"{}"}}"#, number % 500, "x".repeat(300));
-    let stamp = Stamp { turn: number, ..Stamp::default() };
+    let stamp = Stamp { sequence: number, ..Stamp::default() };
     (name, Entry { stamp, revision: number, body: Some(body), ..Entry::default() })
 }
 
@@ -320,7 +363,7 @@
     let mut round = fennelscale_membership::Round::new(host(0), 9, "z0", "r0", false, 0.0);
     round.items(0.0, true, (0..500).map(route_entry).collect());
     round.fresh(0.0, true);
-    round.up(0.0, Host(100), Up::Hello(member(0, true)));
+    round.up(0.0, Host(100), ProxyToRegistry::Hello(member(0, true)));
     let mut copy = fennelscale_config::Copied::default();
     let (mut on_their_way, mut words) = (std::collections::VecDeque::new(), Vec::new());
     for step in 0..200_u64 {
@@ -330,11 +373,20 @@
         }
         if step % 8 == 0 {
             let items = copy.sum();
-            round.up(now, Host(100), Up::Beat { ready: true, items, listing: (0, Host(0)), alone: 0 });
+            round.up(
+                now,
+                Host(100),
+                ProxyToRegistry::Heartbeat {
+                    ready: true,
+                    items_hash: items,
+                    list_stamp: (0, Host(0)),
+                    self_granted: 0,
+                },
+            );
         }
         for out in round.outs() {
             if let fennelscale_membership::Out::Down(_, word) = out
-                && let Down::Items { entries, .. } = &*word
+                && let RegistryToProxy::Items { entries, .. } = &*word
             {
                 words.push(entries.len());
                 on_their_way.push_back((now + LAG, entries.clone()));
@@ -363,7 +415,7 @@
     let mut round = fennelscale_membership::Round::new(host(0), 9, "z0", "r0", false, 0.0);
     round.items(0.0, true, (0..500).map(route_entry).collect());
     round.fresh(0.0, true);
-    round.up(0.0, Host(100), Up::Hello(member(0, true)));
+    round.up(0.0, Host(100), ProxyToRegistry::Hello(member(0, true)));
     let mut copy = fennelscale_config::Copied::default();
     let (mut told, mut whole_since) = (0, None);
     for step in 0..120_u64 {
@@ -373,20 +425,31 @@
         }
         if step % 8 == 0 {
             let items = copy.sum();
-            round.up(now, Host(100), Up::Beat { ready: true, items, listing: (0, Host(0)), alone: 0 });
+            round.up(
+                now,
+                Host(100),
+                ProxyToRegistry::Heartbeat {
+                    ready: true,
+                    items_hash: items,
+                    list_stamp: (0, Host(0)),
+                    self_granted: 0,
+                },
+            );
         }
         for out in round.outs() {
             let fennelscale_membership::Out::Down(_, word) = out else { continue };
             match &*word {
                 // The line was full just then.
-                Down::Items { entries, .. } if step == 10 && entries.len() == 1 => {}
-                Down::Items { entries, .. } => {
+                RegistryToProxy::Items { entries, .. } if step == 10 && entries.len() == 1 => {}
+                RegistryToProxy::Items { entries, .. } => {
                     told += entries.len();
                     entries.iter().for_each(|(name, entry)| {
                         copy.take(name, entry);
                     });
                 }
-                Down::Compare => round.up(now, Host(100), Up::Have(copy.parts().to_vec())),
+                RegistryToProxy::RequestDigest => {
+                    round.up(now, Host(100), ProxyToRegistry::Digest(copy.parts().to_vec()))
+                }
                 _ => {}
             }
         }
@@ -410,10 +473,10 @@
         copy.take(&name, &entry);
     });
     round.items(10.0, false, vec![route_entry(507)]);
-    round.up(20.0, Host(100), Up::Resume(member(0, true), copy.parts().to_vec()));
+    round.up(20.0, Host(100), ProxyToRegistry::Resume(member(0, true), copy.parts().to_vec()));
     let items = round.outs().into_iter().find_map(|out| match out {
         fennelscale_membership::Out::Down(_, word) => match &*word {
-            Down::Items { fresh, entries, .. } => Some((*fresh, entries.clone())),
+            RegistryToProxy::Items { up_to_date: fresh, entries, .. } => Some((*fresh, entries.clone())),
             _ => None,
         },
         _ => None,
@@ -429,10 +492,10 @@
     let mut round = fennelscale_membership::Round::new(host(0), 9, "z0", "r0", false, 0.0);
     round.fresh(0.0, true);
     round.tick(3000.0);
-    round.up(3010.0, Host(100), Up::Hello(member(0, false)));
+    round.up(3010.0, Host(100), ProxyToRegistry::Hello(member(0, false)));
     let vouched = |round: &mut fennelscale_membership::Round| {
         round.outs().into_iter().any(|out| {
-            matches!(out, fennelscale_membership::Out::Down(_, word) if matches!(&*word, Down::Items { fresh: true, .. }))
+            matches!(out, fennelscale_membership::Out::Down(_, word) if matches!(&*word, RegistryToProxy::Items { up_to_date: true, .. }))
         })
     };
     assert!(!vouched(&mut round));
--- a/system/membership/tests/world/mod.rs
+++ b/system/membership/tests/world/mod.rs
@@ -4,10 +4,10 @@
 use fennelscale_membership::hours::Write;
 use fennelscale_membership::{Out, Round};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Seat, Seats};
 use fennelscale_messages::mix;
-use fennelscale_messages::news::{Backend, Down};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{Backend, RegistryToProxy};
+use fennelscale_messages::store::{Entry, Member, MemberList};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -21,9 +21,9 @@
     seed: u64,
     pub nodes: Vec<Option<Round>>,
     lives: Vec<u64>,
-    wire: Vec<(f64, usize, usize, Word, u64)>,
+    wire: Vec<(f64, usize, usize, RegistryMessage, u64)>,
     pub cut: BTreeSet<(usize, usize)>,
-    pub downs: Vec<(usize, Host, Rc<Down>)>,
+    pub downs: Vec<(usize, Host, Rc<RegistryToProxy>)>,
     pub reads: usize,
     /// How far each machine's time of day is from true time.
     pub walls: Vec<f64>,
@@ -59,9 +59,9 @@
     Host(n as u32 + 1)
 }
 
-pub fn seats(n: usize) -> Seats {
-    let seat = |n| Seat { host: host(n), zone: format!("z{n}"), region: format!("r{}", n % 3) };
-    Seats { version: 1, seats: (0..n).map(seat).collect() }
+pub fn seats(n: usize) -> MemberList {
+    let seat = |n| Member { host: host(n), zone: format!("z{n}"), region: format!("r{}", n % 3) };
+    MemberList { version: 1, members: (0..n).map(seat).collect() }
 }
 
 impl World {
@@ -130,7 +130,7 @@
         for out in outs {
             match out {
                 Out::Send(to, word) => {
-                    self.bytes[0] += fennelscale_messages::frame(&word).len();
+                    self.bytes[0] += fennelscale_messages::encode_frame(&word).len();
                     let to = to.0 as usize - 1;
                     let way = if to % 3 == n % 3 { 1.0 } else { 55.0 } * (1.0 + self.chance());
                     if !self.cut.contains(&(n, to)) {
@@ -138,7 +138,7 @@
                     }
                 }
                 Out::Down(to, word) => {
-                    self.bytes[1] += fennelscale_messages::frame(&*word).len();
+                    self.bytes[1] += fennelscale_messages::encode_frame(&*word).len();
                     self.downs.push((n, to, word));
                 }
                 Out::ReadList => {
@@ -204,7 +204,7 @@
     pub fn put(&mut self, name: &str, body: Option<&str>) {
         let entry = self.store.entry(name.to_owned()).or_default();
         entry.revision += 1;
-        entry.stamp.turn += 1;
+        entry.stamp.sequence += 1;
         entry.body = body.map(str::to_owned);
         let named = vec![(name.to_owned(), entry.clone())];
         (0..self.nodes.len()).for_each(|n| self.with(n, |round, now| round.items(now, false, named.clone())));
--- a/system/messages/src/feed.rs
+++ b/system/messages/src/feed.rs
@@ -4,7 +4,7 @@
 
 /// What can happen. The list is closed; names and meanings stay, new ones may be added with a higher [`VERSION`].
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum EventKind {
     /// An item has a new version in force.
     ItemChosen,
     /// An item was dropped.
@@ -60,7 +60,7 @@
 /// The version of the list of kinds.
 pub const VERSION: u32 = 3;
 
-impl Kind {
+impl EventKind {
     /// All kinds.
     pub const ALL: [Self; 25] = [
         Self::ItemChosen,
@@ -124,9 +124,9 @@
 
 /// A place in the feed of one registry: a life of it, and the last event of that life that was told.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct At {
+pub struct FeedPosition {
     /// The registry's life; 0 is before all that is kept.
-    pub life: u64,
+    pub incarnation: u64,
     /// Counts up within it, from 1.
     pub number: u64,
 }
@@ -135,13 +135,13 @@
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub struct Event {
     /// Its place in the feed of the registry that saw it.
-    pub place: At,
+    pub position: FeedPosition,
     /// The same wherever it was seen.
     pub id: String,
     /// What happened.
-    pub kind: Kind,
+    pub kind: EventKind,
     /// To what: an item, a proxy, a backend, a duty, a zone. Events of one of these are told in their order.
-    pub what: String,
+    pub subject: String,
     /// Where, and what led to it.
     pub cause: String,
     /// When the registry saw it, in ms since its start.
@@ -150,31 +150,31 @@
 
 /// What a reader wants of one registry.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Default)]
-pub struct Wanted {
+pub struct EventQuery {
     /// Only what comes after; none for all that this life has in memory.
-    pub after: Option<At>,
+    pub after: Option<FeedPosition>,
     /// Only this kind.
-    pub kind: Option<Kind>,
+    pub kind: Option<EventKind>,
     /// Only what begins so.
-    pub what: String,
+    pub subject_prefix: String,
     /// No more than this; 0 for as many as an answer has at most.
-    pub most: usize,
+    pub limit: usize,
 }
 
-impl Wanted {
+impl EventQuery {
     /// Whether an event is one of those.
-    pub fn takes(&self, event: &Event) -> bool {
-        self.kind.is_none_or(|kind| kind == event.kind) && event.what.starts_with(&self.what)
+    pub fn matches(&self, event: &Event) -> bool {
+        self.kind.is_none_or(|kind| kind == event.kind) && event.subject.starts_with(&self.subject_prefix)
     }
 }
 
 /// What one registry has of it.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Default)]
-pub struct Told {
+pub struct EventPage {
     /// Events, oldest first.
     pub events: Vec<Event>,
     /// How far this goes, for the next question.
-    pub at: At,
+    pub position: FeedPosition,
     /// Events may have been missed since the place that was asked for.
     pub missed: bool,
     /// The registry's clock, by which events of this life are so old; none where they are of an earlier one.
--- a/system/messages/src/lib.rs
+++ b/system/messages/src/lib.rs
@@ -7,10 +7,10 @@
 //! Machines are known by their IPv4 address ([`Host`]): an empty machine at another address is another machine. Lives are
 //! told apart by a number drawn at the start of each process.
 
-pub mod depot;
 pub mod feed;
-pub mod news;
-pub mod round;
+pub mod registry;
+pub mod session;
+pub mod store;
 
 use bitcode::{Decode, Encode};
 use std::fmt;
@@ -18,9 +18,9 @@
 use thiserror::Error;
 
 /// The version of the words; raised with every change of one.
-pub const VERSION: u8 = 6;
+pub const PROTOCOL_VERSION: u8 = 6;
 /// The longest frame. A whole configuration of ten thousand routes fits; what is longer is no word of ours.
-pub const LONGEST: usize = 16 << 20;
+pub const MAX_FRAME_LENGTH: usize = 16 << 20;
 
 /// A machine, by its address.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
@@ -28,7 +28,7 @@
 
 impl Host {
     /// The machine at an address; none if that is not IPv4.
-    pub fn of(ip: IpAddr) -> Option<Self> {
+    pub fn from_ip(ip: IpAddr) -> Option<Self> {
         match ip {
             IpAddr::V4(ip) => Some(Self(ip.to_bits())),
             IpAddr::V6(_) => None,
@@ -49,7 +49,7 @@
 
 /// A frame that cannot be read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unreadable {
+pub enum FrameError {
     /// It is longer than any.
     #[error("a frame of {0} bytes")]
     TooLong(usize),
@@ -62,11 +62,11 @@
 }
 
 /// A value as a frame.
-pub fn frame<T: Encode>(value: &T) -> Vec<u8> {
+pub fn encode_frame<T: Encode>(value: &T) -> Vec<u8> {
     let body = bitcode::encode(value);
     let mut frame = Vec::with_capacity(body.len() + 5);
     frame.extend_from_slice(&(body.len() as u32 + 1).to_le_bytes());
-    frame.push(VERSION);
+    frame.push(PROTOCOL_VERSION);
     frame.extend_from_slice(&body);
     frame
 }
@@ -75,20 +75,20 @@
 ///
 /// # Errors
 /// When it is too long.
-pub fn length(head: [u8; 4]) -> Result<usize, Unreadable> {
+pub fn frame_length(head: [u8; 4]) -> Result<usize, FrameError> {
     let length = u32::from_le_bytes(head) as usize;
-    if length == 0 || length > LONGEST { Err(Unreadable::TooLong(length)) } else { Ok(length) }
+    if length == 0 || length > MAX_FRAME_LENGTH { Err(FrameError::TooLong(length)) } else { Ok(length) }
 }
 
 /// The value of a frame, without the four bytes of its length.
 ///
 /// # Errors
 /// When there is none in it.
-pub fn read<T: for<'a> Decode<'a>>(frame: &[u8]) -> Result<T, Unreadable> {
+pub fn decode_frame<T: for<'a> Decode<'a>>(frame: &[u8]) -> Result<T, FrameError> {
     match frame.split_first() {
-        Some((&VERSION, body)) => bitcode::decode(body).map_err(|_| Unreadable::Malformed),
-        Some((&version, _)) => Err(Unreadable::Version(version)),
-        None => Err(Unreadable::Malformed),
+        Some((&PROTOCOL_VERSION, body)) => bitcode::decode(body).map_err(|_| FrameError::Malformed),
+        Some((&version, _)) => Err(FrameError::Version(version)),
+        None => Err(FrameError::Malformed),
     }
 }
 
--- a/system/messages/src/news.rs
+++ b/system/messages/src/session.rs
@@ -1,7 +1,7 @@
 //! Words between a proxy and the registry that it has its session with, and what proxies pass on to each other.
 
 use crate::Host;
-use crate::depot::Named;
+use crate::store::NamedEntry;
 use bitcode::{Decode, Encode};
 
 /// Contact with the majority of the core that is older than this, in ms, counts as lost: five beats of registries, of which one may be
@@ -10,11 +10,11 @@
 
 /// A proxy.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Member {
+pub struct ProxyInfo {
     /// The machine.
     pub host: Host,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its zone.
     pub zone: String,
     /// Its region.
@@ -24,7 +24,7 @@
     /// Whether it takes clients.
     pub ready: bool,
     /// Nodes that are being drained and where it has nothing at work.
-    pub quiet: Vec<String>,
+    pub idle_nodes: Vec<String>,
 }
 
 /// One backend as the platform lists it.
@@ -48,7 +48,7 @@
 
 /// The platform's list, as it was read once.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Default)]
-pub struct Listing {
+pub struct BackendList {
     /// Counts up with each reading, over all readers; the reader tells two of the same apart.
     pub stamp: (u64, Host),
     /// All backends.
@@ -57,33 +57,33 @@
 
 /// From a proxy to a registry.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
-pub enum Up {
+pub enum ProxyToRegistry {
     /// A session begins.
-    Hello(Member),
+    Hello(ProxyInfo),
     /// Still here. What this proxy holds of the items and of the list.
-    Beat {
+    Heartbeat {
         /// Whether it takes clients.
         ready: bool,
         /// All its items in one hash.
-        items: u64,
+        items_hash: u64,
         /// The list that it has.
-        listing: (u64, Host),
+        list_stamp: (u64, Host),
         /// The keys of quotas that it spends by itself, since it is told that nobody grants them.
-        alone: u64,
+        self_granted: u64,
     },
     /// Units of a tenant, for the window at hand or the one after.
-    Ask {
+    RequestUnits {
         /// Whose.
         tenant: String,
         /// How many.
         units: f64,
         /// For the next window.
-        next: bool,
+        next_window: bool,
         /// Requests a ms that come here, smoothed: shares of what is scarce follow it.
         demand: f64,
     },
     /// Units that were not spent.
-    Back {
+    ReturnUnits {
         /// Whose.
         tenant: String,
         /// How many.
@@ -92,18 +92,18 @@
         window: u64,
     },
     /// All nodes that are being drained and where this proxy has nothing at work now.
-    Quiet(Vec<String>),
+    IdleNodes(Vec<String>),
     /// What this life of the proxy has counted of failure orders: of whom each names (named, failed, untouched), and how all other
     /// requests ended (served, refused, otherwise) before its time and in it.
-    Met(Vec<(String, [u64; 3], [[u64; 3]; 2])>),
+    FailureCounts(Vec<(String, [u64; 3], [[u64; 3]; 2])>),
     /// What this proxy did with a request that was asked for, as JSON; empty if it knows nothing of it.
-    Recalled(u64, String),
+    RequestRecord(u64, String),
     /// The session ends in order.
-    Bye,
+    EndSession,
     /// A session begins, of a proxy that holds a copy already: its items by parts. It is sent what differs.
-    Resume(Member, Vec<u64>),
-    /// What this proxy holds, by parts: the answer to [`Down::Compare`].
-    Have(Vec<u64>),
+    Resume(ProxyInfo, Vec<u64>),
+    /// What this proxy holds, by parts: the answer to [`RegistryToProxy::RequestDigest`].
+    Digest(Vec<u64>),
 }
 
 /// What was leased.
@@ -116,18 +116,18 @@
     /// Which window.
     pub window: u64,
     /// How long until it begins, in ms; 0 when it is at hand.
-    pub begins: f64,
+    pub begins_in: f64,
     /// How long until it ends, in ms.
-    pub ends: f64,
+    pub ends_in: f64,
     /// What was asked for was for the next window.
-    pub next: bool,
+    pub next_window: bool,
     /// Nobody grants at the moment: the holder has just changed.
     pub closed: bool,
 }
 
 /// A registry and where it is.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq)]
-pub struct RegistryPlace {
+pub struct RegistryInfo {
     /// The machine.
     pub host: Host,
     /// Its zone.
@@ -135,59 +135,59 @@
     /// Its region.
     pub region: String,
     /// The sender hears it: a proxy that has a session with the sender does not leave it for one that it does not hear.
-    pub heard: bool,
+    pub reachable: bool,
 }
 
 /// From a registry to a proxy.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
-pub enum Down {
+pub enum RegistryToProxy {
     /// Items: all that there are, or those that are new.
     Items {
         /// All.
-        whole: bool,
+        complete: bool,
         /// A quorum vouches for all of them as of now.
-        fresh: bool,
+        up_to_date: bool,
         /// The entries.
-        entries: Vec<Named>,
+        entries: Vec<NamedEntry>,
     },
     /// The list of backends.
-    Listing(Listing),
+    BackendList(BackendList),
     /// All proxies, and how many there are for shares: those that are silent count for a while. 0: nobody knows yet.
-    Members(Vec<Member>, u32),
+    Proxies(Vec<ProxyInfo>, u32),
     /// The registries.
-    Registries(Vec<RegistryPlace>),
+    Registries(Vec<RegistryInfo>),
     /// Units.
     Grant(Grant),
     /// An operator asks for a request, by the hash of its id. The first number comes back with the answer.
-    Recall(u64, u64),
+    LookUpRequest(u64, u64),
     /// True time lies between these, in ms since 1970: what is drained is drained until a moment.
     Time(f64, f64),
     /// Still here.
-    Beat {
+    Heartbeat {
         /// How long ago, in ms, the sender was last in contact with a majority of the core and held a copy as new as a quorum's.
         contact_age: u32,
     },
     /// The proxy's items are not what they should be: what it holds is asked for, by parts.
-    Compare,
+    RequestDigest,
 }
 
 /// From proxy to proxy: one whose session is down asks a few others for what it lacks.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
-pub enum Beside {
+pub enum ProxyMessage {
     /// What the sender holds: its items by parts, and its list.
-    Have {
+    Digest {
         /// Hashes of the items, by part of their names.
         items: Vec<u64>,
         /// The list.
-        listing: (u64, Host),
+        list_stamp: (u64, Host),
     },
     /// Items of the parts that differ, the list if it is newer, and the members.
-    News {
+    Update {
         /// Chosen entries.
-        entries: Vec<Named>,
+        entries: Vec<NamedEntry>,
         /// A newer list.
-        listing: Option<Listing>,
+        backend_list: Option<BackendList>,
         /// All proxies, and how many there are for shares.
-        members: (Vec<Member>, u32),
+        proxies: (Vec<ProxyInfo>, u32),
     },
 }
--- a/system/messages/src/depot.rs
+++ b/system/messages/src/store.rs
@@ -6,27 +6,27 @@
 
 /// Whose turn it is to write. Higher ones go before; two seats never have the same.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Epoch {
+pub struct Term {
     /// Counts up.
-    pub round: u64,
+    pub number: u64,
     /// The seat that writes.
-    pub seat: Host,
+    pub leader: Host,
 }
 
 /// When an entry was written: the order of all entries of one name.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Stamp {
     /// By whose turn.
-    pub epoch: Epoch,
+    pub term: Term,
     /// Which write of that turn.
-    pub turn: u64,
+    pub sequence: u64,
 }
 
 impl Stamp {
     /// The first stamp after this one. Who holds all that was written before it holds this write too.
     #[must_use]
-    pub fn following(self) -> Self {
-        Self { turn: self.turn + 1, ..self }
+    pub fn next(self) -> Self {
+        Self { sequence: self.sequence + 1, ..self }
     }
 }
 
@@ -42,16 +42,16 @@
     /// The item as it was sent; none when it was dropped.
     pub body: Option<String>,
     /// Versions before this one that were given to a content, in rising order: a call that arrives again is known by it.
-    pub history: Vec<VersionRecord>,
+    pub history: Vec<RevisionRecord>,
 }
 
 /// A version number and the content that it was given to.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, Hash)]
-pub struct VersionRecord {
+pub struct RevisionRecord {
     /// The operator's number.
     pub revision: u64,
     /// The hash of what was sent under it.
-    pub content: u64,
+    pub content_hash: u64,
 }
 
 /// A call that one store passes on to another. The life of the sender is part of it: an answer to a former life of a process is
@@ -59,13 +59,13 @@
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId {
     /// The sender's life.
-    pub life: u64,
+    pub incarnation: u64,
     /// The number of the call in that life.
     pub number: u64,
 }
 
 /// An entry and its name.
-pub type Named = (String, Entry);
+pub type NamedEntry = (String, Entry);
 
 /// A change that an operator asks for.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq, Hash)]
@@ -82,7 +82,7 @@
 
 /// What a caller wants of the store.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq)]
-pub enum Ask {
+pub enum StoreRequest {
     /// Items are to change, all or none.
     Change(Vec<Change>),
     /// A zone is to be emptied, or taken back. The number is the version that the store which took the call knew then: evacuations
@@ -92,20 +92,20 @@
     Read,
     /// A step of a maintenance order: records to be written or dropped, if all that has a say in it is still as it was when the step
     /// was decided (its versions in one number).
-    Step(u64, Vec<(String, Option<String>)>),
+    MaintenanceStep(u64, Vec<(String, Option<String>)>),
     /// Something that the system itself wants to know after its next start.
     Note(String, String),
 }
 
 /// How that went.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq)]
-pub enum Told {
+pub enum StoreResponse {
     /// It is done and stays done.
     Done,
     /// It is done: a copy that holds all that was chosen before this is new enough.
     Fresh(Stamp),
     /// The items that stand.
-    Items(Vec<Named>),
+    Items(Vec<NamedEntry>),
     /// It can't be: why.
     Invalid(String),
     /// Another version stands in its way.
@@ -117,11 +117,11 @@
 }
 
 /// How many parts the digest of a proxy's items has.
-pub const PARTS: usize = 32;
+pub const DIGEST_PARTS: usize = 32;
 
 /// A seat and where it is.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Seat {
+pub struct Member {
     /// The machine.
     pub host: Host,
     /// Its zone.
@@ -132,22 +132,22 @@
 
 /// The list of seats.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq, Default, Hash)]
-pub struct Seats {
+pub struct MemberList {
     /// Counts up with each change.
     pub version: u64,
     /// Those who vote.
-    pub seats: Vec<Seat>,
+    pub members: Vec<Member>,
 }
 
 /// A part of a snapshot: entries in the order of their names.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
-pub struct Chunk {
+pub struct SnapshotChunk {
     /// As it was asked.
     pub since: Stamp,
     /// As it was asked.
     pub after: String,
     /// What the sender holds as chosen.
-    pub entries: Vec<Named>,
+    pub entries: Vec<NamedEntry>,
     /// Where to go on; none if this was the last.
     pub next: Option<String>,
     /// The sender held all that was chosen before this.
@@ -156,22 +156,22 @@
 
 /// Words among stores.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
-pub enum Word {
+pub enum StoreMessage {
     /// I am here, and not (yet) a seat.
     Announce {
         /// Who and where.
-        seat: Seat,
+        member: Member,
         /// It holds all that was chosen before this.
         position: Stamp,
     },
     /// Every so often: I am here. What I hold, of whom I know that it writes, and whether I am about to leave.
-    Beat {
+    Heartbeat {
         /// The list of seats that the sender knows.
-        seats: u64,
+        members_version: u64,
         /// The turn that the sender last promised.
-        promised: Epoch,
+        promised: Term,
         /// Whether it votes: it has not forgotten anything.
-        votes: bool,
+        voting: bool,
         /// It goes soon.
         leaving: bool,
         /// It does not know yet what became of something that it had taken when it started.
@@ -182,51 +182,51 @@
         digest: u64,
     },
     /// May I write from now on? I hold all that was chosen before this stamp.
-    Prepare(Epoch, Stamp),
+    Prepare(Term, Stamp),
     /// Yes; I take nothing of earlier turns any more.
     Promise {
         /// Whose turn.
-        epoch: Epoch,
+        term: Term,
         /// The turn whose first write the sender took last.
-        joined: Epoch,
+        joined: Term,
         /// What the sender holds as chosen, from the stamp on that the receiver said.
-        chosen: Vec<Named>,
+        chosen: Vec<NamedEntry>,
         /// There is more of that than one message bears: the receiver has to catch up before it can write.
         more: bool,
         /// What it took and does not know to be chosen.
-        pending: Vec<Named>,
+        pending: Vec<NamedEntry>,
     },
     /// My turn begins. Who takes this holds all that was chosen before it.
-    Begin {
+    BeginTerm {
         /// Whose turn.
-        epoch: Epoch,
+        term: Term,
         /// What may have been chosen in earlier turns, written again.
-        entries: Vec<Named>,
+        entries: Vec<NamedEntry>,
         /// What the sender holds as chosen, in one hash.
         digest: u64,
         /// Of that, what the receiver lacked by its last word; none before it has told.
-        lacked: Option<Vec<Named>>,
+        missing: Option<Vec<NamedEntry>>,
     },
     /// Take this: a write of a turn after its first.
     Accept {
         /// Whose turn and which write.
         stamp: Stamp,
         /// What is written.
-        entries: Vec<Named>,
+        entries: Vec<NamedEntry>,
         /// Below this one the turn's writes are chosen.
         chosen: u64,
     },
     /// Taken and safe.
     Accepted(Stamp),
     /// Not taken: a higher turn was promised.
-    Refused(Epoch),
+    Rejected(Term),
     /// Not taken: the first write of this turn is missing here, or something that was chosen before it. I hold all that was chosen
     /// before this stamp.
-    Behind(Epoch, Stamp),
+    Behind(Term, Stamp),
     /// The turn's writes up to this one are chosen.
     Chosen(Stamp),
     /// The list of seats, as it was chosen last.
-    SeatList(Entry),
+    MemberList(Entry),
     /// You lack more than one message bears: fetch it from me.
     CatchUp,
     /// What do you hold as chosen with this stamp or a later one, of the names after this one?
@@ -237,55 +237,55 @@
         after: String,
     },
     /// That, as far as one message bears it.
-    Chunk(Chunk),
+    Chunk(SnapshotChunk),
     /// I have a seat and no memory: what did you promise, and what do you hold? I have all that was chosen before this.
-    Learn(Stamp),
+    Recover(Stamp),
     /// That.
-    Learned {
+    RecoveryState {
         /// The turn that the sender last promised.
-        promised: Epoch,
+        promised: Term,
         /// The turn whose first write it took last.
-        joined: Epoch,
+        joined: Term,
         /// What it holds as chosen, from the stamp on that the receiver said.
-        chosen: Vec<Named>,
+        chosen: Vec<NamedEntry>,
         /// There is more of that than one message bears: the receiver has to catch up first.
         more: bool,
         /// What it took and does not know to be chosen.
-        pending: Vec<Named>,
+        pending: Vec<NamedEntry>,
     },
     /// A call that I took, for who writes.
-    Pass(CallId, Ask),
+    Forward(CallId, StoreRequest),
     /// How that went.
-    Passed(CallId, Told),
+    ForwardResponse(CallId, StoreResponse),
 }
 
 /// From a registry to its machine's store.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
-pub enum Order {
+pub enum RegistryToStore {
     /// A call from outside.
-    Call(u64, Ask),
+    Call(u64, StoreRequest),
     /// What the registry saw happen, to be kept for readers that come after its life.
-    Keep(Vec<feed::Event>),
+    SaveEvents(Vec<feed::Event>),
     /// A reader wants events of earlier lives.
-    Kept(u64, feed::Wanted),
+    ReadEvents(u64, feed::EventQuery),
 }
 
 /// From a store to its machine's registry.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
-pub enum Report {
+pub enum StoreToRegistry {
     /// How a call went.
-    Answer(u64, Told),
+    Response(u64, StoreResponse),
     /// Events that were kept; none if the place after which they were wanted is not known here.
-    Kept(u64, Option<feed::Told>),
+    SavedEvents(u64, Option<feed::EventPage>),
     /// Chosen entries: all of them, or those that are new. `fresh` if a quorum was heard lately and none held more.
     Items {
         /// All that there are.
-        whole: bool,
+        complete: bool,
         /// The entries.
-        entries: Vec<Named>,
+        entries: Vec<NamedEntry>,
     },
     /// Whether this copy is as new as a quorum's.
-    Fresh(bool),
+    UpToDate(bool),
     /// The seats.
-    Seats(Seats),
+    Members(MemberList),
 }
--- a/system/model-checker/src/mutants.rs
+++ b/system/model-checker/src/mutants.rs
@@ -2,7 +2,7 @@
 
 use crate::scenarios::Scenario;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, CallId, Chunk, Word};
+use fennelscale_messages::store::{CallId, SnapshotChunk, StoreMessage, StoreRequest};
 use fennelscale_replication::{Memory, SEATS, Vows, Writes};
 
 /// A fault.
@@ -147,42 +147,44 @@
     }
 
     /// What becomes of a word that arrives, and from whom it seems to come.
-    pub(crate) fn word(self, from: Host, all: &[Host], word: Word) -> Vec<(Host, Word)> {
-        let by_all = |word: &Word| all.iter().map(|host| (*host, word.clone())).collect();
+    pub(crate) fn word(self, from: Host, all: &[Host], word: StoreMessage) -> Vec<(Host, StoreMessage)> {
+        let by_all = |word: &StoreMessage| all.iter().map(|host| (*host, word.clone())).collect();
         let word = match (self, word) {
-            (Self::LearnsFromOne, word @ Word::Learned { .. })
-            | (Self::AcceptedCountsForAll, word @ Word::Accepted(_)) => return by_all(&word),
-            (Self::PromiseWithoutTaken, Word::Promise { epoch, joined, chosen, more, .. }) => {
-                Word::Promise { epoch, joined, chosen, more, pending: Vec::new() }
+            (Self::LearnsFromOne, word @ StoreMessage::RecoveryState { .. })
+            | (Self::AcceptedCountsForAll, word @ StoreMessage::Accepted(_)) => return by_all(&word),
+            (Self::PromiseWithoutTaken, StoreMessage::Promise { term: epoch, joined, chosen, more, .. }) => {
+                StoreMessage::Promise { term: epoch, joined, chosen, more, pending: Vec::new() }
             }
-            (Self::PromiseWithoutChosen, Word::Promise { epoch, joined, more, pending, .. }) => {
-                Word::Promise { epoch, joined, chosen: Vec::new(), more, pending }
+            (
+                Self::PromiseWithoutChosen,
+                StoreMessage::Promise { term: epoch, joined, more, pending, .. },
+            ) => StoreMessage::Promise { term: epoch, joined, chosen: Vec::new(), more, pending },
+            (Self::ChosenEarly, word @ StoreMessage::Accept { stamp, .. }) => {
+                return vec![(from, word), (from, StoreMessage::Chosen(stamp))];
             }
-            (Self::ChosenEarly, word @ Word::Accept { stamp, .. }) => {
-                return vec![(from, word), (from, Word::Chosen(stamp))];
-            }
-            (Self::HalfAWrite, Word::Accept { stamp, mut entries, chosen }) => {
+            (Self::HalfAWrite, StoreMessage::Accept { stamp, mut entries, chosen }) => {
                 entries.truncate(entries.len().div_ceil(2));
-                Word::Accept { stamp, entries, chosen }
-            }
-            (Self::EmptyBase, Word::Begin { epoch, digest, lacked, .. }) => {
-                Word::Begin { epoch, entries: Vec::new(), digest, lacked }
+                StoreMessage::Accept { stamp, entries, chosen }
             }
-            (Self::JoinsBehind, Word::Begin { epoch, entries, digest, .. }) => {
-                Word::Begin { epoch, entries, digest, lacked: Some(Vec::new()) }
+            (Self::EmptyBase, StoreMessage::BeginTerm { term: epoch, digest, missing: lacked, .. }) => {
+                StoreMessage::BeginTerm { term: epoch, entries: Vec::new(), digest, missing: lacked }
             }
-            (Self::EmptyChunk, Word::Chunk(chunk)) => {
-                Word::Chunk(Chunk { entries: Vec::new(), next: None, ..chunk })
+            (Self::JoinsBehind, StoreMessage::BeginTerm { term: epoch, entries, digest, .. }) => {
+                StoreMessage::BeginTerm { term: epoch, entries, digest, missing: Some(Vec::new()) }
             }
-            (Self::LessonWithoutChosen, Word::Learned { promised, joined, more, pending, .. }) => {
-                Word::Learned { promised, joined, chosen: Vec::new(), more, pending }
+            (Self::EmptyChunk, StoreMessage::Chunk(chunk)) => {
+                StoreMessage::Chunk(SnapshotChunk { entries: Vec::new(), next: None, ..chunk })
             }
-            (Self::AnswersMixedUp, Word::Passed(id, told)) => {
-                let other = |number| Word::Passed(CallId { number, ..id }, told.clone());
+            (
+                Self::LessonWithoutChosen,
+                StoreMessage::RecoveryState { promised, joined, more, pending, .. },
+            ) => StoreMessage::RecoveryState { promised, joined, chosen: Vec::new(), more, pending },
+            (Self::AnswersMixedUp, StoreMessage::ForwardResponse(id, told)) => {
+                let other = |number| StoreMessage::ForwardResponse(CallId { number, ..id }, told.clone());
                 return (1..=id.number).map(|number| (from, other(number))).collect();
             }
-            (Self::BlindEvacuation, Word::Pass(id, Ask::Evacuate(zone, on, _))) => {
-                Word::Pass(id, Ask::Evacuate(zone, on, None))
+            (Self::BlindEvacuation, StoreMessage::Forward(id, StoreRequest::Evacuate(zone, on, _))) => {
+                StoreMessage::Forward(id, StoreRequest::Evacuate(zone, on, None))
             }
             (_, word) => word,
         };
--- a/system/model-checker/src/scenarios.rs
+++ b/system/model-checker/src/scenarios.rs
@@ -2,7 +2,7 @@
 
 use crate::mutants::Mutant;
 use crate::world::{Bounds, Scripted, World};
-use fennelscale_messages::depot::{Ask, Change};
+use fennelscale_messages::store::{Change, StoreRequest};
 
 /// A world and its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -72,16 +72,16 @@
     Change { name: format!("r:{name}"), revision, host: "h".into(), body: Some(body) }
 }
 
-fn at(at: usize, ask: Ask) -> Scripted {
+fn at(at: usize, ask: StoreRequest) -> Scripted {
     Scripted { at, ask }
 }
 
 fn change(store: usize, changes: &[Change]) -> Scripted {
-    at(store, Ask::Change(changes.to_vec()))
+    at(store, StoreRequest::Change(changes.to_vec()))
 }
 
 fn evacuate(store: usize, on: bool) -> Scripted {
-    at(store, Ask::Evacuate("z".into(), on, None))
+    at(store, StoreRequest::Evacuate("z".into(), on, None))
 }
 
 /// Two operators who send other contents under one version, calls that are only invalid together, and readers.
@@ -90,8 +90,8 @@
         change(0, &[route("a", 5, "a", 2), route("e", 5, "e", 2)]),
         change(1, &[route("a", 5, "a", 3)]),
         change(2, &[route("a", 7, "a", 4), route("d", 2, "e", 1)]),
-        at(1, Ask::Read),
-        at(2, Ask::Read),
+        at(1, StoreRequest::Read),
+        at(2, StoreRequest::Read),
         evacuate(1, true),
     ]
 }
@@ -120,8 +120,10 @@
                 ],
                 Bounds { passes: 1, ..none },
             ),
-            Self::Reader => founded(3)
-                .with(&[change(0, &[route("a", 5, "a", 2)]), at(1, Ask::Read)], Bounds { passes: 1, ..none }),
+            Self::Reader => founded(3).with(
+                &[change(0, &[route("a", 5, "a", 2)]), at(1, StoreRequest::Read)],
+                Bounds { passes: 1, ..none },
+            ),
             Self::Crash => founded(3).with(
                 &[change(0, &[route("a", 5, "a", 2), route("b", 5, "b", 2)])],
                 Bounds { passes: 1, crashes: 1, cuts: 1, ..none },
@@ -147,13 +149,19 @@
                 Bounds { passes: 5, cuts: 2, ..none },
             ),
             Self::Amnesia => founded(3).with(
-                &[change(0, &[route("a", 5, "a", 2)]), change(1, &[route("a", 5, "a", 3)]), at(2, Ask::Read)],
+                &[
+                    change(0, &[route("a", 5, "a", 2)]),
+                    change(1, &[route("a", 5, "a", 3)]),
+                    at(2, StoreRequest::Read),
+                ],
                 Bounds { passes: 3, wipes: 1, lessons: 3, ..none },
             ),
-            Self::Reading => founded(3)
-                .with(&[change(0, &[route("a", 5, "a", 2)]), at(1, Ask::Read)], Bounds { cuts: 1, ..none }),
+            Self::Reading => founded(3).with(
+                &[change(0, &[route("a", 5, "a", 2)]), at(1, StoreRequest::Read)],
+                Bounds { cuts: 1, ..none },
+            ),
             Self::Founding => World::unfounded(3).with(
-                &[change(1, std::slice::from_ref(&service)), at(2, Ask::Read)],
+                &[change(1, std::slice::from_ref(&service)), at(2, StoreRequest::Read)],
                 Bounds { passes: 4, cuts: 2, lessons: 9, ..none },
             ),
             Self::Everything => {
@@ -164,7 +172,11 @@
             }
             Self::Five => founded(5).with(&operators(), Bounds { passes: 6, crashes: 3, cuts: 3, ..none }),
             Self::Exchange => founded(5).replaced(1, 2400.0).with(
-                &[change(0, &[route("a", 5, "a", 2)]), change(3, &[route("a", 5, "a", 3)]), at(4, Ask::Read)],
+                &[
+                    change(0, &[route("a", 5, "a", 2)]),
+                    change(3, &[route("a", 5, "a", 3)]),
+                    at(4, StoreRequest::Read),
+                ],
                 Bounds { passes: 4, crashes: 1, cuts: 1, lessons: 3, ..none },
             ),
         }
--- a/system/model-checker/src/world.rs
+++ b/system/model-checker/src/world.rs
@@ -9,7 +9,7 @@
 use crate::properties::Violation;
 use fennelscale_config::content;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Named, Seat, Stamp, Told, Word};
+use fennelscale_messages::store::{Member, NamedEntry, Stamp, StoreMessage, StoreRequest, StoreResponse};
 use fennelscale_replication::{Book, Item, Memory, Millis, Origin, Out, Place};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
@@ -68,7 +68,7 @@
 
 #[derive(Clone, Debug)]
 struct Node {
-    seat: Seat,
+    seat: Member,
     disk: Memory,
     book: Option<Book>,
     life: u64,
@@ -89,14 +89,14 @@
     /// The store that is asked.
     pub at: usize,
     /// What for.
-    pub ask: Ask,
+    pub ask: StoreRequest,
 }
 
 #[derive(Clone, Debug)]
 struct Call {
     scripted: Scripted,
     made: bool,
-    told: Option<Told>,
+    told: Option<StoreResponse>,
     /// For a reader: versions that were acknowledged before it came.
     owed: BTreeMap<String, u64>,
 }
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug)]
 pub struct World {
     nodes: Vec<Node>,
-    lines: BTreeMap<(usize, u64, usize), VecDeque<Word>>,
+    lines: BTreeMap<(usize, u64, usize), VecDeque<StoreMessage>>,
     calls: Vec<Call>,
     contents: BTreeMap<(String, u64), Content>,
     left: Bounds,
@@ -149,7 +149,7 @@
     /// Stores of so many seats, each in a zone of its own, at the first start of all.
     pub fn unfounded(seats: usize) -> Self {
         let node = |n: usize| Node {
-            seat: Seat { host: Host(n as u32 + 1), zone: format!("z{n}"), region: format!("r{n}") },
+            seat: Member { host: Host(n as u32 + 1), zone: format!("z{n}"), region: format!("r{n}") },
             disk: Memory::default(),
             book: None,
             life: 0,
@@ -183,7 +183,7 @@
             world.rest(1000.0);
             assert_eq!(
                 world.calls.last().and_then(|c| c.told.clone()),
-                Some(Told::Done),
+                Some(StoreResponse::Done),
                 "a first call is taken"
             );
         }
@@ -207,7 +207,7 @@
         let region = self.nodes[gone].seat.region.clone();
         let clock = self.nodes[gone].clock;
         self.crash(gone);
-        let seat = Seat { host: Host(self.nodes.len() as u32 + 1), zone, region };
+        let seat = Member { host: Host(self.nodes.len() as u32 + 1), zone, region };
         let disk = Memory::default();
         self.nodes.push(Node { seat, disk, book: None, life: 0, clock, seen: BTreeMap::new() });
         // The machine that is gone is not yet given up when the world begins, and the empty one has learned by then.
@@ -228,7 +228,7 @@
     }
 
     /// What was told to a call.
-    pub fn told(&self, call: usize) -> Option<&Told> {
+    pub fn told(&self, call: usize) -> Option<&StoreResponse> {
         self.calls.get(call).and_then(|call| call.told.as_ref())
     }
 
@@ -272,7 +272,7 @@
         node.disk.take(writes);
         for out in outs {
             match out {
-                Out::Send(_, Word::Beat { .. }) if !self.hears_beats => {}
+                Out::Send(_, StoreMessage::Heartbeat { .. }) if !self.hears_beats => {}
                 Out::Send(to, word) => {
                     let (life, to) = (self.nodes[n].life, self.at(to));
                     // Nobody listens at a machine that is down.
@@ -292,7 +292,7 @@
         self.broken.get_or_insert(violation);
     }
 
-    fn news(&mut self, n: usize, (name, entry): Named) {
+    fn news(&mut self, n: usize, (name, entry): NamedEntry) {
         let here = content(&entry.host, entry.body.as_deref());
         let known = *self.contents.entry((name.clone(), entry.revision)).or_insert(here);
         if known != here {
@@ -309,13 +309,13 @@
         }
     }
 
-    fn answered(&mut self, id: usize, told: Told) {
+    fn answered(&mut self, id: usize, told: StoreResponse) {
         let Some(call) = self.calls.get_mut(id) else { return };
         if call.told.is_some() {
             return self.breaks(Violation::AnsweredTwice(id));
         }
         call.told = Some(told.clone());
-        if let Told::Items(items) = told {
+        if let StoreResponse::Items(items) = told {
             let read: BTreeMap<&str, u64> = items.iter().map(|(n, e)| (n.as_str(), e.revision)).collect();
             let old = call.owed.iter().find(|(name, owed)| read.get(name.as_str()).is_none_or(|r| r < *owed));
             if let Some((name, owed)) = old {
@@ -328,8 +328,8 @@
     /// Versions that were acknowledged, the highest of each name.
     fn acknowledged(&self) -> BTreeMap<String, u64> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
-        for call in self.calls.iter().filter(|call| call.told == Some(Told::Done)) {
-            if let Ask::Change(changes) = &call.scripted.ask {
+        for call in self.calls.iter().filter(|call| call.told == Some(StoreResponse::Done)) {
+            if let StoreRequest::Change(changes) = &call.scripted.ask {
                 for change in changes {
                     let known = all.entry(change.name.clone()).or_default();
                     *known = change.revision.max(*known);
@@ -344,7 +344,7 @@
         // The newest list of seats that anybody holds says how many are needed.
         let seats = self.nodes.iter().filter_map(|n| n.book.as_ref()).map(Book::seats);
         let seats = seats.max_by_key(|seats| seats.version)?;
-        let listed = |node: &&Node| seats.seats.iter().any(|seat| seat.host == node.seat.host);
+        let listed = |node: &&Node| seats.members.iter().any(|seat| seat.host == node.seat.host);
         let holds = |node: &&Node| {
             let item: Option<&Item> = node.disk.items.get(name);
             let mut entries = item.into_iter().flat_map(|item| item.pending.iter().chain(&item.chosen));
@@ -367,12 +367,12 @@
         if turns.windows(2).any(|pair| pair[0] == pair[1]) {
             self.breaks(Violation::TwoWriters);
         }
-        let mut lists: BTreeMap<u64, &[Seat]> = BTreeMap::new();
+        let mut lists: BTreeMap<u64, &[Member]> = BTreeMap::new();
         let books = self.nodes.iter().filter_map(|node| node.book.as_ref());
         let two = books
             .map(Book::seats)
-            .filter(|seats| !seats.seats.is_empty())
-            .find(|seats| *lists.entry(seats.version).or_insert(&seats.seats) != seats.seats.as_slice());
+            .filter(|seats| !seats.members.is_empty())
+            .find(|seats| *lists.entry(seats.version).or_insert(&seats.members) != seats.members.as_slice());
         if let Some(version) = two.map(|seats| seats.version) {
             self.breaks(Violation::TwoLists(version));
         }
@@ -382,7 +382,7 @@
             }
         }
         for (id, call) in self.calls.iter().enumerate() {
-            let (Some(Told::Conflict(_) | Told::Invalid(_)), Ask::Change(changes)) =
+            let (Some(StoreResponse::Conflict(_) | StoreResponse::Invalid(_)), StoreRequest::Change(changes)) =
                 (&call.told, &call.scripted.ask)
             else {
                 continue;
@@ -390,7 +390,7 @@
             for change in changes {
                 let here = content(&change.host, change.body.as_deref());
                 let same = |other: &Call| match &other.scripted.ask {
-                    Ask::Change(all) => all.contains(change),
+                    StoreRequest::Change(all) => all.contains(change),
                     _ => false,
                 };
                 // The very same change in another call may have been taken.
@@ -409,10 +409,10 @@
         let call = &mut self.calls[id];
         let Scripted { at, ask } = call.scripted.clone();
         call.made = true;
-        if ask == Ask::Read {
+        if ask == StoreRequest::Read {
             call.owed = owed;
         }
-        if matches!(ask, Ask::Evacuate(..)) {
+        if matches!(ask, StoreRequest::Evacuate(..)) {
             self.orders.push(id);
         }
         self.input(at, |book, now| book.call(now, Origin::Registry(id as u64), ask));
@@ -428,25 +428,29 @@
         let host = self.nodes[from].seat.host;
         if self.mutant == Some(Mutant::RefusedIsAccepted)
             && let Some(stamp) = written(&word)
-            && self.nodes[to].book.as_ref().is_some_and(|book| book.vows().promised > stamp.epoch)
+            && self.nodes[to].book.as_ref().is_some_and(|book| book.vows().promised > stamp.term)
         {
             let back = (to, self.nodes[to].life, from);
-            return self.lines.entry(back).or_default().push_back(Word::Accepted(stamp));
+            return self.lines.entry(back).or_default().push_back(StoreMessage::Accepted(stamp));
         }
         if self.mutant == Some(Mutant::RefusedIsPromise)
-            && let Word::Refused(_) = word
+            && let StoreMessage::Rejected(_) = word
             && let Some(epoch) = self.nodes[to].book.as_ref().map(|book| book.vows().promised)
         {
             let (chosen, pending) = (Vec::new(), Vec::new());
-            let promise = Word::Promise { epoch, joined: epoch, chosen, more: false, pending };
+            let promise = StoreMessage::Promise { term: epoch, joined: epoch, chosen, more: false, pending };
             return self.input(to, |book, now| book.word(now, host, promise));
         }
         if self.mutant == Some(Mutant::ReadsOwnCopy)
-            && let Word::Passed(id, Told::Fresh(_)) = word
+            && let StoreMessage::ForwardResponse(id, StoreResponse::Fresh(_)) = word
         {
             // Any copy is as new as that.
             return self.input(to, |book, now| {
-                book.word(now, host, Word::Passed(id, Told::Fresh(Stamp::default())));
+                book.word(
+                    now,
+                    host,
+                    StoreMessage::ForwardResponse(id, StoreResponse::Fresh(Stamp::default())),
+                );
             });
         }
         let words = match self.mutant {
@@ -572,10 +576,10 @@
             // Who is told that nothing is clear asks again.
             let read = (0..READS).any(|_| {
                 let id = world.calls.len();
-                world.calls.push(Call::of(&Scripted { at, ask: Ask::Read }));
+                world.calls.push(Call::of(&Scripted { at, ask: StoreRequest::Read }));
                 world.call(id);
                 world.rest(1500.0);
-                matches!(world.told(id), Some(Told::Items(_)))
+                matches!(world.told(id), Some(StoreResponse::Items(_)))
             });
             if !read {
                 world.breaks(Violation::NeverSettles(at));
@@ -604,17 +608,17 @@
                 format!("  {n}: down, disk {}\n", if node.disk.vows.is_some() { "kept" } else { "empty" })
             }
             Some(book) => {
-                let seats: Vec<u32> = book.seats().seats.iter().map(|seat| seat.host.0).collect();
+                let seats: Vec<u32> = book.seats().members.iter().map(|seat| seat.host.0).collect();
                 let role = match (book.is_writer(), book.is_voting()) {
                     (true, _) => "writes",
                     (false, true) => "votes",
                     (false, false) => "does not vote",
                 };
                 let (vows, version) = (book.vows(), book.seats().version);
-                let (round, joined) = (vows.promised.round, vows.joined.round);
+                let (round, joined) = (vows.promised.number, vows.joined.number);
                 format!(
                     "  {n}: {role}, promised {round} by {}, joined {joined}, seats {version} {seats:?}\n",
-                    vows.promised.seat.0
+                    vows.promised.leader.0
                 )
             }
         };
@@ -624,7 +628,11 @@
     /// Of two orders on one zone the later one stands, if it was acknowledged.
     fn last_order(&mut self) {
         let Some(last) = self.orders.last().map(|id| &self.calls[*id]) else { return };
-        let (Ask::Evacuate(zone, on, _), Some(Told::Done)) = (&last.scripted.ask, &last.told) else { return };
+        let (StoreRequest::Evacuate(zone, on, _), Some(StoreResponse::Done)) =
+            (&last.scripted.ask, &last.told)
+        else {
+            return;
+        };
         let name = format!("e:{zone}");
         let stands = |node: &Node| {
             let item = node.disk.items.get(&name).and_then(|item| item.chosen.as_ref());
@@ -637,10 +645,10 @@
 }
 
 /// The write that a word brings.
-fn written(word: &Word) -> Option<Stamp> {
+fn written(word: &StoreMessage) -> Option<Stamp> {
     match word {
-        Word::Begin { epoch, .. } => Some(Stamp { epoch: *epoch, turn: 0 }),
-        Word::Accept { stamp, .. } => Some(*stamp),
+        StoreMessage::BeginTerm { term: epoch, .. } => Some(Stamp { term: *epoch, sequence: 0 }),
+        StoreMessage::Accept { stamp, .. } => Some(*stamp),
         _ => None,
     }
 }
--- a/system/proxy/src/beside.rs
+++ b/system/proxy/src/beside.rs
@@ -7,7 +7,7 @@
 use crate::proxy::Proxy;
 use fennelscale_host::link::{self, Reader, Writer, split};
 use fennelscale_host::spawn;
-use fennelscale_messages::news::{Beside, Down};
+use fennelscale_messages::session::{ProxyMessage, RegistryToProxy};
 use fennelscale_node_settings::Port;
 use std::rc::Rc;
 use std::time::Duration;
@@ -51,26 +51,29 @@
 async fn ask(proxy: &Proxy, stream: TcpStream) {
     let (mut reader, writer): (Reader, Writer) = split(stream);
     writer.send(&proxy.have());
-    if let Ok(Beside::News { entries, listing, members: (members, gateways) }) = reader.next().await
+    if let Ok(ProxyMessage::Update { entries, backend_list: listing, proxies: (members, gateways) }) =
+        reader.next().await
         && !proxy.has_session()
     {
         if !entries.is_empty() || listing.is_some() {
             tracing::info!(event = "news-beside", items = entries.len(), listing = listing.is_some());
         }
         // As in a session: the members first, the list last.
-        proxy.news(Down::Members(members, gateways));
-        proxy.news(Down::Items { whole: false, fresh: false, entries });
+        proxy.news(RegistryToProxy::Proxies(members, gateways));
+        proxy.news(RegistryToProxy::Items { complete: false, up_to_date: false, entries });
         if let Some(listing) = listing {
-            proxy.news(Down::Listing(listing));
+            proxy.news(RegistryToProxy::BackendList(listing));
         }
     }
 }
 
 async fn answer(proxy: Rc<Proxy>, stream: TcpStream) {
     let (mut reader, writer): (Reader, Writer) = split(stream);
-    if let Ok(Ok(Beside::Have { items, listing })) = timeout(PATIENCE, reader.next()).await {
+    if let Ok(Ok(ProxyMessage::Digest { items, list_stamp: listing })) =
+        timeout(PATIENCE, reader.next()).await
+    {
         writer.send(&proxy.news_for(&items, listing));
         // Until it has been read, or nobody reads it.
-        let _ = timeout(PATIENCE, reader.next::<Beside>()).await;
+        let _ = timeout(PATIENCE, reader.next::<ProxyMessage>()).await;
     }
 }
--- a/system/proxy/src/cold_owner.rs
+++ b/system/proxy/src/cold_owner.rs
@@ -13,7 +13,7 @@
 //! that.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Backend, Member};
+use fennelscale_messages::session::{Backend, ProxyInfo};
 use std::collections::BTreeMap;
 
 /// For so long a proxy that is no longer named may still be an owner, in ms: registries that start again hear of all sessions within
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug)]
 struct Candidate {
-    member: Member,
+    member: ProxyInfo,
     /// Since when it is not named, or not ready.
     missing: Option<f64>,
 }
@@ -37,7 +37,7 @@
 
 impl ColdOwners {
     /// All members, as they are told at this moment.
-    pub fn tell_members(&mut self, now: f64, members: &[Member]) {
+    pub fn tell_members(&mut self, now: f64, members: &[ProxyInfo]) {
         self.told_first.get_or_insert(now);
         for candidate in self.candidates.values_mut() {
             candidate.missing.get_or_insert(now);
@@ -65,7 +65,7 @@
 
     fn owner(&self, now: f64, backend: &Backend, region: &str) -> Option<Host> {
         let may_own = |candidate: &&Candidate| candidate.missing.is_none_or(|since| now - since < GRACE);
-        let members: Vec<&Member> =
+        let members: Vec<&ProxyInfo> =
             self.candidates.values().filter(may_own).map(|candidate| &candidate.member).collect();
         let in_zone = members.iter().filter(|member| member.zone == backend.zone);
         let in_region = members.iter().filter(|member| member.region == region);
--- a/system/proxy/src/held.rs
+++ b/system/proxy/src/held.rs
@@ -7,8 +7,8 @@
 use fennelscale_maintenance::night::Drain;
 use fennelscale_maintenance::order::Node;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::Named;
-use fennelscale_messages::news::{Backend, Listing, Member};
+use fennelscale_messages::session::{Backend, BackendList, ProxyInfo};
+use fennelscale_messages::store::NamedEntry;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Of a cold backend's rate so much is used: two proxies that both think it theirs stay within the rule.
@@ -76,7 +76,7 @@
     /// What follows from the items.
     pub table: Table,
     /// The newest list.
-    pub listing: Listing,
+    pub listing: BackendList,
     listed: f64,
     /// Backends that were seen to drain: they never take anything again.
     drained: BTreeSet<String>,
@@ -87,7 +87,7 @@
     /// ... until the hours end by this: true time, and the own time when it was heard.
     time: Option<(f64, Span)>,
     /// All proxies, and how many there are for shares.
-    pub members: Vec<Member>,
+    pub members: Vec<ProxyInfo>,
     /// Who sends to cold backends.
     owners: ColdOwners,
     /// How many proxies there are for shares.
@@ -103,7 +103,7 @@
             place,
             items: Copied::default(),
             table: Table::default(),
-            listing: Listing::default(),
+            listing: BackendList::default(),
             listed: 0.0,
             drained: BTreeSet::new(),
             back: BTreeMap::new(),
@@ -128,12 +128,12 @@
     }
 
     /// Items of the parts in which another copy holds something else.
-    pub fn differing(&self, theirs: &[u64]) -> Vec<Named> {
+    pub fn differing(&self, theirs: &[u64]) -> Vec<NamedEntry> {
         self.items.differing(theirs)
     }
 
     /// All proxies, and how many there are for shares; 0 where nobody knows: what was known before holds.
-    pub fn tell_members(&mut self, now: f64, members: Vec<Member>, gateways: u32) {
+    pub fn tell_members(&mut self, now: f64, members: Vec<ProxyInfo>, gateways: u32) {
         self.owners.tell_members(now, &members);
         self.members = members;
         if gateways > 0 {
@@ -152,7 +152,7 @@
     }
 
     /// Entries that came. Names of those that were news.
-    pub fn merge(&mut self, now: f64, entries: Vec<Named>) -> Vec<String> {
+    pub fn merge(&mut self, now: f64, entries: Vec<NamedEntry>) -> Vec<String> {
         let mut news = Vec::new();
         for (name, entry) in entries {
             if !self.items.take(&name, &entry) {
@@ -174,7 +174,7 @@
     }
 
     /// A list that came; false if it is not news.
-    pub fn list(&mut self, now: f64, listing: Listing) -> bool {
+    pub fn list(&mut self, now: f64, listing: BackendList) -> bool {
         if listing.stamp <= self.listing.stamp {
             return false;
         }
@@ -285,13 +285,13 @@
         let draw = |b: &Backend| fennelscale_messages::hash(b.id.as_bytes());
         near.sort_by_key(|b| (draw(b), &b.id));
         let proxies = self.members.iter().filter(|m| m.ready && m.region == self.place.region);
-        let turn = |b: &Backend, m: &Member| fennelscale_messages::mix(draw(b) ^ u64::from(m.host.0));
+        let turn = |b: &Backend, m: &ProxyInfo| fennelscale_messages::mix(draw(b) ^ u64::from(m.host.0));
         let mut own = BTreeMap::new();
         if near.len() >= proxies.clone().count() {
-            let mut parts: Vec<(u32, &Member)> = proxies.map(|m| (0, m)).collect();
+            let mut parts: Vec<(u32, &ProxyInfo)> = proxies.map(|m| (0, m)).collect();
             for backend in near {
                 let first =
-                    |(slots, m): &&mut (u32, &Member)| (*slots, m.zone != backend.zone, turn(backend, m));
+                    |(slots, m): &&mut (u32, &ProxyInfo)| (*slots, m.zone != backend.zone, turn(backend, m));
                 let Some((slots, member)) = parts.iter_mut().min_by_key(first) else { continue };
                 *slots += backend.slots.max(1);
                 if member.host == self.place.me {
--- a/system/proxy/src/held/tests.rs
+++ b/system/proxy/src/held/tests.rs
@@ -1,7 +1,7 @@
 //! Drains, evacuations and what counts as cold after them.
 
 use super::*;
-use fennelscale_messages::depot::{Entry, Stamp};
+use fennelscale_messages::store::{Entry, Stamp};
 
 const ENDS: f64 = 1_800_000_000_000.0;
 
@@ -18,13 +18,13 @@
         cold_ms: 0,
     };
     let backends = vec![backend("x", "a"), backend("y", "a"), backend("z", "b")];
-    held.list(0.0, Listing { stamp: (1, Host(2)), backends });
+    held.list(0.0, BackendList { stamp: (1, Host(2)), backends });
     held
 }
 
 fn drain(held: &mut Held, now: f64, turn: u64, nodes: &str) {
     let body = (!nodes.is_empty()).then(|| format!(r#"{{"nodes":[{nodes}],"ends":{ENDS}}}"#));
-    let stamp = Stamp { turn, ..Stamp::default() };
+    let stamp = Stamp { sequence: turn, ..Stamp::default() };
     held.merge(now, vec![("d:o".into(), Entry { stamp, body, ..Entry::default() })]);
 }
 
@@ -56,7 +56,7 @@
 fn ready_held() -> Held {
     let mut held = held();
     let body = r#"{"name":"s","coldStart":"3s","coldPerS":6.7,"revision":"00000001"}"#;
-    let entry = Entry { stamp: Stamp { turn: 1, ..Stamp::default() }, revision: 1, ..Entry::default() };
+    let entry = Entry { stamp: Stamp { sequence: 1, ..Stamp::default() }, revision: 1, ..Entry::default() };
     held.merge(0.0, vec![("s:s".into(), Entry { body: Some(body.into()), ..entry })]);
     held.fresh = true;
     held
@@ -64,7 +64,7 @@
 
 fn evacuation(held: &mut Held, now: f64, revision: u64, on: bool) {
     let entry = Entry {
-        stamp: Stamp { turn: 1 + revision, ..Stamp::default() },
+        stamp: Stamp { sequence: 1 + revision, ..Stamp::default() },
         revision,
         body: on.then(|| "{}".to_owned()),
         ..Entry::default()
@@ -95,7 +95,7 @@
         // A list that may be older says nothing; one that was read later does.
         let mut held = taken_back(missed_its_beginning);
         let listing = held.listing.clone();
-        let at = |number| Listing { stamp: (number, Host(2)), ..listing.clone() };
+        let at = |number| BackendList { stamp: (number, Host(2)), ..listing.clone() };
         held.list(10_000.0 + lag, at(2));
         assert!(is_cold(&mut held, 10_000.0 + lag));
         held.list(10_000.0 + lag + LIST_WAY, at(3));
@@ -154,7 +154,7 @@
             .map(|key| format!(r#"{{"name":"t{holder}","apiKeys":["k{key}"],"revision":"{turn:08x}"}}"#));
         (format!("t:t{holder}"), body)
     };
-    let stamp = Stamp { turn, ..Stamp::default() };
+    let stamp = Stamp { sequence: turn, ..Stamp::default() };
     (name, Entry { stamp, revision: turn, host: "h".into(), body, ..Entry::default() })
 }
 
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -16,7 +16,9 @@
 use fennelscale_host::{call, spawn};
 use fennelscale_maintenance::clock::Span;
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Beside, Down, Member, RegistryPlace, Up};
+use fennelscale_messages::session::{
+    ProxyInfo, ProxyMessage, ProxyToRegistry, RegistryInfo, RegistryToProxy,
+};
 use fennelscale_node_settings::{Port, Settings};
 use fennelscale_quota_lease::{Admission, Cache, Comer, Terms, Timely};
 use std::cell::{Cell, RefCell};
@@ -64,7 +66,7 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next: Cell<u64>,
     session: RefCell<Option<Writer>>,
-    registries: RefCell<Vec<RegistryPlace>>,
+    registries: RefCell<Vec<RegistryInfo>>,
     /// When the core's majority last stood behind what this proxy was told, by its own clock.
     contact: Cell<Option<f64>>,
     /// What sessions have brought of items.
@@ -92,7 +94,7 @@
     let missing = |field: &str| {
         miette::miette!(help = "the proxy runs on machines that have it", "settings field {field} is missing")
     };
-    let host = Host::of(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
+    let host = Host::from_ip(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
     let frontend = settings.listen.frontend.ok_or_else(|| missing("listenAddresses.frontend"))?;
     let readiness = settings.listen.readiness.ok_or_else(|| missing("listenAddresses.readiness"))?;
     let clients = start::listen(frontend).await?;
@@ -242,7 +244,7 @@
         let counts: Vec<Count> =
             counts.map(|(order, c, o)| (order, [c.named, c.failed, c.over], o.map(sums))).collect();
         // Also unchanged: another registry may have the session by now.
-        self.send(&Up::Met(counts));
+        self.send(&ProxyToRegistry::FailureCounts(counts));
     }
 
     /// Drained nodes where this proxy has nothing at work.
@@ -271,7 +273,7 @@
         let quiet = self.quiet();
         if *self.quiet.borrow() != quiet {
             self.quiet.borrow_mut().clone_from(&quiet);
-            self.send(&Up::Quiet(quiet));
+            self.send(&ProxyToRegistry::IdleNodes(quiet));
         }
         if was != self.held.borrow().is_out() {
             self.send(&self.beat());
@@ -289,15 +291,15 @@
     }
 
     /// This proxy, as others know it.
-    pub fn member(&self) -> Member {
-        Member {
+    pub fn member(&self) -> ProxyInfo {
+        ProxyInfo {
             host: self.host,
-            life: self.life,
+            incarnation: self.life,
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
             port: self.settings.listen.frontend.map_or(0, |at| at.port()),
             ready: self.is_ready(),
-            quiet: self.quiet.borrow().clone(),
+            idle_nodes: self.quiet.borrow().clone(),
         }
     }
 
@@ -330,25 +332,30 @@
     fn tell_parts(&self) {
         let known = self.copies.get();
         self.copies.set(CopyFigures { compared: known.compared + 1, ..known });
-        self.send(&Up::Have(self.held.borrow().digest()));
+        self.send(&ProxyToRegistry::Digest(self.held.borrow().digest()));
     }
 
     /// The first word of a session: one that holds a copy is sent only what it lacks.
-    pub fn greeting(&self) -> Up {
+    pub fn greeting(&self) -> ProxyToRegistry {
         let held = self.held.borrow();
         if held.sum() == 0 {
             drop(held);
-            return Up::Hello(self.member());
+            return ProxyToRegistry::Hello(self.member());
         }
         let parts = held.digest();
         drop(held);
-        Up::Resume(self.member(), parts)
+        ProxyToRegistry::Resume(self.member(), parts)
     }
 
-    pub fn beat(&self) -> Up {
+    pub fn beat(&self) -> ProxyToRegistry {
         let held = self.held.borrow();
         let (items, listing) = (held.sum(), held.listing.stamp);
-        Up::Beat { ready: self.is_ready(), items, listing, alone: self.cache.borrow().alone(self.now()) }
+        ProxyToRegistry::Heartbeat {
+            ready: self.is_ready(),
+            items_hash: items,
+            list_stamp: listing,
+            self_granted: self.cache.borrow().alone(self.now()),
+        }
     }
 
     fn far(&self, zone: &str, region: &str) -> u8 {
@@ -365,10 +372,10 @@
     /// is cut off, or gone: it has nothing newer to tell.
     pub fn nearer(&self, than: Host, besides: impl Fn(Host) -> bool) -> bool {
         let known = self.registries.borrow();
-        let far = |place: &RegistryPlace| self.far(&place.zone, &place.region);
+        let far = |place: &RegistryInfo| self.far(&place.zone, &place.region);
         // One that is not on the list may be anywhere.
         let own = known.iter().find(|place| place.host == than).map_or(3, far);
-        known.iter().any(|place| place.heard && far(place) < own && !besides(place.host))
+        known.iter().any(|place| place.reachable && far(place) < own && !besides(place.host))
     }
 
     /// Registries to have a session with, the nearest first.
@@ -384,7 +391,7 @@
             .collect();
         all.sort_unstable();
         let mut hosts: Vec<Host> = all.into_iter().map(|(.., host)| host).collect();
-        for seed in self.seeds.borrow().iter().filter_map(|seed| Host::of(seed.ip())) {
+        for seed in self.seeds.borrow().iter().filter_map(|seed| Host::from_ip(seed.ip())) {
             if !hosts.contains(&seed) {
                 hosts.push(seed);
             }
@@ -409,32 +416,32 @@
         others.into_iter().map(|(_, host)| host).collect()
     }
 
-    pub fn have(&self) -> Beside {
+    pub fn have(&self) -> ProxyMessage {
         let held = self.held.borrow();
-        Beside::Have { items: held.digest(), listing: held.listing.stamp }
+        ProxyMessage::Digest { items: held.digest(), list_stamp: held.listing.stamp }
     }
 
-    pub fn news_for(&self, items: &[u64], listing: (u64, Host)) -> Beside {
+    pub fn news_for(&self, items: &[u64], listing: (u64, Host)) -> ProxyMessage {
         let held = self.held.borrow();
         let newer = (held.listing.stamp > listing).then(|| held.listing.clone());
         let members = (held.members.clone(), held.known_gateways());
-        Beside::News { entries: held.differing(items), listing: newer, members }
+        ProxyMessage::Update { entries: held.differing(items), backend_list: newer, proxies: members }
     }
 
     pub fn session(&self, writer: Option<Writer>) {
         *self.session.borrow_mut() = writer;
     }
 
-    fn send(&self, up: &Up) {
+    fn send(&self, up: &ProxyToRegistry) {
         if let Some(session) = self.session.borrow().as_ref() {
             session.send(up);
         }
     }
 
     /// News from the registry.
-    pub fn news(&self, word: Down) {
+    pub fn news(&self, word: RegistryToProxy) {
         match word {
-            Down::Items { whole, fresh, entries } => {
+            RegistryToProxy::Items { complete: whole, up_to_date: fresh, entries } => {
                 let (now, count) = (self.now(), entries.len());
                 let (news, was) = {
                     let mut held = self.held.borrow_mut();
@@ -454,7 +461,7 @@
                 }
                 self.tell_ready(was);
             }
-            Down::Listing(listing) => {
+            RegistryToProxy::BackendList(listing) => {
                 let was = self.held.borrow().is_ready();
                 let now = self.now();
                 if self.held.borrow_mut().list(now, listing) {
@@ -462,7 +469,7 @@
                 }
                 self.tell_ready(was);
             }
-            Down::Members(members, gateways) => {
+            RegistryToProxy::Proxies(members, gateways) => {
                 {
                     let mut held = self.held.borrow_mut();
                     held.tell_members(self.now(), members, gateways);
@@ -470,21 +477,21 @@
                 }
                 self.update();
             }
-            Down::Registries(registries) => *self.registries.borrow_mut() = registries,
-            Down::Grant(grant) => {
+            RegistryToProxy::Registries(registries) => *self.registries.borrow_mut() = registries,
+            RegistryToProxy::Grant(grant) => {
                 let (mut out, mut told) = (Vec::new(), Vec::new());
                 self.cache.borrow_mut().grant(self.now(), grant, &mut out, &mut told);
                 self.carry_out(out, told);
             }
-            Down::Time(earliest, latest) => {
+            RegistryToProxy::Time(earliest, latest) => {
                 self.held.borrow_mut().tell_time(self.now(), Span { earliest, latest });
             }
-            Down::Recall(question, id) => {
+            RegistryToProxy::LookUpRequest(question, id) => {
                 let known = self.trail.borrow().recall(self.now(), id);
-                self.send(&Up::Recalled(question, known));
+                self.send(&ProxyToRegistry::RequestRecord(question, known));
             }
-            Down::Compare => self.tell_parts(),
-            Down::Beat { .. } => {}
+            RegistryToProxy::RequestDigest => self.tell_parts(),
+            RegistryToProxy::Heartbeat { .. } => {}
         }
     }
 
@@ -517,7 +524,7 @@
         self.carry_out(out, told);
     }
 
-    fn carry_out(&self, out: Vec<Up>, told: Vec<(u64, Admission)>) {
+    fn carry_out(&self, out: Vec<ProxyToRegistry>, told: Vec<(u64, Admission)>) {
         out.iter().for_each(|up| self.send(up));
         for (request, admission) in told {
             if let Some(answer) = self.waiting.borrow_mut().remove(&request) {
--- a/system/proxy/src/registry_choice.rs
+++ b/system/proxy/src/registry_choice.rs
@@ -11,7 +11,7 @@
 //!   such a registry.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::news::CONTACT_LEASE;
+use fennelscale_messages::session::CONTACT_LEASE;
 use std::collections::BTreeMap;
 
 /// Milliseconds of a clock that never goes back.
--- a/system/proxy/src/session.rs
+++ b/system/proxy/src/session.rs
@@ -4,7 +4,7 @@
 use crate::registry_choice::RegistryChoice;
 use fennelscale_host::link::{self, split};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Down, Up};
+use fennelscale_messages::session::{ProxyToRegistry, RegistryToProxy};
 use fennelscale_node_settings::Port;
 use std::future::pending;
 use std::io;
@@ -84,7 +84,7 @@
 
 /// What a session waits for.
 enum Next {
-    Word(io::Result<Down>),
+    Word(io::Result<RegistryToProxy>),
     BeatDue,
     Looked(Look),
 }
@@ -100,7 +100,7 @@
     let mut looking: Looking = None;
     let end = 'session: loop {
         // Reading a word takes several steps, and a beat between two of them must not lose the first: it goes on.
-        let next = reader.next::<Down>();
+        let next = reader.next::<RegistryToProxy>();
         tokio::pin!(next);
         let word = loop {
             let event = tokio::select! {
@@ -131,7 +131,7 @@
             }
         };
         heard = Instant::now();
-        if let Down::Beat { contact_age } = word {
+        if let RegistryToProxy::Heartbeat { contact_age } = word {
             choice.heard_beat(proxy.now(), f64::from(contact_age));
             proxy.contact(choice.contact());
             // It serves until another takes this session: where all are cut off, an old word is better than none.
@@ -141,13 +141,13 @@
             }
         }
         // At the first start only seeds are known; the nearest is heard of with the first news.
-        let told = matches!(word, Down::Registries(_));
+        let told = matches!(word, RegistryToProxy::Registries(_));
         proxy.news(word);
         if told && proxy.nearer(host, |other| choice.has_failed(proxy.now(), other)) {
             break NEARER;
         }
         if proxy.ended() {
-            writer.send(&Up::Bye);
+            writer.send(&ProxyToRegistry::EndSession);
             sleep(PAUSE).await;
             break "ended";
         }
--- a/system/proxy/tests/cold_backend.rs
+++ b/system/proxy/tests/cold_backend.rs
@@ -16,7 +16,7 @@
         let stage = Stage::new(1);
         let (busy, cold) = (stage.backend(1, "busy").await, stage.backend(2, "cold").await);
         busy.hold_all();
-        let other = Host::of(stage.ip(50).into()).expect("IPv4");
+        let other = Host::from_ip(stage.ip(50).into()).expect("IPv4");
         let proxy = Proxy::start(&stage, &[(other, OTHERS_ZONE)]).await;
         proxy.tell_list(1, vec![listed("busy", &busy, "a", 0)]).await;
         let _clients = stage.ask_many(6);
--- a/system/proxy/tests/cold_owner.rs
+++ b/system/proxy/tests/cold_owner.rs
@@ -1,14 +1,14 @@
 //! Which proxy owns a cold backend, while members come and go.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Backend, Member};
+use fennelscale_messages::session::{Backend, ProxyInfo};
 use fennelscale_proxy::cold_owner::{ColdOwners, GRACE};
 
 const SECOND: f64 = 1000.0;
 
-fn member(host: u32, zone: &str, ready: bool) -> Member {
+fn member(host: u32, zone: &str, ready: bool) -> ProxyInfo {
     let (zone, region) = (zone.to_owned(), "r".to_owned());
-    Member { host: Host(host), life: 1, zone, region, port: 1, ready, quiet: Vec::new() }
+    ProxyInfo { host: Host(host), incarnation: 1, zone, region, port: 1, ready, idle_nodes: Vec::new() }
 }
 
 fn backend(id: &str) -> Backend {
