--- a/system/proxy/tests/helper/mod.rs
+++ b/system/proxy/tests/helper/mod.rs
@@ -6,8 +6,8 @@
 use fennelscale_host::link::{self, Writer, split};
 use fennelscale_host::start::Signals;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Named};
-use fennelscale_messages::news::{Backend, Down, Listing, Member, Up};
+use fennelscale_messages::session::{Backend, BackendList, ProxyInfo, ProxyToRegistry, RegistryToProxy};
+use fennelscale_messages::store::{Entry, NamedEntry};
 use fennelscale_node_settings::{Port, Settings};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -268,7 +268,7 @@
 #[derive(Default)]
 struct Session {
     writer: RefCell<Option<Writer>>,
-    member: RefCell<Option<Member>>,
+    member: RefCell<Option<ProxyInfo>>,
     beats: Cell<u64>,
     listing: Cell<u64>,
 }
@@ -296,36 +296,36 @@
         spawn_local(async move {
             fennelscale_proxy::run(settings, signals, Some(port)).await.expect("the proxy runs");
         });
-        let author = Host::of(stage.ip(REGISTRY).into()).expect("IPv4");
+        let author = Host::from_ip(stage.ip(REGISTRY).into()).expect("IPv4");
         let proxy = Self { session, author, metrics: stage.at(PROXY, METRICS_PORT) };
         within("a session", async || proxy.session.member.borrow().is_some()).await;
-        proxy.send(&Down::Items { whole: true, fresh: true, entries: configuration() });
+        proxy.send(&RegistryToProxy::Items { complete: true, up_to_date: true, entries: configuration() });
         proxy.tell_members(others);
         proxy
     }
 
-    fn send(&self, word: &Down) {
+    fn send(&self, word: &RegistryToProxy) {
         assert!(self.session.writer.borrow().as_ref().is_some_and(|writer| writer.send(word)));
     }
 
     /// Tells it of these other proxies; it is one itself.
     pub fn tell_members(&self, others: &[(Host, &str)]) {
         let me = self.session.member.borrow().clone().expect("it has said who it is");
-        let of = |(host, zone): &(Host, &str)| Member {
+        let of = |(host, zone): &(Host, &str)| ProxyInfo {
             host: *host,
             zone: (*zone).to_owned(),
             ready: true,
             ..me.clone()
         };
-        let mut members: Vec<Member> = others.iter().map(of).collect();
-        members.push(Member { ready: true, ..me });
+        let mut members: Vec<ProxyInfo> = others.iter().map(of).collect();
+        members.push(ProxyInfo { ready: true, ..me });
         let count = members.len() as u32;
-        self.send(&Down::Members(members, count));
+        self.send(&RegistryToProxy::Proxies(members, count));
     }
 
     /// Tells it a list, and waits until it has said twice that it has it: what it sends by it is on its way by then.
     pub async fn tell_list(&self, number: u64, backends: Vec<Backend>) {
-        self.send(&Down::Listing(Listing { stamp: (number, self.author), backends }));
+        self.send(&RegistryToProxy::BackendList(BackendList { stamp: (number, self.author), backends }));
         within("it has the list", async || self.session.listing.get() >= number).await;
         let beats = self.session.beats.get();
         within("another beat", async || self.session.beats.get() > beats).await;
@@ -349,20 +349,22 @@
 async fn hear(session: Rc<Session>, stream: TcpStream) {
     let (mut reader, writer) = split(stream);
     *session.writer.borrow_mut() = Some(writer.clone());
-    while let Ok(word) = reader.next::<Up>().await {
+    while let Ok(word) = reader.next::<ProxyToRegistry>().await {
         match word {
-            Up::Hello(member) | Up::Resume(member, _) => *session.member.borrow_mut() = Some(member),
-            Up::Beat { listing, .. } => {
+            ProxyToRegistry::Hello(member) | ProxyToRegistry::Resume(member, _) => {
+                *session.member.borrow_mut() = Some(member)
+            }
+            ProxyToRegistry::Heartbeat { list_stamp: listing, .. } => {
                 session.listing.set(listing.0);
                 session.beats.set(session.beats.get() + 1);
-                writer.send(&Down::Beat { contact_age: 0 });
+                writer.send(&RegistryToProxy::Heartbeat { contact_age: 0 });
             }
             _ => {}
         }
     }
 }
 
-fn configuration() -> Vec<Named> {
+fn configuration() -> Vec<NamedEntry> {
     let changes = read_call(CONFIG.as_bytes()).expect("a configuration");
     let mut entries = Vec::new();
     for change in changes {
--- a/system/proxy/tests/registry_choice.rs
+++ b/system/proxy/tests/registry_choice.rs
@@ -1,7 +1,7 @@
 //! Which registry a proxy goes by, while registries fail and are cut off.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::news::CONTACT_LEASE;
+use fennelscale_messages::session::CONTACT_LEASE;
 use fennelscale_proxy::registry_choice::{FAILED, LOOK, RegistryChoice};
 
 const ALL: [Host; 4] = [Host(1), Host(2), Host(3), Host(4)];
--- a/system/quota-lease/src/cache.rs
+++ b/system/quota-lease/src/cache.rs
@@ -2,7 +2,7 @@
 
 use crate::counts::AHEAD;
 use crate::{Block, Millis, SILENT, SLICE, Terms, bit_of};
-use fennelscale_messages::news::{Grant, Up};
+use fennelscale_messages::session::{Grant, ProxyToRegistry};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The weight of the newest demand.
@@ -125,7 +125,7 @@
     /// A request of a tenant wants its unit. While units are scarce those that are late have what the others leave: a unit of
     /// theirs is worth less, and each that they take makes another request late.
     pub fn admit(
-        &mut self, now: Millis, name: &str, terms: Terms, comer: Comer, out: &mut Vec<Up>,
+        &mut self, now: Millis, name: &str, terms: Terms, comer: Comer, out: &mut Vec<ProxyToRegistry>,
     ) -> Admission {
         if terms.rate <= 0.0 {
             return Admission::Taken;
@@ -164,31 +164,37 @@
 
     /// An answer of the count. Requests that waited and have their unit or are refused now are told.
     pub fn grant(
-        &mut self, now: Millis, grant: Grant, out: &mut Vec<Up>, told: &mut Vec<(Request, Admission)>,
+        &mut self, now: Millis, grant: Grant, out: &mut Vec<ProxyToRegistry>,
+        told: &mut Vec<(Request, Admission)>,
     ) {
         let gateways = self.gateways;
         let name = grant.tenant;
         let Some(tenant) = self.tenants.get_mut(&name) else {
             if grant.units >= 1.0 {
-                out.push(Up::Back { tenant: name, units: grant.units, window: grant.window });
+                out.push(ProxyToRegistry::ReturnUnits {
+                    tenant: name,
+                    units: grant.units,
+                    window: grant.window,
+                });
             }
             return;
         };
         tenant.roll(now);
         (tenant.heard, tenant.unheard, tenant.closed) = (now, None, f64::MIN);
-        tenant.asked[usize::from(grant.next)] = None;
-        if grant.begins <= 0.0 && tenant.next.as_ref().is_some_and(|next| next.window != grant.window + 1) {
+        tenant.asked[usize::from(grant.next_window)] = None;
+        if grant.begins_in <= 0.0 && tenant.next.as_ref().is_some_and(|next| next.window != grant.window + 1)
+        {
             tenant.asked[1] = None;
         }
-        let (begins, ends) = (now + grant.begins, now + grant.ends);
+        let (begins, ends) = (now + grant.begins_in, now + grant.ends_in);
         if grant.closed {
             // A new holder lets the window go by. It is a silence of known length, and treated as one.
             tenant.unheard = Some(now - SILENT);
             tenant.spent = 0.0;
             tenant.closed = now;
             // The answer to the next ask would be the same for a while, and there at once.
-            tenant.asked[usize::from(grant.next)] = Some(now - AGAIN + CLOSED);
-        } else if grant.begins > 0.0 {
+            tenant.asked[usize::from(grant.next_window)] = Some(now - AGAIN + CLOSED);
+        } else if grant.begins_in > 0.0 {
             let next = tenant.next.get_or_insert_default();
             if next.window != grant.window {
                 *next = Block { units: 0.0, window: grant.window, begins, ends };
@@ -215,7 +221,9 @@
 
     /// Time passes: windows end, blocks are asked for, who has waited long enough is told. Due every 20 ms or so while anybody
     /// waits, every 50 ms else.
-    pub fn tick(&mut self, now: Millis, out: &mut Vec<Up>, told: &mut Vec<(Request, Admission)>) {
+    pub fn tick(
+        &mut self, now: Millis, out: &mut Vec<ProxyToRegistry>, told: &mut Vec<(Request, Admission)>,
+    ) {
         let gateways = self.gateways;
         for (name, tenant) in &mut self.tenants {
             tenant.roll(now);
@@ -252,12 +260,16 @@
     }
 
     /// The proxy ends: what was not spent goes back.
-    pub fn hand_back(&mut self, now: Millis, out: &mut Vec<Up>) {
+    pub fn hand_back(&mut self, now: Millis, out: &mut Vec<ProxyToRegistry>) {
         for (name, tenant) in &mut self.tenants {
             tenant.roll(now);
             let units = std::mem::take(&mut tenant.block.units);
             if units >= 1.0 {
-                out.push(Up::Back { tenant: name.clone(), units, window: tenant.block.window });
+                out.push(ProxyToRegistry::ReturnUnits {
+                    tenant: name.clone(),
+                    units,
+                    window: tenant.block.window,
+                });
             }
         }
     }
@@ -356,7 +368,7 @@
     }
 
     /// Asks for more before the block runs dry, and for the next window before this one ends.
-    fn renew(&mut self, now: Millis, name: &str, gateways: f64, out: &mut Vec<Up>) {
+    fn renew(&mut self, now: Millis, name: &str, gateways: f64, out: &mut Vec<ProxyToRegistry>) {
         let window = self.terms.window();
         let first = self.heard <= 0.0 || self.block.ends <= 0.0;
         let wanted = |span: Millis| self.demand * span;
@@ -383,13 +395,18 @@
         }
     }
 
-    fn ask(&mut self, now: Millis, name: &str, units: f64, next: bool, out: &mut Vec<Up>) {
+    fn ask(&mut self, now: Millis, name: &str, units: f64, next: bool, out: &mut Vec<ProxyToRegistry>) {
         let asked = &mut self.asked[usize::from(next)];
         if asked.is_some_and(|at| now - at < AGAIN) {
             return;
         }
         *asked = Some(now);
         self.unheard = self.unheard.or(Some(now));
-        out.push(Up::Ask { tenant: name.to_owned(), units, next, demand: self.demand });
+        out.push(ProxyToRegistry::RequestUnits {
+            tenant: name.to_owned(),
+            units,
+            next_window: next,
+            demand: self.demand,
+        });
     }
 }
--- a/system/quota-lease/src/counts.rs
+++ b/system/quota-lease/src/counts.rs
@@ -2,7 +2,7 @@
 
 use crate::{Millis, SLICE, Terms};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::Grant;
+use fennelscale_messages::session::Grant;
 use std::collections::BTreeMap;
 
 /// A block takes at most this part of what is left, ...
@@ -144,7 +144,15 @@
         }
         debug_assert!(count.granted[at] <= terms.grant() + 1e-6, "more was granted than there is");
         let (begins, ends) = if next { (left, left + length) } else { (0.0, left) };
-        Grant { tenant: tenant.to_owned(), units, window, begins, ends, next, closed }
+        Grant {
+            tenant: tenant.to_owned(),
+            units,
+            window,
+            begins_in: begins,
+            ends_in: ends,
+            next_window: next,
+            closed,
+        }
     }
 
     /// Units of a window come back unspent.
--- a/system/quota-lease/src/relay.rs
+++ b/system/quota-lease/src/relay.rs
@@ -8,7 +8,7 @@
 use crate::counts::AHEAD;
 use crate::{Block, Millis, Terms};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::Grant;
+use fennelscale_messages::session::Grant;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A block holds the demand of this part of a window, as far as the window lasts.
@@ -91,11 +91,11 @@
     pub fn grant(&mut self, now: Millis, grant: Grant, out: &mut Vec<Sent>) {
         let Some(known) = self.tenants.get_mut(&grant.tenant) else { return };
         known.roll(now);
-        known.asked[usize::from(grant.next)] = None;
+        known.asked[usize::from(grant.next_window)] = None;
         if grant.closed {
             known.closed = now + CLOSED;
-        } else if grant.begins > 0.0 {
-            let (begins, ends) = (now + grant.begins, now + grant.ends);
+        } else if grant.begins_in > 0.0 {
+            let (begins, ends) = (now + grant.begins_in, now + grant.ends_in);
             let next = known.next.get_or_insert_default();
             if next.window != grant.window || next.ends == 0.0 {
                 *next = Block { units: 0.0, window: grant.window, begins, ends };
@@ -105,7 +105,7 @@
                 known.spent[1] = begins;
             }
         } else {
-            let ends = now + grant.ends;
+            let ends = now + grant.ends_in;
             if known.block.window != grant.window || now >= known.block.ends {
                 known.block = Block { units: 0.0, window: grant.window, begins: now, ends };
             }
@@ -186,9 +186,9 @@
             tenant: name.to_owned(),
             units,
             window: block.window,
-            begins: (block.begins - now).max(0.0),
-            ends: (block.ends - now).max(0.0),
-            next: wait.next,
+            begins_in: (block.begins - now).max(0.0),
+            ends_in: (block.ends - now).max(0.0),
+            next_window: wait.next,
             closed,
         };
         if now < self.closed {
--- a/system/quota-lease/src/tests.rs
+++ b/system/quota-lease/src/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use fennelscale_messages::Host;
 use fennelscale_messages::mix;
-use fennelscale_messages::news::{Grant, Up};
+use fennelscale_messages::session::{Grant, ProxyToRegistry};
 use std::collections::VecDeque;
 
 const RATE: f64 = 100.0;
@@ -21,7 +21,7 @@
 const REGIONS: usize = 3;
 
 enum Word {
-    Up(usize, Up),
+    Up(usize, ProxyToRegistry),
     Down(usize, Grant),
     Ask(usize, f64, bool, f64),
     Grant(usize, Grant),
@@ -92,7 +92,7 @@
     }
 
     /// A request comes to a proxy; its client first came at `begun`.
-    fn come(&mut self, n: usize, begun: f64, tries: u32, out: &mut Vec<Up>) {
+    fn come(&mut self, n: usize, begun: f64, tries: u32, out: &mut Vec<ProxyToRegistry>) {
         self.next += 1;
         let (now, waited) = (self.now, self.now - begun);
         let late = waited > AIM * 0.6;
@@ -116,7 +116,7 @@
         Terms { rate: RATE, burst: RATE }
     }
 
-    fn up(&mut self, n: usize, out: Vec<Up>) {
+    fn up(&mut self, n: usize, out: Vec<ProxyToRegistry>) {
         if !self.proxies[n].cut {
             let due = self.now + NEAR;
             self.wire.extend(out.into_iter().map(|up| (due, Word::Up(n, up))));
@@ -193,7 +193,7 @@
 
     fn deliver(&mut self, word: Word) {
         match word {
-            Word::Up(n, Up::Ask { tenant, units, next, demand }) => {
+            Word::Up(n, ProxyToRegistry::RequestUnits { tenant, units, next_window: next, demand }) => {
                 let (r, mut sent) = (n % REGIONS, Vec::new());
                 let from = Host(n as u32);
                 self.relays[r].ask(self.now, from, &tenant, units, next, demand, Self::terms(), &mut sent);
@@ -416,14 +416,19 @@
     let comer = |now, request| Comer { request, until: now + 100.0, late: false };
     cache.admit(now, "t", World::terms(), comer(now, 99), &mut Vec::new());
     let (tenant, units) = ("t".to_owned(), 1.0);
-    let grant = Grant { tenant, units, window: 1, begins: 0.0, ends: 300.0, next: false, closed: false };
+    let grant =
+        Grant { tenant, units, window: 1, begins_in: 0.0, ends_in: 300.0, next_window: false, closed: false };
     cache.grant(now + 5.0, grant, &mut Vec::new(), &mut Vec::new());
     for request in 0..40 {
         now += 700.0;
         let mut out = Vec::new();
         cache.admit(now, "t", World::terms(), comer(now, request), &mut out);
         cache.tick(now + 120.0, &mut out, &mut Vec::new());
-        asked.extend(out.iter().filter(|up| matches!(up, Up::Ask { next: false, .. })).map(|_| now));
+        asked.extend(
+            out.iter()
+                .filter(|up| matches!(up, ProxyToRegistry::RequestUnits { next_window: false, .. }))
+                .map(|_| now),
+        );
     }
     assert!(asked.iter().any(|at| *at > now - 1500.0), "the last ask was at {:?}, it is {now}", asked.last());
 }
@@ -439,11 +444,19 @@
         let comer = Comer { request: now as u64, until: now + 100.0, late: false };
         cache.admit(now, "t", World::terms(), comer, &mut out);
         cache.tick(now, &mut out, &mut told);
-        while let Some(Up::Ask { next, .. }) = out.pop() {
+        while let Some(ProxyToRegistry::RequestUnits { next_window: next, .. }) = out.pop() {
             asks += 1;
             assert!(asks < span, "asked on and on");
             let (tenant, ends) = ("t".to_owned(), 100.0);
-            let grant = Grant { tenant, units: 0.0, window: 0, begins: 0.0, ends, next, closed: true };
+            let grant = Grant {
+                tenant,
+                units: 0.0,
+                window: 0,
+                begins_in: 0.0,
+                ends_in: ends,
+                next_window: next,
+                closed: true,
+            };
             cache.grant(now, grant, &mut out, &mut told);
         }
     }
--- a/system/registry/src/calls.rs
+++ b/system/registry/src/calls.rs
@@ -10,7 +10,7 @@
 use fennelscale_maintenance::order::Node;
 use fennelscale_maintenance::plan::Why;
 use fennelscale_membership::hours::{NodeState, OrderState};
-use fennelscale_messages::depot::{Ask, Change, Entry, Told};
+use fennelscale_messages::store::{Change, Entry, StoreRequest, StoreResponse};
 use http_body_util::Full;
 use hyper::{Method, Response};
 use std::rc::Rc;
@@ -137,17 +137,17 @@
     }
 }
 
-fn told(told: Told) -> Result<Option<Vec<fennelscale_messages::depot::Named>>, Failure> {
+fn told(told: StoreResponse) -> Result<Option<Vec<fennelscale_messages::store::NamedEntry>>, Failure> {
     match told {
-        Told::Done => Ok(None),
-        Told::Items(items) => Ok(Some(items)),
-        Told::Invalid(text) => Err(Failure::new(Kind::Invalid, text)),
-        Told::Conflict(text) => Err(Failure::new(Kind::Conflict, text)),
-        Told::Forgotten => {
+        StoreResponse::Done => Ok(None),
+        StoreResponse::Items(items) => Ok(Some(items)),
+        StoreResponse::Invalid(text) => Err(Failure::new(Kind::Invalid, text)),
+        StoreResponse::Conflict(text) => Err(Failure::new(Kind::Conflict, text)),
+        StoreResponse::Forgotten => {
             let text = "older than the versions that are remembered: without effect, and not known whether it was ever taken";
             Err(Failure::new(Kind::Unclear, text))
         }
-        Told::Fresh(_) | Told::Unclear => {
+        StoreResponse::Fresh(_) | StoreResponse::Unclear => {
             Err(Failure::new(Kind::Unclear, "no quorum of stores has answered"))
         }
     }
@@ -161,7 +161,7 @@
         }
         let mut changes = call.0;
         share_failures(self, &mut changes)?;
-        told(self.ask(Ask::Change(changes)).await)?;
+        told(self.ask(StoreRequest::Change(changes)).await)?;
         tracing::info!(event = "config-acknowledged", items);
         Ok(Done)
     }
@@ -206,7 +206,7 @@
             return Err(invalid(text));
         }
         let lives: Vec<String> =
-            members.iter().map(|m| fennelscale_fault_injection::proxy(m.host, m.life)).collect();
+            members.iter().map(|m| fennelscale_fault_injection::proxy(m.host, m.incarnation)).collect();
         change.host = lives.join(" ");
     }
     Ok(())
@@ -282,7 +282,7 @@
 
 impl Serves<GetConfig> for Rc<Registry> {
     async fn serve(&self, _: GetConfig) -> Result<Json, Failure> {
-        let items = told(self.ask(Ask::Read).await)?.unwrap_or_default();
+        let items = told(self.ask(StoreRequest::Read).await)?.unwrap_or_default();
         Ok(Json(fennelscale_config::lay_out(items.iter().map(|(name, entry)| (name.as_str(), entry)))))
     }
 }
@@ -292,7 +292,7 @@
         if !self.settings.borrow().zones.contains_key(&zone) {
             return Err(Failure::new(Kind::NotFound, format!("there is no zone {zone}")));
         }
-        told(self.ask(Ask::Evacuate(zone.clone(), on, None)).await)?;
+        told(self.ask(StoreRequest::Evacuate(zone.clone(), on, None)).await)?;
         tracing::info!(event = "evacuation-acknowledged", zone, on);
         Ok(Done)
     }
@@ -322,7 +322,7 @@
         if members.is_empty() {
             return Err(Failure::new(Kind::NoRoom, "no proxy takes clients now"));
         }
-        let address = |m: &fennelscale_messages::news::Member| format!("\"{}:{}\"", m.host, m.port);
+        let address = |m: &fennelscale_messages::session::ProxyInfo| format!("\"{}:{}\"", m.host, m.port);
         let addresses: Vec<String> = members.iter().take(MOST).map(address).collect();
         let ttl = TTL.min(self.settings.borrow().bounds.ttl_most).as_millis();
         Ok(Json(format!("{{\"addresses\":[{}],\"ttl\":\"{ttl}ms\"}}", addresses.join(","))))
--- a/system/registry/src/events.rs
+++ b/system/registry/src/events.rs
@@ -7,9 +7,9 @@
 use fennelscale_membership::feed::{self, Event};
 use fennelscale_membership::streams::{self, Cursor, Joined};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::Order;
-use fennelscale_messages::feed::{At, Told, Wanted};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::feed::{EventPage, EventQuery, FeedPosition};
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::store::RegistryToStore;
 use hyper::Method;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
 pub struct Events {
     after: Option<Cursor>,
     oldest: bool,
-    wanted: Wanted,
+    wanted: EventQuery,
 }
 
 impl Call for Events {
@@ -47,8 +47,9 @@
                 text.parse().map_err(|()| wrong("after", "the cursor of an answer is wanted, or oldest"))
             };
             let kind = asked.query("kind").map(|name| {
-                let known = feed::Kind::ALL.into_iter().find(|kind| kind.name() == name);
-                known.ok_or_else(|| wrong("kind", &feed::Kind::ALL.map(feed::Kind::name).join(", ")))
+                let known = feed::EventKind::ALL.into_iter().find(|kind| kind.name() == name);
+                known
+                    .ok_or_else(|| wrong("kind", &feed::EventKind::ALL.map(feed::EventKind::name).join(", ")))
             });
             let most =
                 asked.query("most").map(|most| most.parse().map_err(|_| wrong("most", "a number is wanted")));
@@ -56,11 +57,11 @@
             Ok(Self {
                 after: after.filter(|_| !oldest).map(cursor).transpose()?,
                 oldest,
-                wanted: Wanted {
+                wanted: EventQuery {
                     after: None,
                     kind: kind.transpose()?,
-                    what,
-                    most: most.transpose()?.unwrap_or_default(),
+                    subject_prefix: what,
+                    limit: most.transpose()?.unwrap_or_default(),
                 },
             })
         }))
@@ -75,10 +76,10 @@
                 "{{\"id\":{},\"kind\":\"{}\",\"what\":{},\"cause\":{},\"at\":\"{:.0}ms\",\"by\":\"{host}\",\"life\":\"{:x}\"}}",
                 quoted(&event.id),
                 event.kind.name(),
-                quoted(&event.what),
+                quoted(&event.subject),
                 quoted(&event.cause),
                 event.at,
-                event.place.life
+                event.position.incarnation
             )
         };
         let events: Vec<String> = joined.events.iter().map(event).collect();
@@ -106,12 +107,12 @@
     /// What all registries that are heard have after a cursor.
     async fn events(&self, call: Events) -> Joined {
         let Events { after, oldest, wanted } = call;
-        let most = if wanted.most == 0 { feed::MOST } else { wanted.most.min(feed::MOST) };
+        let most = if wanted.limit == 0 { feed::MOST } else { wanted.limit.min(feed::MOST) };
         let before = after.unwrap_or_default();
         let place = |host: Host| {
-            let after = if oldest { Some(At::default()) } else { before.0.get(&host).copied() };
+            let after = if oldest { Some(FeedPosition::default()) } else { before.0.get(&host).copied() };
             // All that fits, however few are wanted: what comes behind decides what may be told first.
-            Wanted { after, most: feed::MOST, ..wanted.clone() }
+            EventQuery { after, limit: feed::MOST, ..wanted.clone() }
         };
         let (me, peers) = {
             let round = self.round.borrow();
@@ -121,7 +122,7 @@
         let question = Question(self, self.number());
         self.readers.borrow_mut().insert(question.1, sender);
         for peer in &peers {
-            self.peers.send(*peer, &Word::WantEvents(question.1, place(*peer)));
+            self.peers.send(*peer, &RegistryMessage::RequestEvents(question.1, place(*peer)));
         }
         let until = Instant::now() + GATHER;
         let mut told = BTreeMap::from([(me, self.own_events(place(me)).await)]);
@@ -141,29 +142,29 @@
     }
 
     /// What this registry has, and what its store has of earlier lives.
-    pub(crate) async fn own_events(&self, wanted: Wanted) -> Told {
+    pub(crate) async fn own_events(&self, wanted: EventQuery) -> EventPage {
         let (now, life) = (self.now(), self.round.borrow().feed().life());
-        let Some(at) = wanted.after.filter(|at| at.life != life) else {
+        let Some(at) = wanted.after.filter(|at| at.incarnation != life) else {
             return self.round.borrow().feed().read(now, &wanted);
         };
         if let Some(told) = self.past(wanted.clone()).await
-            && told.at != at
+            && told.position != at
         {
             return told;
         }
         // Nothing more of earlier lives, or nothing is known of that one: on with the life at hand.
-        let after = Some(At { life, number: 0 });
-        let mut told = self.round.borrow().feed().read(now, &Wanted { after, ..wanted });
-        told.missed |= at.life != 0;
+        let after = Some(FeedPosition { incarnation: life, number: 0 });
+        let mut told = self.round.borrow().feed().read(now, &EventQuery { after, ..wanted });
+        told.missed |= at.incarnation != 0;
         told
     }
 
     /// A page of what the store has kept.
-    async fn past(&self, wanted: Wanted) -> Option<Told> {
+    async fn past(&self, wanted: EventQuery) -> Option<EventPage> {
         let question = Question(self, self.number());
         let (sender, receiver) = oneshot::channel();
         self.past.borrow_mut().insert(question.1, sender);
-        if !self.tell_depot(&Order::Kept(question.1, wanted)) {
+        if !self.tell_depot(&RegistryToStore::ReadEvents(question.1, wanted)) {
             return None;
         }
         timeout(PAGE, receiver).await.ok()?.ok()?
--- a/system/registry/src/list.rs
+++ b/system/registry/src/list.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use fennelscale_dataplane::back::link::Link;
-use fennelscale_messages::news::Backend;
+use fennelscale_messages::session::Backend;
 use fennelscale_node_settings::Settings;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
--- a/system/registry/src/registry.rs
+++ b/system/registry/src/registry.rs
@@ -7,10 +7,10 @@
 use fennelscale_host::{call, spawn, start};
 use fennelscale_membership::{Out, Round};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Order, Report, Told};
 use fennelscale_messages::feed;
-use fennelscale_messages::news::Up;
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::ProxyToRegistry;
+use fennelscale_messages::store::{RegistryToStore, StoreRequest, StoreResponse, StoreToRegistry};
 use fennelscale_node_settings::{Port, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -40,12 +40,12 @@
     pub(crate) peers: Peers,
     pub(crate) sessions: RefCell<HashMap<Host, (u64, Writer)>>,
     depot: RefCell<Option<(u64, Writer)>>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Told>>>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<StoreResponse>>>,
     /// Readers of events here that wait for other registries, and for the store.
-    pub(crate) readers: RefCell<HashMap<u64, mpsc::Sender<(Host, feed::Told)>>>,
+    pub(crate) readers: RefCell<HashMap<u64, mpsc::Sender<(Host, feed::EventPage)>>>,
     /// Who waits for what proxies and other registries know of a request.
     pub(crate) seekers: RefCell<HashMap<u64, mpsc::Sender<(Host, Known)>>>,
-    pub(crate) past: RefCell<HashMap<u64, oneshot::Sender<Option<feed::Told>>>>,
+    pub(crate) past: RefCell<HashMap<u64, oneshot::Sender<Option<feed::EventPage>>>>,
     next: Cell<u64>,
     born: Instant,
 }
@@ -58,7 +58,7 @@
             "settings field {field} is missing"
         )
     };
-    let host = Host::of(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
+    let host = Host::from_ip(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
     let control = settings.listen.control.ok_or_else(|| missing("listenAddresses.controlPlane"))?;
     let directory = settings.listen.directory.ok_or_else(|| missing("listenAddresses.directory"))?;
     let life = start::life() >> 1;
@@ -85,7 +85,7 @@
         born: Instant::now(),
     });
     let heard = registry.clone();
-    hear(others, move |from, word: Word| heard.with(|round, now| round.word(now, from, word)));
+    hear(others, move |from, word: RegistryMessage| heard.with(|round, now| round.word(now, from, word)));
     let of = registry.clone();
     link::accept(shelf, move |stream| of.clone().hear_depot(stream));
     let of = registry.clone();
@@ -156,7 +156,7 @@
 
     fn carry_out(self: &Rc<Self>, outs: Vec<Out>) {
         // One word goes to many proxies: its frame is made once.
-        let mut framed: Option<(*const fennelscale_messages::news::Down, Rc<Vec<u8>>)> = None;
+        let mut framed: Option<(*const fennelscale_messages::session::RegistryToProxy, Rc<Vec<u8>>)> = None;
         for out in outs {
             match out {
                 Out::Send(to, word) => self.peers.send(to, &word),
@@ -166,7 +166,7 @@
                         Some((known, frame)) if std::ptr::eq(*known, at) && Rc::strong_count(&word) > 1 => {
                             frame.clone()
                         }
-                        _ => Rc::new(fennelscale_messages::frame(&*word)),
+                        _ => Rc::new(fennelscale_messages::encode_frame(&*word)),
                     };
                     if let Some((_, writer)) = self.sessions.borrow().get(&to) {
                         writer.send_frame(&frame);
@@ -185,24 +185,26 @@
                 Out::Note(proxies) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let ask = Ask::Note(fennelscale_membership::FLEET.to_owned(), proxies.to_string());
+                        let ask =
+                            StoreRequest::Note(fennelscale_membership::FLEET.to_owned(), proxies.to_string());
                         let told = registry.ask(ask).await;
-                        tracing::info!(event = "fleet-noted", proxies, done = told == Told::Done);
+                        tracing::info!(event = "fleet-noted", proxies, done = told == StoreResponse::Done);
                     });
                 }
                 Out::Step(write) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let told = registry.ask(Ask::Step(write.seen, write.records)).await;
-                        if told != Told::Done {
+                        let told =
+                            registry.ask(StoreRequest::MaintenanceStep(write.seen, write.records)).await;
+                        if told != StoreResponse::Done {
                             tracing::info!(event = "maintenance-step-refused", told = ?told);
                         }
                         registry.with(Round::stepped);
                     });
                 }
                 Out::Keep(events) => {
-                    let last = events.last().map_or(0, |event| event.place.number);
-                    if self.tell_depot(&Order::Keep(events)) {
+                    let last = events.last().map_or(0, |event| event.position.number);
+                    if self.tell_depot(&RegistryToStore::SaveEvents(events)) {
                         self.round.borrow_mut().kept(last);
                     }
                 }
@@ -210,7 +212,7 @@
                     let registry = self.clone();
                     spawn(async move {
                         let told = registry.own_events(wanted).await;
-                        registry.peers.send(from, &Word::Events(question, told));
+                        registry.peers.send(from, &RegistryMessage::Events(question, told));
                     });
                 }
                 Out::Events(from, question, told) => {
@@ -222,7 +224,7 @@
                     let registry = self.clone();
                     spawn(async move {
                         let known = registry.own_request(id).await;
-                        registry.peers.send(from, &Word::Request(question, known));
+                        registry.peers.send(from, &RegistryMessage::RequestRecords(question, known));
                     });
                 }
                 Out::Request(from, question, known) => self.tell_seeker(question, from, known),
@@ -235,13 +237,13 @@
 
     async fn hear_proxy(self: Rc<Self>, stream: TcpStream) {
         let (mut reader, writer) = split(stream);
-        let Ok(first) = reader.next::<Up>().await else { return };
-        let (Up::Hello(member) | Up::Resume(member, _)) = &first else { return };
+        let Ok(first) = reader.next::<ProxyToRegistry>().await else { return };
+        let (ProxyToRegistry::Hello(member) | ProxyToRegistry::Resume(member, _)) = &first else { return };
         let (host, life) = (member.host, self.number());
         self.sessions.borrow_mut().insert(host, (life, writer));
         self.with(|round, now| round.up(now, host, first));
         while self.stands(host, life)
-            && let Ok(up) = reader.next::<Up>().await
+            && let Ok(up) = reader.next::<ProxyToRegistry>().await
         {
             if self.stands(host, life) {
                 self.with(|round, now| round.up(now, host, up));
@@ -262,23 +264,23 @@
         let (mut reader, writer): (Reader, Writer) = split(stream);
         let line = self.number();
         *self.depot.borrow_mut() = Some((line, writer));
-        while let Ok(report) = reader.next::<Report>().await {
+        while let Ok(report) = reader.next::<StoreToRegistry>().await {
             match report {
-                Report::Answer(id, told) => {
+                StoreToRegistry::Response(id, told) => {
                     if let Some(answer) = self.waiting.borrow_mut().remove(&id) {
                         let _ = answer.send(told);
                     }
                 }
-                Report::Kept(id, told) => {
+                StoreToRegistry::SavedEvents(id, told) => {
                     if let Some(reader) = self.past.borrow_mut().remove(&id) {
                         let _ = reader.send(told);
                     }
                 }
-                Report::Items { whole, entries } => {
+                StoreToRegistry::Items { complete: whole, entries } => {
                     self.with(|round, now| round.items(now, whole, entries));
                 }
-                Report::Fresh(fresh) => self.with(|round, now| round.fresh(now, fresh)),
-                Report::Seats(seats) => self.with(|round, now| round.seats(now, seats)),
+                StoreToRegistry::UpToDate(fresh) => self.with(|round, now| round.fresh(now, fresh)),
+                StoreToRegistry::Members(seats) => self.with(|round, now| round.seats(now, seats)),
             }
         }
         // A store that has started anew may have dialled before the end of its former life was seen here.
@@ -299,7 +301,7 @@
         }
     }
 
-    pub(crate) fn tell_depot(&self, order: &Order) -> bool {
+    pub(crate) fn tell_depot(&self, order: &RegistryToStore) -> bool {
         self.depot.borrow().as_ref().is_some_and(|(_, depot)| depot.send(order))
     }
 
@@ -310,16 +312,16 @@
     }
 
     /// Has the store beside this registry decide on a call.
-    pub async fn ask(&self, ask: Ask) -> Told {
+    pub async fn ask(&self, ask: StoreRequest) -> StoreResponse {
         let id = self.number();
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(id, sender);
-        let told = if self.tell_depot(&Order::Call(id, ask)) {
+        let told = if self.tell_depot(&RegistryToStore::Call(id, ask)) {
             tokio::time::timeout(PATIENCE, receiver).await.ok().and_then(Result::ok)
         } else {
             None
         };
         self.waiting.borrow_mut().remove(&id);
-        told.unwrap_or(Told::Unclear)
+        told.unwrap_or(StoreResponse::Unclear)
     }
 }
--- a/system/registry/src/requests.rs
+++ b/system/registry/src/requests.rs
@@ -5,8 +5,8 @@
 use fennelscale_host::call::{Asked, Call, Json, Serves};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::Down;
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::RegistryToProxy;
 use hyper::Method;
 use std::rc::Rc;
 use std::time::Duration;
@@ -90,7 +90,7 @@
         let seeker = Seeker::new(self, proxies.len());
         let asked = {
             let sessions = self.sessions.borrow();
-            let ask = Down::Recall(seeker.number, id);
+            let ask = RegistryToProxy::LookUpRequest(seeker.number, id);
             let lines = proxies.iter().filter_map(|proxy| sessions.get(proxy));
             lines.filter(|(_, line)| line.send(&ask)).count()
         };
@@ -101,7 +101,7 @@
         let peers = self.round.borrow().heard(self.now());
         let seeker = Seeker::new(self, peers.len());
         for peer in &peers {
-            self.peers.send(*peer, &Word::WantRequest(seeker.number, id));
+            self.peers.send(*peer, &RegistryMessage::LookUpRequest(seeker.number, id));
         }
         let mut known = self.own_request(id).await;
         known.extend(seeker.all(peers.len(), REGISTRIES).await);
--- a/system/replication/src/calls.rs
+++ b/system/replication/src/calls.rs
@@ -5,7 +5,9 @@
 use crate::{Book, Millis, Out, SEATS};
 use fennelscale_config::Changes;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, CallId, Change, Entry, Named, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    CallId, Change, Entry, NamedEntry, Stamp, StoreMessage, StoreRequest, StoreResponse,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A call that was passed on and not answered is taken up here after this: the way there and back, twice.
@@ -41,13 +43,13 @@
     /// The items.
     Read,
     /// It cannot be.
-    Refusal(Told),
+    Refusal(StoreResponse),
 }
 
 #[derive(Clone, Debug)]
 struct Passed {
     ticket: Ticket,
-    ask: Ask,
+    ask: StoreRequest,
     /// The store that it was passed on to: nobody else answers it.
     to: Host,
     until: Millis,
@@ -65,7 +67,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Calls {
-    waiting: VecDeque<(Ticket, Ask)>,
+    waiting: VecDeque<(Ticket, StoreRequest)>,
     passed: BTreeMap<CallId, Passed>,
     reading: Vec<Reading>,
     last: CallId,
@@ -73,25 +75,25 @@
 
 impl Calls {
     pub(crate) fn new(life: u64) -> Self {
-        let last = CallId { life, number: 0 };
+        let last = CallId { incarnation: life, number: 0 };
         Self { waiting: VecDeque::new(), passed: BTreeMap::new(), reading: Vec::new(), last }
     }
 }
 
 impl Book {
     /// A call from outside, or one that another store passes on.
-    pub fn call(&mut self, now: Millis, origin: Origin, ask: Ask) {
+    pub fn call(&mut self, now: Millis, origin: Origin, ask: StoreRequest) {
         let ask = match ask {
-            Ask::Evacuate(zone, on, None) => {
+            StoreRequest::Evacuate(zone, on, None) => {
                 let seen = self.view(&format!("e:{zone}")).map_or(0, |entry| entry.revision);
-                Ask::Evacuate(zone, on, Some(seen))
+                StoreRequest::Evacuate(zone, on, Some(seen))
             }
             ask => ask,
         };
         self.dispatch(now, Ticket { origin, since: now }, ask);
     }
 
-    fn dispatch(&mut self, now: Millis, ticket: Ticket, ask: Ask) {
+    fn dispatch(&mut self, now: Millis, ticket: Ticket, ask: StoreRequest) {
         match &self.turn {
             Turn::Holding(_) => return self.decide(now, ticket, ask),
             Turn::Asking(_) => return self.wait(now, ticket, ask),
@@ -111,7 +113,7 @@
                 self.calls.last.number += 1;
                 let id = self.calls.last;
                 self.calls.passed.insert(id, Passed { ticket, ask: ask.clone(), to, until: now + PASSED });
-                self.send(to, Word::Pass(id, ask));
+                self.send(to, StoreMessage::Forward(id, ask));
             }
             _ if self.votes => {
                 self.wait(now, ticket, ask);
@@ -121,7 +123,7 @@
         }
     }
 
-    pub(crate) fn wait(&mut self, _now: Millis, ticket: Ticket, ask: Ask) {
+    pub(crate) fn wait(&mut self, _now: Millis, ticket: Ticket, ask: StoreRequest) {
         if self.calls.waiting.len() < MOST {
             self.calls.waiting.push_back((ticket, ask));
         } else {
@@ -136,15 +138,17 @@
         }
     }
 
-    pub(crate) fn on_passed(&mut self, now: Millis, from: Host, id: CallId, told: Told) {
+    pub(crate) fn on_passed(&mut self, now: Millis, from: Host, id: CallId, told: StoreResponse) {
         if self.calls.passed.get(&id).is_none_or(|passed| passed.to != from) {
             return;
         }
         let Some(passed) = self.calls.passed.remove(&id) else { return };
         match told {
-            Told::Unclear => self.take_up(now, passed),
-            Told::Fresh(needs) if self.progress.position >= needs => self.answer_items(passed.ticket),
-            Told::Fresh(needs) => {
+            StoreResponse::Unclear => self.take_up(now, passed),
+            StoreResponse::Fresh(needs) if self.progress.position >= needs => {
+                self.answer_items(passed.ticket)
+            }
+            StoreResponse::Fresh(needs) => {
                 self.begin_transfer(now, from);
                 self.calls.reading.push(Reading { ticket: passed.ticket, needs, from, until: now + READS });
             }
@@ -213,7 +217,7 @@
 
     /// What a call writes: of each item the new version, nothing where it is there already. A call is whole: where one of its items
     /// cannot be, none of them is.
-    pub(crate) fn entries_of(&self, changes: Vec<Change>) -> Result<Vec<Named>, Told> {
+    pub(crate) fn entries_of(&self, changes: Vec<Change>) -> Result<Vec<NamedEntry>, StoreResponse> {
         let mut entries = Vec::new();
         let mut facts = Changes::new();
         for change in changes {
@@ -221,7 +225,7 @@
             match known.map_or(Standing::Newer, |known| versions::standing(known, &change)) {
                 Standing::Known => continue,
                 Standing::Taken => return Err(conflict(&change)),
-                Standing::Forgotten => return Err(Told::Forgotten),
+                Standing::Forgotten => return Err(StoreResponse::Forgotten),
                 Standing::PassedOver => {
                     entries.extend(
                         known.map(|known| (change.name.clone(), versions::with_record(known, &change))),
@@ -234,11 +238,11 @@
             let host = self.host_of(&change);
             let Change { name, revision, body, .. } = change;
             let fact = body.as_deref().map(|body| fennelscale_config::fact(&name, &host, body));
-            let fact = fact.transpose().map_err(|invalid| Told::Invalid(invalid.0))?;
+            let fact = fact.transpose().map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
             facts.insert(name.clone(), fact);
             entries.push((name, Entry { revision, host, body, history, ..Entry::default() }));
         }
-        self.standing.check(&facts).map_err(|invalid| Told::Invalid(invalid.0))?;
+        self.standing.check(&facts).map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
         Ok(entries)
     }
 
@@ -255,12 +259,12 @@
     /// Tells a caller what its call came to, now that what it rests on is chosen.
     pub(crate) fn reply(&mut self, ticket: Ticket, reply: Reply) {
         match (reply, &ticket.origin) {
-            (Reply::Done, _) => self.answer(ticket, Told::Done),
+            (Reply::Done, _) => self.answer(ticket, StoreResponse::Done),
             (Reply::Refusal(told), _) => self.answer(ticket, told),
             (Reply::Read, Origin::Registry(_)) => self.answer_items(ticket),
             (Reply::Read, Origin::Seat(..)) => {
                 let newest = self.newest();
-                self.answer(ticket, Told::Fresh(newest));
+                self.answer(ticket, StoreResponse::Fresh(newest));
             }
         }
     }
@@ -268,22 +272,22 @@
     fn answer_items(&mut self, ticket: Ticket) {
         let standing = self.chosen().filter(|(name, entry)| *name != SEATS && entry.body.is_some());
         let standing = standing.map(|(name, entry)| (name.clone(), versions::published(entry))).collect();
-        self.answer(ticket, Told::Items(standing));
+        self.answer(ticket, StoreResponse::Items(standing));
     }
 
     pub(crate) fn answer_unclear(&mut self, ticket: Ticket) {
-        self.answer(ticket, Told::Unclear);
+        self.answer(ticket, StoreResponse::Unclear);
     }
 
-    pub(crate) fn answer(&mut self, ticket: Ticket, told: Told) {
+    pub(crate) fn answer(&mut self, ticket: Ticket, told: StoreResponse) {
         match ticket.origin {
             Origin::Registry(id) => self.out.push(Out::Answer(id, told)),
-            Origin::Seat(host, id) => self.send(host, Word::Passed(id, told)),
+            Origin::Seat(host, id) => self.send(host, StoreMessage::ForwardResponse(id, told)),
         }
     }
 }
 
-fn conflict(change: &Change) -> Told {
+fn conflict(change: &Change) -> StoreResponse {
     let Change { name, revision, .. } = change;
-    Told::Conflict(format!("{name}: version {revision:08x} was given to another content"))
+    StoreResponse::Conflict(format!("{name}: version {revision:08x} was given to another content"))
 }
--- a/system/replication/src/catch_up.rs
+++ b/system/replication/src/catch_up.rs
@@ -6,7 +6,7 @@
 
 use crate::{Book, Millis, SEATS};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Chunk, Entry, Named, Stamp, Word};
+use fennelscale_messages::store::{Entry, NamedEntry, SnapshotChunk, Stamp, StoreMessage};
 use std::ops::Bound;
 
 /// A chunk holds entries of about this many bytes; an entry that is longer goes alone. Small beside a beat's period on any link, and
@@ -38,7 +38,7 @@
 
 impl Book {
     /// What is held as chosen with this stamp or a later one; none if that is more than one chunk.
-    pub(crate) fn tail(&self, since: Stamp) -> Option<Vec<Named>> {
+    pub(crate) fn tail(&self, since: Stamp) -> Option<Vec<NamedEntry>> {
         let (mut tail, mut bytes) = (Vec::new(), 0);
         for (_, name) in self.by_stamp.range((since, String::new())..) {
             let Some(entry) = self.items[name].chosen.as_ref() else { continue };
@@ -52,7 +52,7 @@
     }
 
     /// Entries from a name on, and the name to go on after if there are more.
-    fn chunk(&self, since: Stamp, after: &str) -> (Vec<Named>, Option<String>) {
+    fn chunk(&self, since: Stamp, after: &str) -> (Vec<NamedEntry>, Option<String>) {
         let names = self.items.range::<str, _>((Bound::Excluded(after), Bound::Unbounded));
         let (mut entries, mut bytes) = (Vec::new(), 0);
         let mut last: Option<&String> = None;
@@ -80,7 +80,7 @@
             None => self.chunk(since, &after),
         };
         let position = self.progress.position;
-        self.send(from, Word::Chunk(Chunk { since, after, entries, next, position }));
+        self.send(from, StoreMessage::Chunk(SnapshotChunk { since, after, entries, next, position }));
     }
 
     /// Asks a store for what this copy lacks, if nothing is asked for already.
@@ -94,11 +94,11 @@
             return;
         }
         self.transfer = Some(Transfer { since, after: String::new(), reaches: None, from, asked: now });
-        self.send(from, Word::Fetch { since, after: String::new() });
+        self.send(from, StoreMessage::Fetch { since, after: String::new() });
     }
 
-    pub(crate) fn on_chunk(&mut self, now: Millis, from: Host, chunk: Chunk) {
-        let Chunk { since, after, entries, next, position } = chunk;
+    pub(crate) fn on_chunk(&mut self, now: Millis, from: Host, chunk: SnapshotChunk) {
+        let SnapshotChunk { since, after, entries, next, position } = chunk;
         let Some(transfer) = &mut self.transfer else { return };
         if (transfer.from, transfer.since, &transfer.after) != (from, since, &after) {
             return;
@@ -108,7 +108,7 @@
         match next {
             Some(next) => {
                 (transfer.after, transfer.asked) = (next.clone(), now);
-                self.send(from, Word::Fetch { since, after: next });
+                self.send(from, StoreMessage::Fetch { since, after: next });
                 self.merge(entries);
             }
             None => {
@@ -133,13 +133,13 @@
         };
         (transfer.from, transfer.asked) = (next, now);
         let (since, after) = (transfer.since, transfer.after.clone());
-        self.send(next, Word::Fetch { since, after });
+        self.send(next, StoreMessage::Fetch { since, after });
     }
 
     /// A beat says what a voting peer holds: what it knows to be chosen is chosen here too, and what is lacking is asked for. Copies that
     /// are complete up to the same place and still differ are compared from the begin: nothing known leads there.
     pub(crate) fn compare(&mut self, now: Millis, from: Host, newest: Stamp, digest: u64) {
-        self.choose(newest.epoch, newest.turn);
+        self.choose(newest.term, newest.sequence);
         let (position, own_newest, own_digest) = (self.progress.position, self.newest(), self.digest);
         let Some(peer) = self.peers.get_mut(&from) else { return };
         let same_place = newest == own_newest && position >= newest;
@@ -154,11 +154,11 @@
     }
 
     /// Entries that another copy holds as chosen.
-    pub(crate) fn merge(&mut self, entries: Vec<Named>) {
+    pub(crate) fn merge(&mut self, entries: Vec<NamedEntry>) {
         for (name, entry) in entries {
             let known = self.items.get(&name).and_then(|item| item.chosen.as_ref()).map(|c| c.stamp);
             if known.is_none_or(|known| known < entry.stamp) {
-                self.round = self.round.max(entry.stamp.epoch.round);
+                self.round = self.round.max(entry.stamp.term.number);
                 self.set_chosen(name, entry);
             }
         }
@@ -167,7 +167,7 @@
     /// Tells another store the list of seats.
     pub(crate) fn tell_seats(&mut self, to: Host) {
         if let Some(entry) = self.items.get(SEATS).and_then(|item| item.chosen.clone()) {
-            self.send(to, Word::SeatList(entry));
+            self.send(to, StoreMessage::MemberList(entry));
         }
     }
 }
--- a/system/replication/src/founding.rs
+++ b/system/replication/src/founding.rs
@@ -8,7 +8,7 @@
 
 use crate::membership::to_text;
 use crate::{Book, Millis, SEATS};
-use fennelscale_messages::depot::{Entry, Epoch, Seat, Stamp};
+use fennelscale_messages::store::{Entry, Member, Stamp, Term};
 
 /// The founder waits so long for the others: all machines start together, and nothing is asked of them for seconds.
 const FOUND: Millis = 1800.0;
@@ -47,17 +47,18 @@
         if self.progress.founding != Founding::Founder || early {
             return;
         }
-        let mut seats: Vec<Seat> = self.candidates.values().map(|candidate| candidate.seat.clone()).collect();
+        let mut seats: Vec<Member> =
+            self.candidates.values().map(|candidate| candidate.seat.clone()).collect();
         seats.push(me.clone());
         seats.sort();
-        let stamp = Stamp { epoch: Epoch { round: 1, seat: me.host }, turn: 0 };
+        let stamp = Stamp { term: Term { number: 1, leader: me.host }, sequence: 0 };
         let entry = Entry { stamp, revision: 1, body: Some(to_text(&seats)), ..Entry::default() };
         self.log("founded", format!("seats={}", seats.len()));
         self.votes = true;
-        self.vows.promised = self.vows.promised.max(stamp.epoch);
+        self.vows.promised = self.vows.promised.max(stamp.term);
         self.dirty_vows = true;
         self.merge(vec![(SEATS.to_owned(), entry)]);
-        self.reach(stamp.following());
+        self.reach(stamp.next());
         self.others().into_iter().for_each(|host| self.tell_seats(host));
     }
 
--- a/system/replication/src/lib.rs
+++ b/system/replication/src/lib.rs
@@ -41,7 +41,9 @@
 
 use fennelscale_config::Standing;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    Entry, Member, MemberList, NamedEntry, Stamp, StoreMessage, StoreResponse, Term,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use writer::Turn;
 pub use writer::{OUT_OF_CONTACT, UNTAKEN};
@@ -74,9 +76,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub struct Vows {
     /// Nothing of earlier turns is taken any more.
-    pub promised: Epoch,
+    pub promised: Term,
     /// The turn whose first write was taken last.
-    pub joined: Epoch,
+    pub joined: Term,
 }
 
 /// What was on the disk at the start.
@@ -115,13 +117,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
     /// Sends a word to a seat.
-    Send(Host, Word),
+    Send(Host, StoreMessage),
     /// Answers a call of this machine's registry.
-    Answer(u64, Told),
+    Answer(u64, StoreResponse),
     /// Tells the registry of entries that are chosen now.
-    News(Vec<Named>),
+    News(Vec<NamedEntry>),
     /// Tells the registry of the seats.
-    Seats(Seats),
+    Seats(MemberList),
     /// Tells the registry whether this copy is as new as a quorum's, with each beat.
     Fresh(bool),
     /// A line for the log: the event and what it is about.
@@ -132,7 +134,7 @@
 #[derive(Clone, Debug)]
 pub struct Place {
     /// This machine.
-    pub me: Seat,
+    pub me: Member,
     /// Machines that are told to be there, in the order of the settings.
     pub seeds: Vec<Host>,
     /// The whole system starts for the first time.
@@ -172,7 +174,7 @@
     progress: Progress,
     contiguous: position::Contiguous,
     transfer: Option<catch_up::Transfer>,
-    seats: Seats,
+    seats: MemberList,
     /// This seat has forgotten nothing.
     votes: bool,
     leaving: bool,
@@ -204,17 +206,17 @@
     dirty: BTreeSet<String>,
     dirty_vows: bool,
     dirty_progress: bool,
-    news: Vec<Named>,
+    news: Vec<NamedEntry>,
     out: Vec<Out>,
 }
 
 /// How many of these seats a write needs: so many that two quorums share two seats, where that many are still there after
 /// the losses that are to be borne; else a bare majority, which is what is left then.
-pub fn quorum(seats: &Seats, (machines, zones, regions): (usize, usize, usize)) -> usize {
-    let n = seats.seats.len();
-    let largest = |of: fn(&Seat) -> &str, count: usize| {
+pub fn quorum(seats: &MemberList, (machines, zones, regions): (usize, usize, usize)) -> usize {
+    let n = seats.members.len();
+    let largest = |of: fn(&Member) -> &str, count: usize| {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
-        seats.seats.iter().for_each(|seat| *sizes.entry(of(seat)).or_default() += 1);
+        seats.members.iter().for_each(|seat| *sizes.entry(of(seat)).or_default() += 1);
         let mut sizes: Vec<usize> = sizes.into_values().collect();
         sizes.sort_unstable_by(|a, b| b.cmp(a));
         sizes.into_iter().take(count).sum::<usize>()
@@ -240,7 +242,7 @@
             progress,
             contiguous: position::Contiguous::default(),
             transfer: None,
-            seats: Seats::default(),
+            seats: MemberList::default(),
             votes: false,
             leaving: false,
             turn: Turn::Idle,
@@ -267,7 +269,7 @@
             out: Vec::new(),
             place,
         };
-        book.round = book.vows.promised.round;
+        book.round = book.vows.promised.number;
         book.index();
         book.contiguous = position::Contiguous::at_start(book.progress.position, book.vows.joined);
         book.take_seats();
@@ -319,7 +321,7 @@
     }
 
     /// All that is chosen, for a registry that begins to listen.
-    pub fn all(&self) -> Vec<Named> {
+    pub fn all(&self) -> Vec<NamedEntry> {
         let chosen = self.chosen().filter(|(name, _)| *name != SEATS);
         chosen.map(|(name, entry)| (name.clone(), versions::published(entry))).collect()
     }
@@ -330,7 +332,7 @@
     }
 
     /// The list of seats.
-    pub fn seats(&self) -> &Seats {
+    pub fn seats(&self) -> &MemberList {
         &self.seats
     }
 
@@ -360,7 +362,7 @@
     }
 
     fn is_seat(&self, host: Host) -> bool {
-        self.seats.seats.iter().any(|seat| seat.host == host)
+        self.seats.members.iter().any(|seat| seat.host == host)
     }
 
     fn quorum(&self) -> usize {
@@ -369,10 +371,10 @@
 
     fn others(&self) -> Vec<Host> {
         let me = self.place.me.host;
-        self.seats.seats.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
+        self.seats.members.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
     }
 
-    fn send(&mut self, to: Host, word: Word) {
+    fn send(&mut self, to: Host, word: StoreMessage) {
         self.out.push(Out::Send(to, word));
     }
 
@@ -405,10 +407,10 @@
         self.beat_at = now + if self.fresh { BEAT } else { BEAT / 3.0 };
         self.look_stuck(now);
         if self.votes {
-            let beat = Word::Beat {
-                seats: self.seats.version,
+            let beat = StoreMessage::Heartbeat {
+                members_version: self.seats.version,
                 promised: self.vows.promised,
-                votes: true,
+                voting: true,
                 leaving: self.leaving,
                 unconfirmed: self.inherited,
                 newest: self.newest(),
@@ -430,14 +432,14 @@
         };
         let heard = self.others().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
         let enough = heard + usize::from(self.votes) >= self.quorum();
-        self.fresh = !self.seats.seats.is_empty() && enough && !self.inherited;
+        self.fresh = !self.seats.members.is_empty() && enough && !self.inherited;
         // Said with each beat: the registry goes by it for a while only, since a store that hangs cannot take it back.
         self.out.push(Out::Fresh(self.fresh));
     }
 
     /// Seats that ask by themselves take their turns, by their place in the list.
     pub(crate) fn place_in_list(&self) -> f64 {
-        self.seats.seats.iter().position(|seat| seat.host == self.place.me.host).unwrap_or(0) as f64
+        self.seats.members.iter().position(|seat| seat.host == self.place.me.host).unwrap_or(0) as f64
     }
 
     /// A write that was taken here stays unknown where its writer died before it could say that it is chosen, though it may have
@@ -463,15 +465,23 @@
     }
 
     /// A word from another store.
-    pub fn word(&mut self, now: Millis, from: Host, word: Word) {
+    pub fn word(&mut self, now: Millis, from: Host, word: StoreMessage) {
         // Only who writes, or asks to, goes by it.
         if !matches!(self.turn, Turn::Idle) && self.is_seat(from) {
             self.contact.insert(from, now);
         }
         match word {
-            Word::Announce { seat, position } => self.on_announce(now, from, seat, position),
-            Word::Beat { seats, promised, votes, leaving, unconfirmed, newest, digest } => {
-                self.round = self.round.max(promised.round);
+            StoreMessage::Announce { member: seat, position } => self.on_announce(now, from, seat, position),
+            StoreMessage::Heartbeat {
+                members_version: seats,
+                promised,
+                voting: votes,
+                leaving,
+                unconfirmed,
+                newest,
+                digest,
+            } => {
+                self.round = self.round.max(promised.number);
                 let peer = self.peers.entry(from).or_default();
                 (peer.heard, peer.votes, peer.leaving) = (now, votes, leaving);
                 (peer.unconfirmed, peer.newest) = (unconfirmed, newest);
@@ -485,33 +495,33 @@
                     self.compare(now, from, newest, digest);
                 }
             }
-            Word::Prepare(epoch, since) => self.on_prepare(from, epoch, since),
-            Word::Promise { epoch, joined, chosen, more, pending } => {
+            StoreMessage::Prepare(epoch, since) => self.on_prepare(from, epoch, since),
+            StoreMessage::Promise { term: epoch, joined, chosen, more, pending } => {
                 if more {
                     self.give_up_asking(now, from, epoch);
                 } else {
                     self.on_promise(now, from, epoch, joined, chosen, pending);
                 }
             }
-            Word::Begin { epoch, entries, digest, lacked } => {
+            StoreMessage::BeginTerm { term: epoch, entries, digest, missing: lacked } => {
                 self.on_begin(from, epoch, entries, digest, lacked);
             }
-            Word::Accept { stamp, entries, chosen } => self.on_accept(from, stamp, entries, chosen),
-            Word::Accepted(stamp) => self.on_accepted(now, from, stamp),
-            Word::Refused(epoch) => self.on_refused(epoch),
-            Word::Behind(epoch, since) => self.on_behind(from, epoch, since),
-            Word::Chosen(stamp) => self.choose(stamp.epoch, stamp.turn + 1),
-            Word::SeatList(entry) => self.merge(vec![(SEATS.to_owned(), entry)]),
-            Word::CatchUp => self.begin_transfer(now, from),
-            Word::Fetch { since, after } => self.on_fetch(from, since, after),
-            Word::Chunk(chunk) => self.on_chunk(now, from, chunk),
-            Word::Learn(since) => self.on_learn(from, since),
-            Word::Learned { more: true, .. } => self.begin_transfer(now, from),
-            Word::Learned { promised, joined, chosen, more: false, pending } => {
+            StoreMessage::Accept { stamp, entries, chosen } => self.on_accept(from, stamp, entries, chosen),
+            StoreMessage::Accepted(stamp) => self.on_accepted(now, from, stamp),
+            StoreMessage::Rejected(epoch) => self.on_refused(epoch),
+            StoreMessage::Behind(epoch, since) => self.on_behind(from, epoch, since),
+            StoreMessage::Chosen(stamp) => self.choose(stamp.term, stamp.sequence + 1),
+            StoreMessage::MemberList(entry) => self.merge(vec![(SEATS.to_owned(), entry)]),
+            StoreMessage::CatchUp => self.begin_transfer(now, from),
+            StoreMessage::Fetch { since, after } => self.on_fetch(from, since, after),
+            StoreMessage::Chunk(chunk) => self.on_chunk(now, from, chunk),
+            StoreMessage::Recover(since) => self.on_learn(from, since),
+            StoreMessage::RecoveryState { more: true, .. } => self.begin_transfer(now, from),
+            StoreMessage::RecoveryState { promised, joined, chosen, more: false, pending } => {
                 self.on_learned(from, promised, joined, chosen, pending);
             }
-            Word::Pass(id, ask) => self.call(now, Origin::Seat(from, id), ask),
-            Word::Passed(id, told) => self.on_passed(now, from, id, told),
+            StoreMessage::Forward(id, ask) => self.call(now, Origin::Seat(from, id), ask),
+            StoreMessage::ForwardResponse(id, told) => self.on_passed(now, from, id, told),
         }
     }
 }
--- a/system/replication/src/membership.rs
+++ b/system/replication/src/membership.rs
@@ -14,7 +14,7 @@
 use crate::writer::Turn;
 use crate::{BEAT, Book, Millis, SEATS, SILENT};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Word};
+use fennelscale_messages::store::{Entry, Member, MemberList, NamedEntry, Stamp, StoreMessage, Term};
 
 /// A seat that was silent for this long may be given to a machine that waits for it in the same zone. Longer than a kill and
 /// the start after it; an old machine that comes back later is a learner.
@@ -29,23 +29,23 @@
 /// A machine without a seat that would take one.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
-    pub(crate) seat: Seat,
+    pub(crate) seat: Member,
     /// Its copy holds all that was chosen before this.
     pub(crate) position: Stamp,
     pub(crate) heard: Millis,
 }
 
 /// The list as an item's text. Names of zones are the operator's: they are kept apart by line ends, which none has.
-pub(crate) fn to_text(seats: &[Seat]) -> String {
-    let line = |seat: &Seat| format!("{}\t{}\t{}", seat.host.0, seat.zone, seat.region);
+pub(crate) fn to_text(seats: &[Member]) -> String {
+    let line = |seat: &Member| format!("{}\t{}\t{}", seat.host.0, seat.zone, seat.region);
     seats.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-fn from_text(text: &str) -> Option<Vec<Seat>> {
+fn from_text(text: &str) -> Option<Vec<Member>> {
     let line = |line: &str| {
         let mut parts = line.split('\t');
         let host = Host(parts.next()?.parse().ok()?);
-        Some(Seat { host, zone: parts.next()?.to_owned(), region: parts.next()?.to_owned() })
+        Some(Member { host, zone: parts.next()?.to_owned(), region: parts.next()?.to_owned() })
     };
     text.lines().map(line).collect()
 }
@@ -56,21 +56,21 @@
         let entry = self.items.get(SEATS).and_then(|item| item.chosen.as_ref());
         let Some(entry) = entry else { return };
         let seats = entry.body.as_deref().and_then(from_text).unwrap_or_default();
-        self.seats = Seats { version: entry.revision, seats };
+        self.seats = MemberList { version: entry.revision, members: seats };
         self.seated = self.told;
         let me = self.place.me.host;
         if self.votes && !self.is_seat(me) {
             self.votes = false;
             self.log("seat-lost", format!("version={}", self.seats.version));
         }
-        let listed: Vec<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
+        let listed: Vec<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
         self.candidates.retain(|host, _| !listed.contains(host));
         self.peers.retain(|host, _| listed.contains(host));
     }
 
-    pub(crate) fn on_announce(&mut self, now: Millis, from: Host, seat: Seat, position: Stamp) {
+    pub(crate) fn on_announce(&mut self, now: Millis, from: Host, seat: Member, position: Stamp) {
         let candidate = Candidate { seat: seat.clone(), position, heard: now };
-        if self.seats.seats.is_empty() {
+        if self.seats.members.is_empty() {
             self.candidates.insert(from, candidate);
             return;
         }
@@ -80,24 +80,24 @@
             let direct = seat.host == from;
             self.candidates.insert(seat.host, candidate);
             if direct && let Some(writer) = self.writer(now) {
-                self.send(writer, Word::Announce { seat, position });
+                self.send(writer, StoreMessage::Announce { member: seat, position });
             }
         }
     }
 
     pub(crate) fn announce_to(&mut self, host: Host) {
         let (seat, position) = (self.place.me.clone(), self.progress.position);
-        self.send(host, Word::Announce { seat, position });
+        self.send(host, StoreMessage::Announce { member: seat, position });
     }
 
     pub(crate) fn membership_tick(&mut self, now: Millis) {
         self.told = now;
-        if self.seats.seats.is_empty() || !self.is_seat(self.place.me.host) {
+        if self.seats.members.is_empty() || !self.is_seat(self.place.me.host) {
             self.announce(now);
         } else if !self.votes && !self.takes_first_seat() {
             self.learn(now);
         }
-        if self.seats.seats.is_empty() {
+        if self.seats.members.is_empty() {
             self.found(now);
         } else if self.votes {
             self.reseat(now);
@@ -132,7 +132,7 @@
         self.announce_at = now + BEAT;
         let position = self.progress.position;
         for host in self.others() {
-            self.send(host, Word::Learn(position));
+            self.send(host, StoreMessage::Recover(position));
             // The list may have changed again before this one could learn: then it is a candidate once more.
             self.announce_to(host);
         }
@@ -144,18 +144,22 @@
         }
         let (tail, pending) = (self.tail(since), self.pending());
         let (promised, joined, more) = (self.vows.promised, self.vows.joined, tail.is_none());
-        self.send(from, Word::Learned { promised, joined, chosen: tail.unwrap_or_default(), more, pending });
+        self.send(
+            from,
+            StoreMessage::RecoveryState { promised, joined, chosen: tail.unwrap_or_default(), more, pending },
+        );
     }
 
     /// A seat that has forgotten what it promised learns from a quorum of the others before it votes again.
     pub(crate) fn on_learned(
-        &mut self, from: Host, promised: Epoch, joined: Epoch, chosen: Vec<Named>, pending: Vec<Named>,
+        &mut self, from: Host, promised: Term, joined: Term, chosen: Vec<NamedEntry>,
+        pending: Vec<NamedEntry>,
     ) {
         if self.votes || !self.is_seat(from) || !self.is_seat(self.place.me.host) {
             return;
         }
         self.merge(chosen);
-        self.round = self.round.max(promised.round);
+        self.round = self.round.max(promised.number);
         self.vows.promised = self.vows.promised.max(promised);
         self.vows.joined = self.vows.joined.max(joined);
         for (name, entry) in pending {
@@ -174,7 +178,7 @@
     fn take_seat(&mut self) {
         // What was taken in turns before the newest that anybody joined, and is not in that one's first write, is void.
         for (name, lesson) in std::mem::take(&mut self.lesson) {
-            let Some(entry) = lesson.pending.filter(|p| p.stamp.epoch >= self.vows.joined) else { continue };
+            let Some(entry) = lesson.pending.filter(|p| p.stamp.term >= self.vows.joined) else { continue };
             let chosen = self.items.get(&name).and_then(|item| item.chosen.as_ref());
             if chosen.is_none_or(|c| c.stamp < entry.stamp) {
                 self.set_pending(&name, Some(entry));
@@ -190,7 +194,7 @@
     }
 
     /// Whether a seat is to be given away: its machine was silent for long, or is about to go.
-    fn is_gone(&self, now: Millis, seat: &Seat) -> bool {
+    fn is_gone(&self, now: Millis, seat: &Member) -> bool {
         if seat.host == self.place.me.host {
             return self.leaving;
         }
@@ -213,11 +217,11 @@
     }
 
     /// The list after the next change; none if there is none to make, or it has to wait.
-    fn next_list(&self, now: Millis) -> Option<Vec<Seat>> {
-        let seats = &self.seats.seats;
+    fn next_list(&self, now: Millis) -> Option<Vec<Member>> {
+        let seats = &self.seats.members;
         let ready = || self.candidates.values().filter(|c| self.has_learned(c)).map(|c| &c.seat);
-        let place = |new: &Seat| seats.iter().position(|s| s.zone == new.zone && self.is_gone(now, s));
-        let lonely = |new: &&Seat| !seats.iter().any(|s| s.zone == new.zone);
+        let place = |new: &Member| seats.iter().position(|s| s.zone == new.zone && self.is_gone(now, s));
+        let lonely = |new: &&Member| !seats.iter().any(|s| s.zone == new.zone);
         let swap = ready().find_map(|new| Some((new, Some(place(new)?))));
         let (new, place) = swap.or_else(|| ready().find(lonely).map(|new| (new, None)))?;
         let mut list = seats.clone();
@@ -226,12 +230,12 @@
             None => list.push(new.clone()),
         }
         list.sort();
-        let learns = |seat: &&Seat| !self.counts(now, seat.host) && !self.is_gone(now, seat);
+        let learns = |seat: &&Member| !self.counts(now, seat.host) && !self.is_gone(now, seat);
         if seats.iter().any(|seat| learns(&seat)) {
             return None;
         }
         let stay = list.iter().filter(|seat| self.counts(now, seat.host)).count();
-        let needed = crate::quorum(&Seats { version: 0, seats: list.clone() }, self.place.tolerance);
+        let needed = crate::quorum(&MemberList { version: 0, members: list.clone() }, self.place.tolerance);
         (stay >= needed).then_some(list)
     }
 
--- a/system/replication/src/position.rs
+++ b/system/replication/src/position.rs
@@ -13,7 +13,7 @@
 
 use crate::Book;
 use crate::founding::Founding;
-use fennelscale_messages::depot::{Epoch, Stamp};
+use fennelscale_messages::store::{Stamp, Term};
 use std::collections::BTreeSet;
 
 /// What is kept on disk beside items and promises.
@@ -39,8 +39,8 @@
 
 impl Contiguous {
     /// What a store knows of it after a start: what is complete up to its position, and the first write of the turn it joined.
-    pub(crate) fn at_start(position: Stamp, joined: Epoch) -> Self {
-        let known = if position.epoch == joined { position.turn } else { 0 };
+    pub(crate) fn at_start(position: Stamp, joined: Term) -> Self {
+        let known = if position.term == joined { position.sequence } else { 0 };
         Self { next: known.max(1), beyond: BTreeSet::new() }
     }
 
@@ -66,7 +66,7 @@
 impl Book {
     /// The stamp after the newest entry that is held as chosen.
     pub(crate) fn newest(&self) -> Stamp {
-        self.by_stamp.last().map_or_else(Stamp::default, |(stamp, _)| stamp.following())
+        self.by_stamp.last().map_or_else(Stamp::default, |(stamp, _)| stamp.next())
     }
 
     /// Up to where this copy is complete.
--- a/system/replication/src/seat.rs
+++ b/system/replication/src/seat.rs
@@ -3,23 +3,23 @@
 use crate::position::Contiguous;
 use crate::{Book, Out, SEATS, versions};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Epoch, Named, Stamp, Word};
+use fennelscale_messages::store::{Entry, NamedEntry, Stamp, StoreMessage, Term};
 
 impl Book {
     fn touch(&mut self, name: &str) {
         self.dirty.insert(name.to_owned());
     }
 
-    pub(crate) fn promise(&mut self, epoch: Epoch) {
+    pub(crate) fn promise(&mut self, epoch: Term) {
         debug_assert!(epoch >= self.vows.promised, "a promise is never taken back");
-        self.round = self.round.max(epoch.round);
+        self.round = self.round.max(epoch.number);
         if self.vows.promised != epoch {
             self.vows.promised = epoch;
             self.dirty_vows = true;
         }
     }
 
-    pub(crate) fn pending(&self) -> Vec<Named> {
+    pub(crate) fn pending(&self) -> Vec<NamedEntry> {
         let entry = |name: &String| Some((name.clone(), self.items[name].pending.clone()?));
         self.pending.iter().filter_map(entry).collect()
     }
@@ -36,43 +36,47 @@
         self.refact(name);
     }
 
-    pub(crate) fn on_prepare(&mut self, from: Host, epoch: Epoch, since: Stamp) {
-        if !self.votes || !self.is_seat(from) || epoch.seat != from {
+    pub(crate) fn on_prepare(&mut self, from: Host, epoch: Term, since: Stamp) {
+        if !self.votes || !self.is_seat(from) || epoch.leader != from {
             return;
         }
         if epoch <= self.vows.promised {
             let promised = self.vows.promised;
-            return self.send(from, Word::Refused(promised));
+            return self.send(from, StoreMessage::Rejected(promised));
         }
         self.step_down(epoch);
         self.promise(epoch);
         let (joined, tail, pending) = (self.vows.joined, self.tail(since), self.pending());
         let more = tail.is_none();
-        self.send(from, Word::Promise { epoch, joined, chosen: tail.unwrap_or_default(), more, pending });
+        self.send(
+            from,
+            StoreMessage::Promise { term: epoch, joined, chosen: tail.unwrap_or_default(), more, pending },
+        );
     }
 
     /// Whether a write of a turn may be taken here; who writes is told where a later turn was promised.
-    fn may_take(&mut self, from: Host, epoch: Epoch) -> bool {
-        if !self.votes || !self.is_seat(from) || epoch.seat != from {
+    fn may_take(&mut self, from: Host, epoch: Term) -> bool {
+        if !self.votes || !self.is_seat(from) || epoch.leader != from {
             return false;
         }
         if epoch < self.vows.promised {
             let promised = self.vows.promised;
-            self.send(from, Word::Refused(promised));
+            self.send(from, StoreMessage::Rejected(promised));
             return false;
         }
         self.step_down(epoch);
         true
     }
 
-    fn send_behind(&mut self, to: Host, epoch: Epoch) {
-        self.send(to, Word::Behind(epoch, self.progress.position));
+    fn send_behind(&mut self, to: Host, epoch: Term) {
+        self.send(to, StoreMessage::Behind(epoch, self.progress.position));
     }
 
     /// A turn begins. What its writer holds as chosen is not written again, so a seat joins only once it holds that too: what
     /// whoever joined does not hold was never chosen, and that is what later turns go by ([`Book::base`]).
     pub(crate) fn on_begin(
-        &mut self, from: Host, epoch: Epoch, entries: Vec<Named>, digest: u64, lacked: Option<Vec<Named>>,
+        &mut self, from: Host, epoch: Term, entries: Vec<NamedEntry>, digest: u64,
+        lacked: Option<Vec<NamedEntry>>,
     ) {
         if !self.may_take(from, epoch) {
             return;
@@ -88,39 +92,39 @@
         if !self.votes {
             return;
         }
-        let stamp = Stamp { epoch, turn: 0 };
+        let stamp = Stamp { term: epoch, sequence: 0 };
         self.take(stamp, entries);
-        self.send(from, Word::Accepted(stamp));
+        self.send(from, StoreMessage::Accepted(stamp));
     }
 
-    pub(crate) fn on_accept(&mut self, from: Host, stamp: Stamp, entries: Vec<Named>, chosen: u64) {
-        if !self.may_take(from, stamp.epoch) {
+    pub(crate) fn on_accept(&mut self, from: Host, stamp: Stamp, entries: Vec<NamedEntry>, chosen: u64) {
+        if !self.may_take(from, stamp.term) {
             return;
         }
-        if self.vows.joined != stamp.epoch {
-            return self.send_behind(from, stamp.epoch);
+        if self.vows.joined != stamp.term {
+            return self.send_behind(from, stamp.term);
         }
         // First what is chosen of this turn: this write may be the next one of a name that waits to be.
-        self.choose(stamp.epoch, chosen);
+        self.choose(stamp.term, chosen);
         self.take(stamp, entries);
-        self.send(from, Word::Accepted(stamp));
+        self.send(from, StoreMessage::Accepted(stamp));
     }
 
     /// Takes a write. The first of a turn holds all of earlier turns that may have been chosen: the rest is void.
-    pub(crate) fn take(&mut self, stamp: Stamp, entries: Vec<Named>) {
-        self.promise(stamp.epoch);
-        if stamp.turn == 0 && self.vows.joined != stamp.epoch {
-            self.vows.joined = stamp.epoch;
+    pub(crate) fn take(&mut self, stamp: Stamp, entries: Vec<NamedEntry>) {
+        self.promise(stamp.term);
+        if stamp.sequence == 0 && self.vows.joined != stamp.term {
+            self.vows.joined = stamp.term;
             self.dirty_vows = true;
             self.contiguous = Contiguous::default();
             let before = |name: &&String| {
-                self.items[*name].pending.as_ref().is_some_and(|p| p.stamp.epoch < stamp.epoch)
+                self.items[*name].pending.as_ref().is_some_and(|p| p.stamp.term < stamp.term)
             };
             let void: Vec<String> = self.pending.iter().filter(before).cloned().collect();
             void.iter().for_each(|name| self.set_pending(name, None));
         }
-        if self.vows.joined == stamp.epoch {
-            self.contiguous.take(stamp.turn);
+        if self.vows.joined == stamp.term {
+            self.contiguous.take(stamp.sequence);
         }
         for (name, entry) in entries {
             let item = self.items.get(&name);
@@ -132,13 +136,13 @@
     }
 
     /// Writes of a turn below this one are chosen.
-    pub(crate) fn choose(&mut self, epoch: Epoch, below: u64) {
+    pub(crate) fn choose(&mut self, epoch: Term, below: u64) {
         if epoch != self.vows.joined {
             return;
         }
         let ready = |name: &&String| {
             let pending = self.items[*name].pending.as_ref();
-            pending.is_some_and(|p| p.stamp.epoch == epoch && p.stamp.turn < below)
+            pending.is_some_and(|p| p.stamp.term == epoch && p.stamp.sequence < below)
         };
         let names: Vec<String> = self.pending.iter().filter(ready).cloned().collect();
         for name in names {
@@ -148,7 +152,7 @@
         }
         let reached = below.min(self.contiguous.reached());
         if reached > 0 {
-            self.reach(Stamp { epoch, turn: reached });
+            self.reach(Stamp { term: epoch, sequence: reached });
         }
     }
 
--- a/system/replication/src/versions.rs
+++ b/system/replication/src/versions.rs
@@ -8,7 +8,7 @@
 //! - Both hold for the last [`HISTORY`] versions of each item. What is older cannot be told from another content any more: it has no
 //!   clear answer, and no effect.
 
-use fennelscale_messages::depot::{Change, Entry, VersionRecord};
+use fennelscale_messages::store::{Change, Entry, RevisionRecord};
 
 /// Versions of one item that are remembered, besides the one that it has. An operator gives up on a call within seconds; in these no
 /// item has so many versions. Costs 16 bytes a version and item.
@@ -35,9 +35,9 @@
     fennelscale_config::content(host, body)
 }
 
-fn own_record(name: &str, entry: &Entry) -> VersionRecord {
+fn own_record(name: &str, entry: &Entry) -> RevisionRecord {
     let content = content_of(name, &entry.host, entry.body.as_deref());
-    VersionRecord { revision: entry.revision, content }
+    RevisionRecord { revision: entry.revision, content_hash: content }
 }
 
 /// How a change stands to the entry that is in force.
@@ -49,7 +49,7 @@
     }
     let records = || known.history.iter().chain(std::iter::once(&own));
     if let Some(record) = records().find(|record| record.revision == change.revision) {
-        return if record.content == content { Standing::Known } else { Standing::Taken };
+        return if record.content_hash == content { Standing::Known } else { Standing::Taken };
     }
     let complete = known.history.len() < HISTORY;
     let oldest = known.history.first().map_or(known.revision, |record| record.revision);
@@ -57,7 +57,7 @@
 }
 
 /// The history of the entry that takes the place of this one.
-pub fn history_after(name: &str, known: &Entry) -> Vec<VersionRecord> {
+pub fn history_after(name: &str, known: &Entry) -> Vec<RevisionRecord> {
     let mut history = known.history.clone();
     history.push(own_record(name, known));
     shorten(&mut history);
@@ -67,7 +67,7 @@
 /// The same entry, with a version that was passed over given to a content.
 pub fn with_record(known: &Entry, change: &Change) -> Entry {
     let content = content_of(&change.name, &change.host, change.body.as_deref());
-    let record = VersionRecord { revision: change.revision, content };
+    let record = RevisionRecord { revision: change.revision, content_hash: content };
     let mut entry = known.clone();
     let at = entry.history.partition_point(|other| other.revision < record.revision);
     entry.history.insert(at, record);
@@ -81,6 +81,6 @@
     Entry { stamp: *stamp, revision: *revision, host: host.clone(), body: body.clone(), history: Vec::new() }
 }
 
-fn shorten(history: &mut Vec<VersionRecord>) {
+fn shorten(history: &mut Vec<RevisionRecord>) {
     history.drain(..history.len().saturating_sub(HISTORY));
 }
--- a/system/replication/src/writer.rs
+++ b/system/replication/src/writer.rs
@@ -6,7 +6,9 @@
 use crate::calls::{Origin, Reply, Ticket};
 use crate::{BEAT, Book, Millis, Out};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Entry, Epoch, Named, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    Entry, NamedEntry, Stamp, StoreMessage, StoreRequest, StoreResponse, Term,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Asking for the turn is given up after this; guards against quorums that are not there.
@@ -31,18 +33,18 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Asking {
-    epoch: Epoch,
+    epoch: Term,
     since: Millis,
-    joined: Epoch,
+    joined: Term,
     promised: BTreeSet<Host>,
     found: BTreeMap<String, Entry>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Holding {
-    pub(crate) epoch: Epoch,
+    pub(crate) epoch: Term,
     /// The turn's first write, for seats that missed it.
-    base: Vec<Named>,
+    base: Vec<NamedEntry>,
     next: u64,
     /// Writes below this are chosen.
     chosen: u64,
@@ -53,7 +55,7 @@
 
 #[derive(Clone, Debug)]
 struct Flight {
-    entries: Vec<Named>,
+    entries: Vec<NamedEntry>,
     taken: BTreeSet<Host>,
     /// Who is told what when it is chosen.
     owed: Vec<(Ticket, Reply)>,
@@ -68,7 +70,7 @@
             return;
         }
         let me = self.place.me.host;
-        let epoch = Epoch { round: self.round.max(self.vows.promised.round) + 1, seat: me };
+        let epoch = Term { number: self.round.max(self.vows.promised.number) + 1, leader: me };
         self.promise(epoch);
         self.contact.clear();
         let found = self.pending().into_iter().collect();
@@ -76,23 +78,23 @@
         self.turn = Turn::Asking(Asking { epoch, since: now, joined, promised, found });
         let position = self.progress.position;
         for host in self.others() {
-            self.send(host, Word::Prepare(epoch, position));
+            self.send(host, StoreMessage::Prepare(epoch, position));
         }
         self.look_asked(now);
     }
 
     /// A seat holds more than a promise can tell: who is so far behind catches up first and then asks again.
-    pub(crate) fn give_up_asking(&mut self, now: Millis, from: Host, epoch: Epoch) {
+    pub(crate) fn give_up_asking(&mut self, now: Millis, from: Host, epoch: Term) {
         if matches!(&self.turn, Turn::Asking(asking) if asking.epoch == epoch) {
-            self.log("writer-behind", format!("round={} peer={from}", epoch.round));
+            self.log("writer-behind", format!("round={} peer={from}", epoch.number));
             self.turn = Turn::Idle;
             self.begin_transfer(now, from);
         }
     }
 
     pub(crate) fn on_promise(
-        &mut self, now: Millis, from: Host, epoch: Epoch, joined: Epoch, chosen: Vec<Named>,
-        pending: Vec<Named>,
+        &mut self, now: Millis, from: Host, epoch: Term, joined: Term, chosen: Vec<NamedEntry>,
+        pending: Vec<NamedEntry>,
     ) {
         if !self.is_seat(from) || !matches!(&self.turn, Turn::Asking(asking) if asking.epoch == epoch) {
             return;
@@ -124,7 +126,7 @@
             flights: BTreeMap::new(),
             reseating: None,
         });
-        self.log("writer", format!("round={} found={}", epoch.round, base.len()));
+        self.log("writer", format!("round={} found={}", epoch.number, base.len()));
         self.write(now, base, Vec::new());
         self.work_off(now);
     }
@@ -132,31 +134,31 @@
     /// What a new turn takes over. A value that was chosen is pending or chosen at one of the quorum that promised. What is
     /// older than the newest turn that any of these joined, and is neither chosen there nor in that turn's first write, cannot
     /// have been: who joins a turn holds all that was chosen before it ([`Book::on_begin`]), by the quorum that its writer asked.
-    fn base(&self, asking: &Asking) -> Vec<Named> {
-        let stamp = Stamp { epoch: asking.epoch, turn: 0 };
+    fn base(&self, asking: &Asking) -> Vec<NamedEntry> {
+        let stamp = Stamp { term: asking.epoch, sequence: 0 };
         let newer = |name: &str, entry: &Entry| {
             let chosen = self.items.get(name).and_then(|item| item.chosen.as_ref());
             chosen.is_none_or(|c| c.stamp < entry.stamp)
         };
-        let found = asking.found.iter().filter(|(_, entry)| entry.stamp.epoch >= asking.joined);
+        let found = asking.found.iter().filter(|(_, entry)| entry.stamp.term >= asking.joined);
         let found = found.filter(|(name, entry)| newer(name, entry));
         found.map(|(name, entry)| (name.clone(), Entry { stamp, ..entry.clone() })).collect()
     }
 
     /// Has entries taken by all seats; their stamps are set here. Callers are answered once they are chosen. A write of nothing is a
     /// round of contact: once it is chosen, no other store can have begun a turn before it was sent.
-    pub(crate) fn write(&mut self, now: Millis, mut entries: Vec<Named>, owed: Vec<(Ticket, Reply)>) {
+    pub(crate) fn write(&mut self, now: Millis, mut entries: Vec<NamedEntry>, owed: Vec<(Ticket, Reply)>) {
         let me = self.place.me.host;
         let Turn::Holding(holding) = &mut self.turn else { return };
-        let stamp = Stamp { epoch: holding.epoch, turn: holding.next };
+        let stamp = Stamp { term: holding.epoch, sequence: holding.next };
         holding.next += 1;
         entries.iter_mut().for_each(|(_, entry)| entry.stamp = stamp);
         if entries.iter().any(|(name, _)| name == crate::SEATS) {
-            holding.reseating = Some(stamp.turn);
+            holding.reseating = Some(stamp.sequence);
         }
         let taken = BTreeSet::from([me]);
         let flight = Flight { entries: entries.clone(), taken, owed, begun: now, sent: now };
-        holding.flights.insert(stamp.turn, flight);
+        holding.flights.insert(stamp.sequence, flight);
         let chosen = holding.chosen;
         self.take(stamp, entries.clone());
         let word = self.word_of(stamp, entries, chosen);
@@ -167,10 +169,10 @@
     }
 
     /// A write as it is sent to seats.
-    fn word_of(&self, stamp: Stamp, entries: Vec<Named>, chosen: u64) -> Word {
-        match stamp.turn {
-            0 => Word::Begin { epoch: stamp.epoch, entries, digest: self.digest, lacked: None },
-            _ => Word::Accept { stamp, entries, chosen },
+    fn word_of(&self, stamp: Stamp, entries: Vec<NamedEntry>, chosen: u64) -> StoreMessage {
+        match stamp.sequence {
+            0 => StoreMessage::BeginTerm { term: stamp.term, entries, digest: self.digest, missing: None },
+            _ => StoreMessage::Accept { stamp, entries, chosen },
         }
     }
 
@@ -185,8 +187,8 @@
             return;
         }
         let Turn::Holding(holding) = &mut self.turn else { return };
-        if holding.epoch == stamp.epoch
-            && let Some(flight) = holding.flights.get_mut(&stamp.turn)
+        if holding.epoch == stamp.term
+            && let Some(flight) = holding.flights.get_mut(&stamp.sequence)
         {
             flight.taken.insert(from);
             self.look_taken(now);
@@ -197,7 +199,7 @@
     fn look_taken(&mut self, now: Millis) {
         loop {
             let quorum = self.quorum();
-            let seats: BTreeSet<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
+            let seats: BTreeSet<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
             let Turn::Holding(holding) = &mut self.turn else { return };
             let Some(first) = holding.flights.first_entry() else { return };
             if first.get().taken.intersection(&seats).count() < quorum {
@@ -205,23 +207,23 @@
             }
             let (turn, flight) = first.remove_entry();
             holding.chosen = turn + 1;
-            let stamp = Stamp { epoch: holding.epoch, turn };
+            let stamp = Stamp { term: holding.epoch, sequence: turn };
             let reseated = holding.reseating.take_if(|at| *at == turn).is_some();
             let others = self.others();
-            self.choose(stamp.epoch, turn + 1);
+            self.choose(stamp.term, turn + 1);
             if !flight.entries.is_empty() {
                 for host in others {
-                    self.send(host, Word::Chosen(stamp));
+                    self.send(host, StoreMessage::Chosen(stamp));
                 }
             }
             for (ticket, reply) in flight.owed {
                 self.reply(ticket, reply);
             }
             if reseated {
-                let seats = self.seats.seats.len();
+                let seats = self.seats.members.len();
                 self.log("seats", format!("version={} seats={seats}", self.seats.version));
                 if !self.is_seat(self.place.me.host) {
-                    self.step_down(Epoch { round: u64::MAX, seat: Host(0) });
+                    self.step_down(Term { number: u64::MAX, leader: Host(0) });
                     return;
                 }
             }
@@ -229,13 +231,13 @@
         }
     }
 
-    pub(crate) fn on_refused(&mut self, epoch: Epoch) {
-        self.round = self.round.max(epoch.round);
+    pub(crate) fn on_refused(&mut self, epoch: Term) {
+        self.round = self.round.max(epoch.number);
         self.step_down(epoch);
     }
 
     /// Another has the turn. What is out may still be chosen, or not.
-    pub(crate) fn step_down(&mut self, epoch: Epoch) {
+    pub(crate) fn step_down(&mut self, epoch: Term) {
         let mine = match &self.turn {
             Turn::Idle => return,
             Turn::Asking(asking) => asking.epoch,
@@ -244,14 +246,14 @@
         if epoch <= mine {
             return;
         }
-        self.end_turn(&format!("by={}", epoch.seat));
+        self.end_turn(&format!("by={}", epoch.leader));
     }
 
     /// Ends the turn, or gives up asking for one. What is out may still be chosen, or not: its callers have no clear answer.
     fn end_turn(&mut self, why: &str) {
         self.contact.clear();
         if let Turn::Holding(holding) = std::mem::replace(&mut self.turn, Turn::Idle) {
-            self.log("writer-ended", format!("round={} {why}", holding.epoch.round));
+            self.log("writer-ended", format!("round={} {why}", holding.epoch.number));
             for (ticket, _) in holding.flights.into_values().flat_map(|flight| flight.owed) {
                 self.answer_unclear(ticket);
             }
@@ -273,20 +275,22 @@
 
     /// A seat lacks the first write of the turn, or what is chosen since before it: it gets both, and all that is out. One that lacks
     /// more than a message bears gets the first chunk of it, and says once more that it is behind when it has caught up.
-    pub(crate) fn on_behind(&mut self, from: Host, epoch: Epoch, since: Stamp) {
+    pub(crate) fn on_behind(&mut self, from: Host, epoch: Term, since: Stamp) {
         let Turn::Holding(holding) = &self.turn else { return };
         if holding.epoch != epoch {
             return;
         }
         let Some(lacked) = self.tail(since) else {
-            return self.send(from, Word::CatchUp);
+            return self.send(from, StoreMessage::CatchUp);
         };
         let (entries, chosen) = (holding.base.clone(), holding.chosen);
-        let begin = Word::Begin { epoch, entries, digest: self.digest, lacked: Some(lacked) };
+        let begin =
+            StoreMessage::BeginTerm { term: epoch, entries, digest: self.digest, missing: Some(lacked) };
         let rest = holding.flights.iter().filter(|(turn, _)| **turn > 0);
-        let rest = rest
-            .map(|(turn, flight)| self.word_of(Stamp { epoch, turn: *turn }, flight.entries.clone(), chosen));
-        let words: Vec<Word> = std::iter::once(begin).chain(rest).collect();
+        let rest = rest.map(|(turn, flight)| {
+            self.word_of(Stamp { term: epoch, sequence: *turn }, flight.entries.clone(), chosen)
+        });
+        let words: Vec<StoreMessage> = std::iter::once(begin).chain(rest).collect();
         self.out.extend(words.into_iter().map(|word| Out::Send(from, word)));
     }
 
@@ -308,10 +312,15 @@
                 for (turn, flight) in holding.flights.iter_mut().filter(|(_, f)| now - f.sent > AGAIN) {
                     flight.sent = now;
                     let missing = others.iter().filter(|host| !flight.taken.contains(host)).copied();
-                    again.push((Stamp { epoch, turn: *turn }, flight.entries.clone(), missing.collect()));
+                    again.push((
+                        Stamp { term: epoch, sequence: *turn },
+                        flight.entries.clone(),
+                        missing.collect(),
+                    ));
                 }
                 for (stamp, entries, missing) in again {
-                    let (word, missing): (Word, Vec<Host>) = (self.word_of(stamp, entries, chosen), missing);
+                    let (word, missing): (StoreMessage, Vec<Host>) =
+                        (self.word_of(stamp, entries, chosen), missing);
                     missing.into_iter().for_each(|host| self.send(host, word.clone()));
                 }
             }
@@ -320,31 +329,31 @@
 
     /// Who is thought to write, if that was heard lately and is not about to leave.
     pub(crate) fn writer(&self, now: Millis) -> Option<Host> {
-        let seat = self.vows.promised.seat;
+        let seat = self.vows.promised.leader;
         let peer = self.peers.get(&seat)?;
-        let counts = self.vows.promised.round > 0 && self.is_seat(seat) && !peer.leaving;
+        let counts = self.vows.promised.number > 0 && self.is_seat(seat) && !peer.leaving;
         (counts && now - peer.heard < 2.5 * BEAT).then_some(seat)
     }
 
     /// Decides what a call writes, by the view of who writes.
-    pub(crate) fn decide(&mut self, now: Millis, ticket: Ticket, ask: Ask) {
+    pub(crate) fn decide(&mut self, now: Millis, ticket: Ticket, ask: StoreRequest) {
         let reseating = matches!(&self.turn, Turn::Holding(h) if h.reseating.is_some());
         if reseating || self.is_under_way(&ask) {
             return self.wait(now, ticket, ask);
         }
         match ask {
-            Ask::Read => self.confirm(now, ticket, Reply::Read),
-            Ask::Note(name, text) => {
+            StoreRequest::Read => self.confirm(now, ticket, Reply::Read),
+            StoreRequest::Note(name, text) => {
                 let name = format!("m:{name}");
                 let revision = self.view(&name).map_or(0, |entry| entry.revision) + 1;
                 let entry = Entry { revision, body: Some(text), ..Entry::default() };
                 self.write(now, vec![(name, entry)], vec![(ticket, Reply::Done)]);
             }
-            Ask::Step(seen, records) => {
+            StoreRequest::MaintenanceStep(seen, records) => {
                 let all = self.items.keys().filter_map(|name| Some((name.as_str(), self.view(name)?)));
                 if fennelscale_maintenance::seen(all) != seen {
                     // Something that had a say in it has changed since it was decided: this is the fence.
-                    let told = Told::Conflict("decided from an older view".into());
+                    let told = StoreResponse::Conflict("decided from an older view".into());
                     return self.confirm(now, ticket, Reply::Refusal(told));
                 }
                 let entry = |(name, body): (String, Option<String>)| {
@@ -354,7 +363,7 @@
                 let entries = records.into_iter().map(entry).collect();
                 self.write(now, entries, vec![(ticket, Reply::Done)]);
             }
-            Ask::Evacuate(zone, on, seen) => {
+            StoreRequest::Evacuate(zone, on, seen) => {
                 let name = format!("e:{zone}");
                 let known = self.view(&name);
                 let (stands, revision) = known.map_or((false, 0), |e| (e.body.is_some(), e.revision));
@@ -367,7 +376,7 @@
                 let entry = Entry { revision: revision + 1, body, ..Entry::default() };
                 self.write(now, vec![(name, entry)], vec![(ticket, Reply::Done)]);
             }
-            Ask::Change(changes) => match self.entries_of(changes) {
+            StoreRequest::Change(changes) => match self.entries_of(changes) {
                 Ok(entries) if entries.is_empty() => self.confirm(now, ticket, Reply::Done),
                 Ok(entries) => self.write(now, entries, vec![(ticket, Reply::Done)]),
                 Err(told) => self.confirm(now, ticket, Reply::Refusal(told)),
@@ -377,14 +386,14 @@
 
     /// Whether a call writes a name whose last write is out and not chosen. Each name has one place for what is taken: a second
     /// write in it would hide the first, which may have been acknowledged in an earlier turn, from whoever reads in between.
-    fn is_under_way(&self, ask: &Ask) -> bool {
+    fn is_under_way(&self, ask: &StoreRequest) -> bool {
         let out = |name: &str| self.items.get(name).is_some_and(|item| item.pending.is_some());
         match ask {
-            Ask::Read => false,
-            Ask::Note(name, _) => out(&format!("m:{name}")),
-            Ask::Step(_, records) => records.iter().any(|(name, _)| out(name)),
-            Ask::Evacuate(zone, ..) => out(&format!("e:{zone}")),
-            Ask::Change(changes) => changes.iter().any(|change| out(&change.name)),
+            StoreRequest::Read => false,
+            StoreRequest::Note(name, _) => out(&format!("m:{name}")),
+            StoreRequest::MaintenanceStep(_, records) => records.iter().any(|(name, _)| out(name)),
+            StoreRequest::Evacuate(zone, ..) => out(&format!("e:{zone}")),
+            StoreRequest::Change(changes) => changes.iter().any(|change| out(&change.name)),
         }
     }
 
--- a/system/replication/tests/control_safety.rs
+++ b/system/replication/tests/control_safety.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code, reason = "each test uses its part of the world")]
 mod world;
 
-use fennelscale_messages::depot::{Ask, Change, Told};
+use fennelscale_messages::store::{Change, StoreRequest, StoreResponse};
 use fennelscale_replication::CHUNK_BYTES;
 use fennelscale_replication::versions::HISTORY;
 use world::{Mutant, World, change, ready};
@@ -15,8 +15,8 @@
 }
 
 /// Sends a change and waits for its answer.
-fn told(world: &mut World, at: usize, change: Change) -> Option<Told> {
-    let id = world.call(at, Ask::Change(vec![change]));
+fn told(world: &mut World, at: usize, change: Change) -> Option<StoreResponse> {
+    let id = world.call(at, StoreRequest::Change(vec![change]));
     world.run(4000.0);
     world.told(id)
 }
@@ -26,7 +26,7 @@
     let mut world = World::new(seed, STORES, Mutant::None);
     ready(&mut world);
     let writer = world.writer().unwrap();
-    assert_eq!(told(&mut world, writer, change(1, 1, 1, 1)), Some(Told::Done));
+    assert_eq!(told(&mut world, writer, change(1, 1, 1, 1)), Some(StoreResponse::Done));
     world.isolate(writer);
     let other = (writer + 1) % STORES;
     world.run(1000.0);
@@ -39,16 +39,16 @@
         let (mut world, writer, other) = cut_off_writer(seed);
         let at_cut = [
             // Refused by an old view: the place is free by now.
-            world.call(writer, Ask::Change(vec![change(2, 1, 1, 2)])),
+            world.call(writer, StoreRequest::Change(vec![change(2, 1, 1, 2)])),
             // Confirmed by an old view: the version may have been given elsewhere.
-            world.call(writer, Ask::Change(vec![change(1, 1, 1, 1)])),
-            world.call(writer, Ask::Read),
-            world.call(writer, Ask::Change(vec![change(1, 1, 1, 9)])),
+            world.call(writer, StoreRequest::Change(vec![change(1, 1, 1, 1)])),
+            world.call(writer, StoreRequest::Read),
+            world.call(writer, StoreRequest::Change(vec![change(1, 1, 1, 9)])),
         ];
-        assert_eq!(told(&mut world, other, drop_of(1, 2)), Some(Told::Done), "seed {seed}");
-        assert_eq!(told(&mut world, other, change(2, 1, 1, 2)), Some(Told::Done), "seed {seed}");
+        assert_eq!(told(&mut world, other, drop_of(1, 2)), Some(StoreResponse::Done), "seed {seed}");
+        assert_eq!(told(&mut world, other, change(2, 1, 1, 2)), Some(StoreResponse::Done), "seed {seed}");
         let answers = at_cut.map(|id| world.told(id));
-        assert_eq!(answers, [const { Some(Told::Unclear) }; 4], "seed {seed}");
+        assert_eq!(answers, [const { Some(StoreResponse::Unclear) }; 4], "seed {seed}");
         assert!(!world.is_writer(writer), "seed {seed}: without contact its turn has ended");
         world.settle();
         assert_eq!(world.broken, Vec::<String>::new());
@@ -62,11 +62,11 @@
     let writer = world.writer().unwrap();
     // It hears all the others, and nobody hears it.
     (0..STORES).filter(|n| *n != writer).for_each(|n| world.cut(writer, n, true));
-    let id = world.call(writer, Ask::Change(vec![change(1, 5, 1, 1)]));
+    let id = world.call(writer, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     world.run(fennelscale_replication::UNTAKEN + 300.0);
     assert!(!world.is_writer(writer));
     world.run(3000.0);
-    assert_eq!(world.told(id), Some(Told::Unclear));
+    assert_eq!(world.told(id), Some(StoreResponse::Unclear));
     world.heal();
     world.settle();
     assert_eq!(world.broken, Vec::<String>::new());
@@ -80,12 +80,12 @@
         ready(&mut world);
         let writer = world.writer().unwrap();
         world.isolate(writer);
-        let void = world.call(writer, Ask::Change(vec![change(1, 5, 1, 1)]));
-        let refused = world.call(writer, Ask::Change(vec![change(2, 5, 1, 1)]));
+        let void = world.call(writer, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
+        let refused = world.call(writer, StoreRequest::Change(vec![change(2, 5, 1, 1)]));
         world.run(200.0);
         assert_eq!([world.told(void), world.told(refused)], [None, None], "seed {seed}");
         world.run(8000.0);
-        assert_eq!(world.told(refused), Some(Told::Unclear), "seed {seed}");
+        assert_eq!(world.told(refused), Some(StoreResponse::Unclear), "seed {seed}");
         world.settle();
         assert_eq!(world.broken, Vec::<String>::new());
     }
@@ -96,19 +96,23 @@
     let mut world = World::new(7, STORES, Mutant::None);
     ready(&mut world);
     for revision in [5, 6] {
-        assert_eq!(told(&mut world, 0, change(1, revision, 1, revision)), Some(Told::Done));
+        assert_eq!(told(&mut world, 0, change(1, revision, 1, revision)), Some(StoreResponse::Done));
     }
-    assert!(matches!(told(&mut world, 2, change(1, 5, 3, 3)), Some(Told::Conflict(_))));
-    assert_eq!(told(&mut world, 3, change(1, 5, 1, 5)), Some(Told::Done), "the same again is confirmed");
+    assert!(matches!(told(&mut world, 2, change(1, 5, 3, 3)), Some(StoreResponse::Conflict(_))));
+    assert_eq!(
+        told(&mut world, 3, change(1, 5, 1, 5)),
+        Some(StoreResponse::Done),
+        "the same again is confirmed"
+    );
     // Also once it is dropped, and after more versions.
-    assert_eq!(told(&mut world, 1, drop_of(1, 9)), Some(Told::Done));
-    assert!(matches!(told(&mut world, 4, change(1, 6, 1, 7)), Some(Told::Conflict(_))));
-    assert_eq!(told(&mut world, 5, change(1, 6, 1, 6)), Some(Told::Done));
-    assert_eq!(told(&mut world, 5, drop_of(1, 9)), Some(Told::Done));
+    assert_eq!(told(&mut world, 1, drop_of(1, 9)), Some(StoreResponse::Done));
+    assert!(matches!(told(&mut world, 4, change(1, 6, 1, 7)), Some(StoreResponse::Conflict(_))));
+    assert_eq!(told(&mut world, 5, change(1, 6, 1, 6)), Some(StoreResponse::Done));
+    assert_eq!(told(&mut world, 5, drop_of(1, 9)), Some(StoreResponse::Done));
     // A number that was passed over belongs to whom it is confirmed to first, and changes nothing.
-    assert_eq!(told(&mut world, 2, change(1, 7, 1, 1)), Some(Told::Done));
-    assert!(matches!(told(&mut world, 3, change(1, 7, 1, 2)), Some(Told::Conflict(_))));
-    assert_eq!(told(&mut world, 4, change(1, 7, 1, 1)), Some(Told::Done));
+    assert_eq!(told(&mut world, 2, change(1, 7, 1, 1)), Some(StoreResponse::Done));
+    assert!(matches!(told(&mut world, 3, change(1, 7, 1, 2)), Some(StoreResponse::Conflict(_))));
+    assert_eq!(told(&mut world, 4, change(1, 7, 1, 1)), Some(StoreResponse::Done));
     let entry = world.item(0, "r:1").and_then(|item| item.chosen).unwrap();
     assert_eq!((entry.revision, entry.body), (9, None));
     world.settle();
@@ -120,17 +124,17 @@
     let mut world = World::new(3, STORES, Mutant::None);
     ready(&mut world);
     for revision in [5, 6] {
-        assert_eq!(told(&mut world, 0, change(1, revision, 1, revision)), Some(Told::Done));
+        assert_eq!(told(&mut world, 0, change(1, revision, 1, revision)), Some(StoreResponse::Done));
     }
     // One is overtaken by another content, the other would be new.
-    let id = world.call(2, Ask::Change(vec![change(1, 5, 1, 9), change(2, 1, 2, 1)]));
+    let id = world.call(2, StoreRequest::Change(vec![change(1, 5, 1, 9), change(2, 1, 2, 1)]));
     world.run(2000.0);
-    assert!(matches!(world.told(id), Some(Told::Conflict(_))));
+    assert!(matches!(world.told(id), Some(StoreResponse::Conflict(_))));
     assert_eq!(world.item(0, "r:2"), None);
     // One is known, the other new: that one comes into force.
-    let id = world.call(2, Ask::Change(vec![change(1, 5, 1, 5), change(2, 1, 2, 1)]));
+    let id = world.call(2, StoreRequest::Change(vec![change(1, 5, 1, 5), change(2, 1, 2, 1)]));
     world.run(2000.0);
-    assert_eq!(world.told(id), Some(Told::Done));
+    assert_eq!(world.told(id), Some(StoreResponse::Done));
     assert!(world.item(0, "r:2").is_some());
 }
 
@@ -144,7 +148,7 @@
         let mut ids = Vec::new();
         for n in 0..10 {
             let at = world.chance.below(STORES);
-            ids.push(world.call(at, Ask::Change(vec![order.clone()])));
+            ids.push(world.call(at, StoreRequest::Change(vec![order.clone()])));
             let span = world.chance.share() * 300.0;
             world.run(span);
             if n == 3 {
@@ -154,14 +158,15 @@
             }
             if n > 5 {
                 let at = world.chance.below(STORES);
-                world.call(at, Ask::Change(vec![change(1, 10 + n, 1, n)]));
+                world.call(at, StoreRequest::Change(vec![change(1, 10 + n, 1, n)]));
             }
         }
         world.run(4000.0);
-        let refused =
-            ids.iter().filter(|id| !matches!(world.told(**id), None | Some(Told::Done | Told::Unclear)));
+        let refused = ids.iter().filter(|id| {
+            !matches!(world.told(**id), None | Some(StoreResponse::Done | StoreResponse::Unclear))
+        });
         assert_eq!(refused.count(), 0, "seed {seed}");
-        assert_eq!(told(&mut world, 3, order), Some(Told::Done), "seed {seed}");
+        assert_eq!(told(&mut world, 3, order), Some(StoreResponse::Done), "seed {seed}");
         world.settle();
         assert_eq!(world.broken, Vec::<String>::new());
     }
@@ -173,13 +178,13 @@
     ready(&mut world);
     let last = 2 + HISTORY as u64;
     for revision in 1..=last + 1 {
-        let id = world.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
+        let id = world.call(0, StoreRequest::Change(vec![change(1, revision, 1, revision)]));
         world.run(400.0);
-        assert_eq!(world.told(id), Some(Told::Done), "version {revision}");
+        assert_eq!(world.told(id), Some(StoreResponse::Done), "version {revision}");
     }
-    assert_eq!(told(&mut world, 2, change(1, 2, 1, 2)), Some(Told::Forgotten));
-    assert_eq!(told(&mut world, 2, change(1, 3, 1, 3)), Some(Told::Done));
-    assert!(matches!(told(&mut world, 2, change(1, 3, 1, 4)), Some(Told::Conflict(_))));
+    assert_eq!(told(&mut world, 2, change(1, 2, 1, 2)), Some(StoreResponse::Forgotten));
+    assert_eq!(told(&mut world, 2, change(1, 3, 1, 3)), Some(StoreResponse::Done));
+    assert!(matches!(told(&mut world, 2, change(1, 3, 1, 4)), Some(StoreResponse::Conflict(_))));
     let entry = world.item(0, "r:1").and_then(|item| item.chosen).unwrap();
     assert_eq!((entry.revision, entry.history.len()), (last + 1, HISTORY));
 }
@@ -203,7 +208,7 @@
         assert_eq!([6, 7].map(|n| world.is_voting(n)), [Some(true); 2], "gap {gap}");
         // Two more losses at once, as many as the list bears, and it still writes.
         [2, 5].into_iter().for_each(|n| world.kill(n));
-        assert_eq!(told(&mut world, 3, change(1, 9, 1, 9)), Some(Told::Done), "gap {gap}");
+        assert_eq!(told(&mut world, 3, change(1, 9, 1, 9)), Some(StoreResponse::Done), "gap {gap}");
         world.settle();
         assert_eq!(world.broken, Vec::<String>::new());
     }
@@ -288,9 +293,9 @@
     ready(&mut world);
     for first in (10..4010).step_by(400) {
         let items = (first..first + 400).map(|n| change(n, 1, n, 1)).collect();
-        let id = world.call(0, Ask::Change(items));
+        let id = world.call(0, StoreRequest::Change(items));
         world.run(2500.0);
-        assert_eq!(world.told(id), Some(Told::Done));
+        assert_eq!(world.told(id), Some(StoreResponse::Done));
     }
     world.run(3000.0);
     // One lost its disk, one is replaced by an empty machine, and one of those that tell them dies on the way.
@@ -327,7 +332,7 @@
         for revision in 1..=400 {
             let id = world.call(
                 0,
-                Ask::Change(vec![change(
+                StoreRequest::Change(vec![change(
                     revision as usize % 7 + 1,
                     revision,
                     revision as usize % 7 + 1,
@@ -338,20 +343,20 @@
             last = id;
         }
         world.run(1500.0);
-        assert_eq!(world.told(last), Some(Told::Done));
+        assert_eq!(world.told(last), Some(StoreResponse::Done));
         world.wipe(4);
         [0, 1, 2, 3].into_iter().for_each(|n| world.kill(n));
         world.heal();
         world.start(4, false);
         for n in [4, 5] {
-            let read = world.call(n, Ask::Read);
-            let order = world.call(n, Ask::Change(vec![change(1, 1000, 1, 1)]));
+            let read = world.call(n, StoreRequest::Read);
+            let order = world.call(n, StoreRequest::Change(vec![change(1, 1000, 1, 1)]));
             world.run(6000.0);
             let clear = [read, order]
                 .map(|id| world.told(id))
                 .into_iter()
                 .flatten()
-                .find(|told| *told != Told::Unclear);
+                .find(|told| *told != StoreResponse::Unclear);
             assert_eq!((clear, world.is_fresh(n), world.is_writer(n)), (None, false, false), "seed {seed}");
         }
         [0, 1, 2, 3].into_iter().for_each(|n| world.start(n, false));
@@ -376,7 +381,7 @@
     let mut doubtful = [0; STORES];
     for revision in 1..=600 {
         let name = revision as usize % 5 + 1;
-        world.call(0, Ask::Change(vec![change(name, revision, name, revision)]));
+        world.call(0, StoreRequest::Change(vec![change(name, revision, name, revision)]));
         world.run(100.0);
         (0..STORES).for_each(|n| doubtful[n] += usize::from(!world.is_fresh(n)));
     }
@@ -389,7 +394,7 @@
     let mut world = World::new(12, STORES, Mutant::None);
     ready(&mut world);
     for revision in 1..=50 {
-        world.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
+        world.call(0, StoreRequest::Change(vec![change(1, revision, 1, revision)]));
         world.run(600.0);
         let before = world.position(3);
         world.vanish(3);
--- a/system/replication/tests/schedules.rs
+++ b/system/replication/tests/schedules.rs
@@ -4,7 +4,9 @@
 #[allow(dead_code, reason = "each test uses its part of the world")]
 mod world;
 
-use fennelscale_messages::depot::{Ask, Change, Epoch, Seat, Seats, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    Change, Member, MemberList, Stamp, StoreMessage, StoreRequest, StoreResponse, Term,
+};
 use proptest::prelude::*;
 use world::{Mutant, World, change, ready};
 
@@ -30,16 +32,16 @@
                     let drop = Change { body: None, host: String::new(), ..change(name, revision, 0, 0) };
                     changes = vec![drop];
                 }
-                world.call(n, Ask::Change(changes.clone()));
+                world.call(n, StoreRequest::Change(changes.clone()));
                 if world.chance.share() < 0.3 && world.is_up(other) {
                     // Another operator at the same moment, with the same version or the very same call.
                     let mark = if world.chance.share() < 0.5 { mark } else { mark + 1 };
-                    world.call(other, Ask::Change(vec![change(name, revision, prefix, mark)]));
+                    world.call(other, StoreRequest::Change(vec![change(name, revision, prefix, mark)]));
                 }
             }
             6 if world.is_up(n) => {
                 let on = world.chance.share() < 0.5;
-                world.call(n, Ask::Evacuate("z1".into(), on, None));
+                world.call(n, StoreRequest::Evacuate("z1".into(), on, None));
                 world.run(1500.0);
             }
             7 => {
@@ -108,17 +110,17 @@
     let mut world = World::new(5, 6, mutant);
     ready(&mut world);
     [2, 5].into_iter().for_each(|n| world.kill(n));
-    let id = world.call(1, Ask::Change(vec![change(1, 5, 1, 1)]));
+    let id = world.call(1, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     world.run(2000.0);
-    assert_eq!(world.told(id), Some(Told::Done));
+    assert_eq!(world.told(id), Some(StoreResponse::Done));
     [0, 3].into_iter().for_each(|n| world.wipe(n));
     [1, 4].into_iter().for_each(|n| world.kill(n));
     [0, 2, 3, 5].into_iter().for_each(|n| world.start(n, false));
     world.run(4000.0);
     for n in [0, 2, 3, 5] {
-        let id = world.call(n, Ask::Read);
+        let id = world.call(n, StoreRequest::Read);
         world.run(3000.0);
-        if let Some(Told::Items(items)) = world.told(id)
+        if let Some(StoreResponse::Items(items)) = world.told(id)
             && !items.iter().any(|(name, _)| name == "r:1")
         {
             world.broken.push(format!("{n} reads what is old"));
@@ -147,17 +149,17 @@
     for seed in 0..30 {
         let mut world = World::new(seed, 6, Mutant::None);
         ready(&mut world);
-        let one = world.call(2, Ask::Change(vec![change(1, 5, 1, 1)]));
-        let other = world.call(4, Ask::Change(vec![change(1, 5, 1, 2)]));
+        let one = world.call(2, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
+        let other = world.call(4, StoreRequest::Change(vec![change(1, 5, 1, 2)]));
         world.run(3000.0);
         let told = [world.told(one), world.told(other)];
-        let done = told.iter().filter(|told| **told == Some(Told::Done)).count();
-        let lost = told.iter().filter(|told| matches!(told, Some(Told::Conflict(_)))).count();
+        let done = told.iter().filter(|told| **told == Some(StoreResponse::Done)).count();
+        let lost = told.iter().filter(|told| matches!(told, Some(StoreResponse::Conflict(_)))).count();
         assert_eq!((done, lost), (1, 1), "{told:?}");
         // What is sent again, and what was overtaken, is acknowledged and changes nothing.
-        let again = world.call(0, Ask::Change(vec![change(1, 3, 1, 9)]));
+        let again = world.call(0, StoreRequest::Change(vec![change(1, 3, 1, 9)]));
         world.run(1000.0);
-        assert_eq!(world.told(again), Some(Told::Done));
+        assert_eq!(world.told(again), Some(StoreResponse::Done));
         world.settle();
         assert_eq!(world.broken, Vec::<String>::new());
     }
@@ -174,9 +176,9 @@
     let mut world = World::new(1, 6, Mutant::None);
     ready(&mut world);
     let mut tell = |at: usize, change: Change| {
-        let id = world.call(at, Ask::Change(vec![change]));
+        let id = world.call(at, StoreRequest::Change(vec![change]));
         world.run(3000.0);
-        assert_eq!(world.told(id), Some(Told::Done));
+        assert_eq!(world.told(id), Some(StoreResponse::Done));
         world.item(at, "f:o").and_then(|item| item.chosen).map(|entry| (entry.revision, entry.host))
     };
     assert_eq!(tell(1, order(1, "a/1 b/2")), Some((1, "a/1 b/2".into())));
@@ -193,12 +195,12 @@
     for seed in 0..30 {
         let mut world = World::new(seed, 6, Mutant::None);
         ready(&mut world);
-        let one = world.call(1, Ask::Change(vec![change(1, 5, 3, 1)]));
-        let other = world.call(5, Ask::Change(vec![change(2, 5, 3, 1), change(3, 5, 4, 1)]));
+        let one = world.call(1, StoreRequest::Change(vec![change(1, 5, 3, 1)]));
+        let other = world.call(5, StoreRequest::Change(vec![change(2, 5, 3, 1), change(3, 5, 4, 1)]));
         world.run(3000.0);
         let told = [world.told(one), world.told(other)];
-        assert_eq!(told.iter().filter(|told| **told == Some(Told::Done)).count(), 1, "{told:?}");
-        assert!(told.iter().any(|told| matches!(told, Some(Told::Invalid(_)))));
+        assert_eq!(told.iter().filter(|told| **told == Some(StoreResponse::Done)).count(), 1, "{told:?}");
+        assert!(told.iter().any(|told| matches!(told, Some(StoreResponse::Invalid(_)))));
         world.settle();
         assert_eq!(world.broken, Vec::<String>::new());
     }
@@ -212,19 +214,19 @@
         let writer = world.writer().unwrap();
         // Its neighbour would hear in a moment; the others are a way between regions off.
         world.kill((writer + 3) % 6);
-        let id = world.call(writer, Ask::Change(vec![change(1, 5, 1, 1)]));
+        let id = world.call(writer, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
         while world.told(id).is_none() {
             world.run(1.0);
         }
-        assert_eq!(world.told(id), Some(Told::Done));
+        assert_eq!(world.told(id), Some(StoreResponse::Done));
         // Nobody else has heard that it is chosen.
         world.vanish(writer);
         world.run(3000.0);
         let reader = (writer + 1) % 6;
-        let read = world.call(reader, Ask::Read);
+        let read = world.call(reader, StoreRequest::Read);
         world.run(3000.0);
         assert!(
-            matches!(world.told(read), Some(Told::Items(items)) if items.iter().any(|(name, _)| name == "r:1")),
+            matches!(world.told(read), Some(StoreResponse::Items(items)) if items.iter().any(|(name, _)| name == "r:1")),
             "seed {seed}"
         );
     }
@@ -245,18 +247,18 @@
         let others: Vec<usize> = far.chain([neighbour]).collect();
         // Two hear nothing of it: the write is on the disks of the writer and three others.
         others[..2].iter().for_each(|n| world.kill(*n));
-        let id = world.call(writer, Ask::Change(vec![change(1, 5, 1, 1)]));
+        let id = world.call(writer, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
         while world.told(id).is_none() {
             world.run(1.0);
         }
-        assert_eq!(world.told(id), Some(Told::Done));
+        assert_eq!(world.told(id), Some(StoreResponse::Done));
         let before = world.vows(writer).map(|vows| vows.joined);
         // It loses power at once, what it had sent with it, and is back beside the two and one that took the write.
         world.vanish(writer);
         others[3..].iter().for_each(|n| world.kill(*n));
         others[..2].iter().for_each(|n| world.start(*n, false));
         world.start(writer, false);
-        world.call(writer, Ask::Change(vec![change(2, 5, 2, 1)]));
+        world.call(writer, StoreRequest::Change(vec![change(2, 5, 2, 1)]));
         // Its next turn begins, all who are there join it, and then it is gone for longer; one that took the write is back.
         let here = &others[..3];
         for _ in 0..2000 {
@@ -270,12 +272,12 @@
         world.vanish(writer);
         world.start(others[3], false);
         world.run(3000.0);
-        let newer = world.call(others[0], Ask::Change(vec![change(3, 5, 3, 1)]));
+        let newer = world.call(others[0], StoreRequest::Change(vec![change(3, 5, 3, 1)]));
         world.run(3000.0);
-        assert_eq!(world.told(newer), Some(Told::Done), "seed {seed}");
-        let read = world.call(others[1], Ask::Read);
+        assert_eq!(world.told(newer), Some(StoreResponse::Done), "seed {seed}");
+        let read = world.call(others[1], StoreRequest::Read);
         world.run(3000.0);
-        let Some(Told::Items(items)) = world.told(read) else { panic!("seed {seed}: nothing read") };
+        let Some(StoreResponse::Items(items)) = world.told(read) else { panic!("seed {seed}: nothing read") };
         assert!(items.iter().any(|(name, _)| name == "r:1"), "seed {seed}: an acknowledged change is lost");
         world.settle();
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
@@ -290,14 +292,17 @@
     ready(&mut world);
     let writer = world.writer().unwrap();
     let calls = [(5, 1), (6, 2)].map(|(revision, mark)| {
-        let read = world.call(writer, Ask::Read);
-        (world.call(writer, Ask::Change(vec![change(1, revision, 1, mark)])), read)
+        let read = world.call(writer, StoreRequest::Read);
+        (world.call(writer, StoreRequest::Change(vec![change(1, revision, 1, mark)])), read)
     });
     // While the first is out the second waits: what is taken of the name is the first.
     let taken = world.item(writer, "r:1").and_then(|item| item.pending).map(|entry| entry.revision);
     assert_eq!(taken, Some(5));
     world.run(1000.0);
-    assert_eq!(calls.map(|(change, _)| world.told(change)), [Some(Told::Done), Some(Told::Done)]);
+    assert_eq!(
+        calls.map(|(change, _)| world.told(change)),
+        [Some(StoreResponse::Done), Some(StoreResponse::Done)]
+    );
     assert_eq!(world.item(writer, "r:1").and_then(|item| item.chosen).map(|entry| entry.revision), Some(6));
     world.settle();
     assert_eq!(world.broken, Vec::<String>::new());
@@ -315,15 +320,15 @@
     world.run(1500.0);
     assert_eq!(world.is_voting(4), Some(false));
     // Nobody tells it who writes: it answers nothing, and says so at once.
-    let id = world.call(4, Ask::Read);
-    assert_eq!(world.told(id), Some(Told::Unclear));
+    let id = world.call(4, StoreRequest::Read);
+    assert_eq!(world.told(id), Some(StoreResponse::Unclear));
 }
 
 #[test]
 fn an_order_that_was_held_up_does_not_undo_the_one_after_it() {
     let mut world = World::new(2, 6, Mutant::None);
     ready(&mut world);
-    let evacuate = |on| Ask::Evacuate("z1".into(), on, None);
+    let evacuate = |on| StoreRequest::Evacuate("z1".into(), on, None);
     let first = world.call(1, evacuate(true));
     world.run(1000.0);
     (0..5).for_each(|n| world.cut(5, n, false));
@@ -332,7 +337,10 @@
     world.run(900.0);
     let again = world.call(1, evacuate(true));
     world.run(600.0);
-    assert_eq!([world.told(first), world.told(again)], [Some(Told::Done), Some(Told::Done)]);
+    assert_eq!(
+        [world.told(first), world.told(again)],
+        [Some(StoreResponse::Done), Some(StoreResponse::Done)]
+    );
     world.heal();
     world.run(3000.0);
     world.settle();
@@ -344,19 +352,25 @@
     let mut world = World::new(2, 6, Mutant::None);
     ready(&mut world);
     let vows = world.vows(2).unwrap();
-    let epoch = Epoch { round: vows.promised.round + 5, seat: fennelscale_messages::Host(5) };
-    let accept = Word::Accept { stamp: Stamp { epoch, turn: 1 }, entries: Vec::new(), chosen: 0 };
+    let epoch = Term { number: vows.promised.number + 5, leader: fennelscale_messages::Host(5) };
+    let accept =
+        StoreMessage::Accept { stamp: Stamp { term: epoch, sequence: 1 }, entries: Vec::new(), chosen: 0 };
     let (own, position) = (world.digest(2), world.position(2));
-    assert_eq!(world.hand(2, 4, accept.clone()), [Word::Behind(epoch, position)]);
+    assert_eq!(world.hand(2, 4, accept.clone()), [StoreMessage::Behind(epoch, position)]);
     // Nor does it join while it may lack something that its writer holds as chosen.
-    let begin = |digest: u64, lacked| Word::Begin { epoch, entries: Vec::new(), digest, lacked };
-    assert_eq!(world.hand(2, 4, begin(own ^ 1, None)), [Word::Behind(epoch, position)]);
+    let begin = |digest: u64, lacked| StoreMessage::BeginTerm {
+        term: epoch,
+        entries: Vec::new(),
+        digest,
+        missing: lacked,
+    };
+    assert_eq!(world.hand(2, 4, begin(own ^ 1, None)), [StoreMessage::Behind(epoch, position)]);
     assert_eq!(world.vows(2).unwrap().joined, vows.joined);
     assert_eq!(
         world.hand(2, 4, begin(own ^ 1, Some(Vec::new()))),
-        [Word::Accepted(Stamp { epoch, turn: 0 })]
+        [StoreMessage::Accepted(Stamp { term: epoch, sequence: 0 })]
     );
-    assert_eq!(world.hand(2, 4, accept), [Word::Accepted(Stamp { epoch, turn: 1 })]);
+    assert_eq!(world.hand(2, 4, accept), [StoreMessage::Accepted(Stamp { term: epoch, sequence: 1 })]);
 }
 
 #[test]
@@ -365,14 +379,14 @@
     ready(&mut world);
     [0, 3].into_iter().for_each(|n| world.kill(n));
     world.run(2000.0);
-    let id = world.call(1, Ask::Change(vec![change(1, 5, 1, 1)]));
+    let id = world.call(1, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     world.run(2500.0);
-    assert_eq!(world.told(id), Some(Told::Done), "four of six are a quorum");
+    assert_eq!(world.told(id), Some(StoreResponse::Done), "four of six are a quorum");
     world.kill(1);
     world.run(2000.0);
-    let id = world.call(2, Ask::Change(vec![change(1, 6, 1, 1)]));
+    let id = world.call(2, StoreRequest::Change(vec![change(1, 6, 1, 1)]));
     world.run(4000.0);
-    assert!(!matches!(world.told(id), Some(Told::Done)), "three of six are none");
+    assert!(!matches!(world.told(id), Some(StoreResponse::Done)), "three of six are none");
 }
 
 #[test]
@@ -384,14 +398,14 @@
     (0..6).filter(|n| *n != 2).for_each(|n| world.cut(2, n, false));
     world.start(2, false);
     world.run(3000.0);
-    let id = world.call(2, Ask::Read);
+    let id = world.call(2, StoreRequest::Read);
     world.run(2500.0);
-    assert!(!matches!(world.told(id), Some(Told::Items(_))));
+    assert!(!matches!(world.told(id), Some(StoreResponse::Items(_))));
     world.heal();
     world.run(3000.0);
-    let id = world.call(2, Ask::Read);
+    let id = world.call(2, StoreRequest::Read);
     world.run(2500.0);
-    assert!(matches!(world.told(id), Some(Told::Items(items)) if items.len() == 2));
+    assert!(matches!(world.told(id), Some(StoreResponse::Items(items)) if items.len() == 2));
 }
 
 #[test]
@@ -405,20 +419,20 @@
     // Both new ones count: with a region of the others dark a write still ends.
     [2, 5].into_iter().for_each(|n| world.kill(n));
     world.run(2000.0);
-    let id = world.call(6, Ask::Change(vec![change(1, 5, 1, 1)]));
+    let id = world.call(6, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     world.run(3000.0);
-    assert_eq!(world.told(id), Some(Told::Done));
+    assert_eq!(world.told(id), Some(StoreResponse::Done));
     world.settle();
     assert_eq!(world.broken, Vec::<String>::new());
 }
 
-fn seats(zones: &[(&str, &str)]) -> Seats {
-    let seat = |(at, (zone, region)): (usize, &(&str, &str))| Seat {
+fn seats(zones: &[(&str, &str)]) -> MemberList {
+    let seat = |(at, (zone, region)): (usize, &(&str, &str))| Member {
         host: fennelscale_messages::Host(at as u32),
         zone: (*zone).into(),
         region: (*region).into(),
     };
-    Seats { version: 1, seats: zones.iter().enumerate().map(seat).collect() }
+    MemberList { version: 1, members: zones.iter().enumerate().map(seat).collect() }
 }
 
 #[test]
@@ -443,9 +457,9 @@
 
 /// All that has a say in maintenance, as a reader sees it, in one number.
 fn seen(world: &mut World, reader: usize) -> (u64, Vec<(String, Option<String>)>) {
-    let id = world.call(reader, Ask::Read);
+    let id = world.call(reader, StoreRequest::Read);
     world.run(3000.0);
-    let Some(Told::Items(items)) = world.told(id) else { panic!("no answer to a reader") };
+    let Some(StoreResponse::Items(items)) = world.told(id) else { panic!("no answer to a reader") };
     let seen = fennelscale_maintenance::seen(items.iter().map(|(name, entry)| (name.as_str(), entry)));
     let records = items.into_iter().filter(|(name, _)| name.starts_with("n:"));
     (seen, records.map(|(name, entry)| (name, entry.body)).collect())
@@ -459,20 +473,22 @@
         ready(&mut world);
         let (view, none) = seen(&mut world, 3);
         assert!(none.is_empty());
-        let steps = [(2, "two"), (4, "four")].map(|(n, by)| (world.call(n, Ask::Step(view, record(by))), by));
+        let steps = [(2, "two"), (4, "four")]
+            .map(|(n, by)| (world.call(n, StoreRequest::MaintenanceStep(view, record(by))), by));
         world.run(3000.0);
         let told = steps.map(|(id, by)| (world.told(id), by));
         let done: Vec<&str> =
-            told.iter().filter(|(told, _)| *told == Some(Told::Done)).map(|(_, by)| *by).collect();
-        let refused = told.iter().filter(|(told, _)| matches!(told, Some(Told::Conflict(_)))).count();
+            told.iter().filter(|(told, _)| *told == Some(StoreResponse::Done)).map(|(_, by)| *by).collect();
+        let refused =
+            told.iter().filter(|(told, _)| matches!(told, Some(StoreResponse::Conflict(_)))).count();
         assert_eq!((done.len(), refused), (1, 1), "seed {seed}: {told:?}");
         // It stands after all have died, and a step that was held up until then finds another view.
         (0..6).for_each(|n| world.kill(n));
         (0..6).for_each(|n| world.start(n, false));
         world.run(4000.0);
-        let late = world.call(1, Ask::Step(view, record("late")));
+        let late = world.call(1, StoreRequest::MaintenanceStep(view, record("late")));
         world.run(2000.0);
-        assert!(matches!(world.told(late), Some(Told::Conflict(_))), "seed {seed}");
+        assert!(matches!(world.told(late), Some(StoreResponse::Conflict(_))), "seed {seed}");
         let (_, records) = seen(&mut world, 5);
         assert_eq!(records, record(done[0]), "seed {seed}");
         world.settle();
--- a/system/replication/tests/world/mod.rs
+++ b/system/replication/tests/world/mod.rs
@@ -3,8 +3,8 @@
 //! as news is noted and compared.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Change, Seat, Told, Word};
 use fennelscale_messages::mix;
+use fennelscale_messages::store::{Change, Member, StoreMessage, StoreRequest, StoreResponse};
 use fennelscale_replication::{Book, Item, Memory, Origin, Out, Place, Vows};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,7 +30,7 @@
 }
 
 struct Node {
-    seat: Seat,
+    seat: Member,
     disk: Memory,
     book: Option<Book>,
     lives: u64,
@@ -40,8 +40,8 @@
 }
 
 struct Call {
-    ask: Ask,
-    told: Option<Told>,
+    ask: StoreRequest,
+    told: Option<StoreResponse>,
     began: f64,
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// A word on its way: to, from, and the lives of both when it was sent.
-type Sent = (usize, usize, Word, u64, u64);
+type Sent = (usize, usize, StoreMessage, u64, u64);
 
 pub struct World {
     pub now: f64,
@@ -78,8 +78,8 @@
     longest: usize,
 }
 
-fn seat(n: usize, zone: usize) -> Seat {
-    Seat { host: Host(n as u32 + 1), zone: format!("z{zone}"), region: format!("r{}", zone % 3) }
+fn seat(n: usize, zone: usize) -> Member {
+    Member { host: Host(n as u32 + 1), zone: format!("z{zone}"), region: format!("r{}", zone % 3) }
 }
 
 fn node(n: usize, zone: usize) -> Node {
@@ -220,9 +220,12 @@
                 let Some(to) = self.at(to) else { return };
                 if matches!(
                     word,
-                    Word::Chunk(_) | Word::Learned { .. } | Word::Promise { .. } | Word::Begin { .. }
+                    StoreMessage::Chunk(_)
+                        | StoreMessage::RecoveryState { .. }
+                        | StoreMessage::Promise { .. }
+                        | StoreMessage::BeginTerm { .. }
                 ) {
-                    self.longest = self.longest.max(fennelscale_messages::frame(&word).len());
+                    self.longest = self.longest.max(fennelscale_messages::encode_frame(&word).len());
                 }
                 let near = self.nodes[n].seat.region == self.nodes[to].seat.region;
                 let way = if near { 1.0 } else { 55.0 } * (1.0 + 0.5 * self.chance.share());
@@ -239,7 +242,7 @@
         }
     }
 
-    fn news(&mut self, n: usize, (name, entry): fennelscale_messages::depot::Named) {
+    fn news(&mut self, n: usize, (name, entry): fennelscale_messages::store::NamedEntry) {
         let content = entry.body.clone().map(|body| format!("{}{body}", entry.host));
         let known = self.contents.entry((name.clone(), entry.revision)).or_insert_with(|| content.clone());
         if *known != content {
@@ -255,8 +258,8 @@
         };
         // Another call with the very same change may have been taken where this one was refused.
         let another = self.calls.values().any(|call| {
-            let refused = matches!(call.told, Some(Told::Conflict(_) | Told::Invalid(_)));
-            let Ask::Change(changes) = &call.ask else { return false };
+            let refused = matches!(call.told, Some(StoreResponse::Conflict(_) | StoreResponse::Invalid(_)));
+            let StoreRequest::Change(changes) = &call.ask else { return false };
             let same = |c: &Change| c.name == name && c.revision == entry.revision && c.body == entry.body;
             !refused && changes.iter().any(same)
         });
@@ -265,13 +268,15 @@
         }
     }
 
-    fn answered(&mut self, id: u64, told: Told) {
+    fn answered(&mut self, id: u64, told: StoreResponse) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call.told.is_some() {
             self.broken.push(format!("call {id} was answered twice"));
         }
-        if let (Told::Conflict(_) | Told::Invalid(_), Ask::Change(changes)) = (&told, &call.ask) {
+        if let (StoreResponse::Conflict(_) | StoreResponse::Invalid(_), StoreRequest::Change(changes)) =
+            (&told, &call.ask)
+        {
             for c in changes {
                 let standing = self.contents.contains_key(&(c.name.clone(), c.revision));
                 // What stood before it was refused is not this call's doing.
@@ -280,7 +285,7 @@
                 }
             }
         }
-        self.acknowledged += usize::from(told == Told::Done);
+        self.acknowledged += usize::from(told == StoreResponse::Done);
         call.told = Some(told);
     }
 
@@ -294,7 +299,7 @@
 
     /// Machines with a seat, as a store knows the list.
     pub fn seats(&self, n: usize) -> Vec<usize> {
-        let seats = self.nodes[n].book.iter().flat_map(|book| &book.seats().seats);
+        let seats = self.nodes[n].book.iter().flat_map(|book| &book.seats().members);
         seats.filter_map(|seat| self.at(seat.host)).collect()
     }
 
@@ -339,7 +344,7 @@
     }
 
     /// Hands a store a word; what it answers its sender.
-    pub fn hand(&mut self, to: usize, from: usize, word: Word) -> Vec<Word> {
+    pub fn hand(&mut self, to: usize, from: usize, word: StoreMessage) -> Vec<StoreMessage> {
         let (now, host) = (self.now, self.nodes[from].seat.host);
         let Some(book) = self.nodes[to].book.as_mut() else { return Vec::new() };
         book.word(now, host, word);
@@ -373,18 +378,18 @@
         chosen.fold(0, |digest, (name, entry)| digest ^ fennelscale_config::entry_hash((name, entry)))
     }
 
-    pub fn position(&self, n: usize) -> fennelscale_messages::depot::Stamp {
+    pub fn position(&self, n: usize) -> fennelscale_messages::store::Stamp {
         self.nodes[n].book.as_ref().map(Book::position).unwrap_or_default()
     }
 
-    pub fn call(&mut self, n: usize, ask: Ask) -> u64 {
+    pub fn call(&mut self, n: usize, ask: StoreRequest) -> u64 {
         let id = self.calls.len() as u64 + 1;
         self.calls.insert(id, Call { ask: ask.clone(), told: None, began: self.now });
         self.with(n, |book, now| book.call(now, Origin::Registry(id), ask));
         id
     }
 
-    pub fn told(&self, id: u64) -> Option<Told> {
+    pub fn told(&self, id: u64) -> Option<StoreResponse> {
         self.calls.get(&id).and_then(|call| call.told.clone())
     }
 
@@ -426,16 +431,16 @@
         let live: Vec<usize> = (0..self.len()).filter(|n| !self.nodes[*n].gone).collect();
         for n in live {
             let read = (0..6).find_map(|_| {
-                let id = self.call(n, Ask::Read);
+                let id = self.call(n, StoreRequest::Read);
                 self.run(1500.0);
-                if let Some(Told::Items(items)) = self.told(id) { Some(items) } else { None }
+                if let Some(StoreResponse::Items(items)) = self.told(id) { Some(items) } else { None }
             });
             match read {
                 Some(items) => self.compare(n, &items.into_iter().collect()),
                 None => {
                     let state = |node: &Node| {
                         let book = node.book.as_ref()?;
-                        let seats: Vec<u32> = book.seats().seats.iter().map(|s| s.host.0).collect();
+                        let seats: Vec<u32> = book.seats().members.iter().map(|s| s.host.0).collect();
                         Some((
                             node.seat.host.0,
                             node.gone,
@@ -452,11 +457,12 @@
         }
     }
 
-    fn compare(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::depot::Entry>) {
-        let changes =
-            |call: &Call| if let Ask::Change(changes) = &call.ask { changes.clone() } else { Vec::new() };
+    fn compare(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::store::Entry>) {
+        let changes = |call: &Call| {
+            if let StoreRequest::Change(changes) = &call.ask { changes.clone() } else { Vec::new() }
+        };
         let mut broken = Vec::new();
-        for call in self.calls.values().filter(|call| call.told == Some(Told::Done)) {
+        for call in self.calls.values().filter(|call| call.told == Some(StoreResponse::Done)) {
             for change in changes(call) {
                 let standing = items.get(&change.name);
                 // A newer version that dropped it may be in force.
@@ -478,9 +484,10 @@
                     ));
                 }
             }
-            if let Ask::Evacuate(zone, on, _) = &call.ask {
-                let later =
-                    |o: &Call| matches!(&o.ask, Ask::Evacuate(z, ..) if z == zone) && o.began > call.began;
+            if let StoreRequest::Evacuate(zone, on, _) = &call.ask {
+                let later = |o: &Call| {
+                    matches!(&o.ask, StoreRequest::Evacuate(z, ..) if z == zone) && o.began > call.began
+                };
                 if !self.calls.values().any(later) {
                     let stands = self.nodes[n].book.as_ref().and_then(|b| b.item(&format!("e:{zone}")));
                     let stands = stands.and_then(|i| i.chosen.as_ref()).is_some_and(|e| e.body.is_some());
@@ -511,7 +518,7 @@
 
 /// Has the stores take their first call.
 pub fn ready(world: &mut World) {
-    let id = world.call(1, Ask::Change(vec![service(), change(0, 1, 0, 0)]));
+    let id = world.call(1, StoreRequest::Change(vec![service(), change(0, 1, 0, 0)]));
     world.run(1500.0);
-    assert_eq!(world.told(id), Some(Told::Done), "the first call is taken");
+    assert_eq!(world.told(id), Some(StoreResponse::Done), "the first call is taken");
 }
--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 use fennelscale_membership::Round;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Seat, Told, Word};
+use fennelscale_messages::store::{Member, StoreMessage, StoreRequest, StoreResponse};
 use fennelscale_replication::{Book, Memory, Origin, Out, Place};
 
 /// A store reads its disk and has dialled its registry after this, in ms.
@@ -11,13 +11,13 @@
 
 /// What a store sends, and what its registry's callers hear.
 pub(crate) enum Does {
-    Send(Host, Word),
-    Answer(u64, Told),
+    Send(Host, StoreMessage),
+    Answer(u64, StoreResponse),
 }
 
 /// One core machine.
 pub(crate) struct Core {
-    pub(crate) seat: Seat,
+    pub(crate) seat: Member,
     disk: Memory,
     pub(crate) book: Option<Book>,
     pub(crate) round: Option<Round>,
@@ -31,7 +31,7 @@
 impl Core {
     pub(crate) fn new(n: usize, zones: usize, regions: usize) -> Self {
         let zone = n % zones;
-        let seat = Seat {
+        let seat = Member {
             host: Host(n as u32 + 1),
             zone: format!("z{zone}"),
             region: format!("r{}", zone % regions),
@@ -41,10 +41,10 @@
 
     /// An empty machine at another address in the zone of one that is gone.
     pub(crate) fn in_place_of(gone: &Self, n: usize) -> Self {
-        Self::empty(Seat { host: Host(n as u32 + 1), ..gone.seat.clone() })
+        Self::empty(Member { host: Host(n as u32 + 1), ..gone.seat.clone() })
     }
 
-    fn empty(seat: Seat) -> Self {
+    fn empty(seat: Member) -> Self {
         Self { seat, disk: Memory::default(), book: None, round: None, lives: 0, next: 0, joins: None }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Has the store decide on a call; its number.
-    pub(crate) fn ask(&mut self, now: Millis, ask: Ask) -> (u64, Vec<Does>) {
+    pub(crate) fn ask(&mut self, now: Millis, ask: StoreRequest) -> (u64, Vec<Does>) {
         self.next += 1;
         let id = self.lives << 32 | self.next;
         (id, self.store(now, |book, now| book.call(now, Origin::Registry(id), ask)))
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -4,7 +4,7 @@
 use crate::decisions::{Decisions, Send};
 use doorcourse::Outcome;
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Down, Member, Up};
+use fennelscale_messages::session::{ProxyInfo, ProxyToRegistry, RegistryToProxy};
 use fennelscale_proxy::held::{Held, Place};
 use fennelscale_proxy::registry_choice::RegistryChoice;
 use fennelscale_quota_lease::{Admission, Cache, Comer, Terms};
@@ -92,15 +92,15 @@
         (self.up, self.session) = (false, None);
     }
 
-    pub(crate) fn member(&self) -> Member {
-        Member {
+    pub(crate) fn member(&self) -> ProxyInfo {
+        ProxyInfo {
             host: self.host,
-            life: self.life,
+            incarnation: self.life,
             zone: self.zone.clone(),
             region: self.region.clone(),
             port: 80,
             ready: self.held.is_ready(),
-            quiet: Vec::new(),
+            idle_nodes: Vec::new(),
         }
     }
 
@@ -126,12 +126,12 @@
         cores.iter().copied().filter(|core| chosen.contains(&core_host(*core))).collect()
     }
 
-    pub(crate) fn dialled(&mut self, now: Millis, core: usize, life: u64) -> Up {
+    pub(crate) fn dialled(&mut self, now: Millis, core: usize, life: u64) -> ProxyToRegistry {
         (self.session, self.heard, self.beat_at) = (Some((core, life)), now, now + BEAT);
         if self.held.sum() == 0 {
-            Up::Hello(self.member())
+            ProxyToRegistry::Hello(self.member())
         } else {
-            Up::Resume(self.member(), self.held.digest())
+            ProxyToRegistry::Resume(self.member(), self.held.digest())
         }
     }
 
@@ -140,11 +140,11 @@
     }
 
     /// A word of the session's registry.
-    pub(crate) fn word(&mut self, now: Millis, word: &Down, out: &mut Vec<Up>) {
+    pub(crate) fn word(&mut self, now: Millis, word: &RegistryToProxy, out: &mut Vec<ProxyToRegistry>) {
         self.heard = now;
         let was = self.held.is_ready();
         match word {
-            Down::Items { fresh, entries, .. } => {
+            RegistryToProxy::Items { up_to_date: fresh, entries, .. } => {
                 for (name, entry) in entries {
                     let seen = self.seen.entry(name.clone()).or_default();
                     let known = self.held.merge(now, vec![(name.clone(), entry.clone())]);
@@ -158,23 +158,29 @@
                 }
                 self.held.fresh |= fresh;
             }
-            Down::Listing(listing) => drop(self.held.list(now, listing.clone())),
-            Down::Members(members, gateways) => {
+            RegistryToProxy::BackendList(listing) => drop(self.held.list(now, listing.clone())),
+            RegistryToProxy::Proxies(members, gateways) => {
                 self.held.tell_members(now, members.clone(), *gateways);
                 self.cache.gateways(self.held.gateways);
             }
-            Down::Grant(grant) => {
+            RegistryToProxy::Grant(grant) => {
                 let mut told = Vec::new();
                 self.cache.grant(now, grant.clone(), out, &mut told);
                 self.told(told);
             }
-            Down::Beat { contact_age } => self.choice.heard_beat(now, f64::from(*contact_age)),
-            Down::Compare => out.push(Up::Have(self.held.digest())),
-            Down::Registries(_) | Down::Time(..) | Down::Recall(..) => {}
+            RegistryToProxy::Heartbeat { contact_age } => {
+                self.choice.heard_beat(now, f64::from(*contact_age))
+            }
+            RegistryToProxy::RequestDigest => out.push(ProxyToRegistry::Digest(self.held.digest())),
+            RegistryToProxy::Registries(_)
+            | RegistryToProxy::Time(..)
+            | RegistryToProxy::LookUpRequest(..) => {}
         }
         // As in the program: whatever may bear on the choice of a backend is told to the decisions with the word that brought it.
-        if matches!(word, Down::Items { .. } | Down::Listing(_) | Down::Members(..))
-            && let Some(decisions) = &mut self.decisions
+        if matches!(
+            word,
+            RegistryToProxy::Items { .. } | RegistryToProxy::BackendList(_) | RegistryToProxy::Proxies(..)
+        ) && let Some(decisions) = &mut self.decisions
         {
             decisions.tell(now, &mut self.held);
         }
@@ -201,9 +207,14 @@
         self.decisions.as_ref().map_or(0, Decisions::sent_without_terms)
     }
 
-    fn beat(&self, now: Millis) -> Up {
+    fn beat(&self, now: Millis) -> ProxyToRegistry {
         let (ready, items, listing) = (self.held.is_ready(), self.held.sum(), self.held.listing.stamp);
-        Up::Beat { ready, items, listing, alone: self.cache.alone(now) }
+        ProxyToRegistry::Heartbeat {
+            ready,
+            items_hash: items,
+            list_stamp: listing,
+            self_granted: self.cache.alone(now),
+        }
     }
 
     fn told(&mut self, told: Vec<(u64, Admission)>) {
@@ -221,7 +232,7 @@
     }
 
     /// A request of a tenant.
-    pub(crate) fn request(&mut self, now: Millis, tenant: &str, out: &mut Vec<Up>) {
+    pub(crate) fn request(&mut self, now: Millis, tenant: &str, out: &mut Vec<ProxyToRegistry>) {
         if !self.up || !self.held.is_ready() {
             return;
         }
@@ -245,7 +256,7 @@
         }
     }
 
-    pub(crate) fn tick(&mut self, now: Millis, out: &mut Vec<Up>) {
+    pub(crate) fn tick(&mut self, now: Millis, out: &mut Vec<ProxyToRegistry>) {
         let mut told = Vec::new();
         self.cache.tick(now, out, &mut told);
         self.told(told);
--- a/system/simulation/src/world.rs
+++ b/system/simulation/src/world.rs
@@ -8,9 +8,9 @@
 use crate::{APPLY, CONTACT, Chance, DRAIN, Millis, QUOTA};
 use fennelscale_membership::{Out, Round};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Change, Told, Word as StoreWord};
-use fennelscale_messages::news::{Backend, Down, Up};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{Backend, ProxyToRegistry, RegistryToProxy};
+use fennelscale_messages::store::{Change, StoreMessage as StoreWord, StoreRequest, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -105,9 +105,9 @@
 
 enum Event {
     Store(usize, StoreWord),
-    Registry(usize, Word),
-    Up(usize, Up),
-    Down(usize, Rc<Down>),
+    Registry(usize, RegistryMessage),
+    Up(usize, ProxyToRegistry),
+    Down(usize, Rc<RegistryToProxy>),
 }
 
 /// An event on its way: to whom, by which lives of both ends it counts.
@@ -121,7 +121,7 @@
 struct Call {
     name: String,
     revision: u64,
-    ask: Ask,
+    ask: StoreRequest,
     /// The core machine that was asked last, its number of the call, and when.
     asked: Option<(usize, u64, Millis)>,
     acknowledged: Option<Millis>,
@@ -247,7 +247,7 @@
         for change in &changes {
             self.revisions.insert(change.name.clone(), 1);
         }
-        let ask = Ask::Change(changes);
+        let ask = StoreRequest::Change(changes);
         self.calls.push(Call {
             name: "s:s".into(),
             revision: 1,
@@ -269,7 +269,7 @@
         }
         let revision = self.revisions.get(&name).copied().unwrap_or(0) + 1;
         self.revisions.insert(name.clone(), revision);
-        let ask = Ask::Change(vec![route(n, revision)]);
+        let ask = StoreRequest::Change(vec![route(n, revision)]);
         self.calls.push(Call {
             name,
             revision,
@@ -426,7 +426,7 @@
     }
 
     fn size<T: bitcode::Encode>(&self, word: &T) -> usize {
-        if self.config.measure { fennelscale_messages::frame(word).len() } else { 0 }
+        if self.config.measure { fennelscale_messages::encode_frame(word).len() } else { 0 }
     }
 
     fn way(&mut self, near: bool) -> Millis {
@@ -474,7 +474,7 @@
         self.registry(n, Box::new(|_, _| {}));
     }
 
-    fn answered(&mut self, n: usize, id: u64, told: &Told) {
+    fn answered(&mut self, n: usize, id: u64, told: &StoreResponse) {
         if self.steps.remove(&(n, id)) {
             self.registry(n, Box::new(Round::stepped));
             return;
@@ -486,8 +486,8 @@
             .find(|call| call.asked.is_some_and(|(at, number, _)| (at, number) == (n, id)));
         if let Some(call) = call.filter(|call| call.acknowledged.is_none()) {
             match told {
-                Told::Done => call.acknowledged = Some(now),
-                Told::Unclear => call.asked = None,
+                StoreResponse::Done => call.acknowledged = Some(now),
+                StoreResponse::Unclear => call.asked = None,
                 other => self.broken.push(format!("{} {} was answered {other:?}", call.name, call.revision)),
             }
         }
@@ -512,8 +512,10 @@
                     self.registry(n, Box::new(|round, now| round.list_read(now, Some(backends))));
                 }
                 Out::Note(proxies) => {
-                    let (id, does) = self.cores[n]
-                        .ask(now, Ask::Note(fennelscale_membership::FLEET.to_owned(), proxies.to_string()));
+                    let (id, does) = self.cores[n].ask(
+                        now,
+                        StoreRequest::Note(fennelscale_membership::FLEET.to_owned(), proxies.to_string()),
+                    );
                     self.steps.insert((n, id));
                     self.store(n, does);
                 }
@@ -530,7 +532,7 @@
         }
     }
 
-    fn down(&mut self, n: usize, host: Host, word: Rc<Down>) {
+    fn down(&mut self, n: usize, host: Host, word: Rc<RegistryToProxy>) {
         let Some(p) = self.proxies.iter().position(|p| p.host == host) else { return };
         self.bytes[2] += self.size(&*word);
         if self.cut_proxies.contains(&p) || self.proxies[p].session.is_none_or(|(core, _)| core != n) {
@@ -541,7 +543,7 @@
         self.send((n, p, 2), near, Sent { to: p, event: Event::Down(n, word), lives });
     }
 
-    fn up(&mut self, p: usize, ups: Vec<Up>) {
+    fn up(&mut self, p: usize, ups: Vec<ProxyToRegistry>) {
         for up in ups {
             let Some((n, life)) = self.proxies[p].session else { return };
             self.bytes[2] += self.size(&up);
@@ -632,7 +634,7 @@
                     let mut ups = Vec::new();
                     self.proxies[to].word(self.now, &word, &mut ups);
                     self.up(to, ups);
-                    if matches!(*word, Down::Beat { .. }) {
+                    if matches!(*word, RegistryToProxy::Heartbeat { .. }) {
                         self.look_elsewhere(to);
                     }
                 }
--- a/system/simulation/src/world/cold.rs
+++ b/system/simulation/src/world/cold.rs
@@ -3,8 +3,8 @@
 use super::{Call, Fault, World};
 use crate::Millis;
 use doorcourse::Outcome;
-use fennelscale_messages::depot::Ask;
-use fennelscale_messages::news::Backend;
+use fennelscale_messages::session::Backend;
+use fennelscale_messages::store::StoreRequest;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The rule's figures for cold backends: requests a second that one bears, overage, slack.
@@ -66,7 +66,7 @@
         self.calls.push(Call {
             name: format!("e:{zone}"),
             revision: 0,
-            ask: Ask::Evacuate(zone, on, None),
+            ask: StoreRequest::Evacuate(zone, on, None),
             asked: None,
             acknowledged: None,
             everywhere: None,
--- a/system/simulation/src/world/figures.rs
+++ b/system/simulation/src/world/figures.rs
@@ -34,7 +34,7 @@
             let line = match &core.book {
                 None => "down".to_owned(),
                 Some(book) => {
-                    let hosts: Vec<u32> = book.seats().seats.iter().map(|seat| seat.host.0 - 1).collect();
+                    let hosts: Vec<u32> = book.seats().members.iter().map(|seat| seat.host.0 - 1).collect();
                     format!(
                         "votes={} writes={} fresh={} promised={:?} position={:?} seats={} {hosts:?}",
                         book.is_voting(),
