--- a/crates/dataplane/src/back/backends.rs
+++ b/crates/dataplane/src/back/backends.rs
@@ -3,7 +3,7 @@
 use crate::back::link::{Link, Progress, is_descriptor_shortage};
 use crate::observe::Life;
 use bytes::Bytes;
-use doorcourse::{BackendState, LoadReport, Name, Outcome, Reports};
+use doorcourse::{BackendState, LoadReport, LoadReportSource, Name, Outcome};
 use fennelscale_settings::list::List;
 use fennelscale_settings::load;
 use fennelscale_wire::reuse::{Fault, Reuse};
@@ -267,7 +267,7 @@
     known: RefCell<HashMap<Name, Backend>>,
     connect_timeout: Duration,
     longest_idle: Duration,
-    reports: Reports,
+    reports: LoadReportSource,
     reuse: Reuse,
     speech: Rc<dyn Speech>,
     bounds: Bounds,
@@ -281,7 +281,7 @@
 impl Backends {
     /// No backends yet; connections to them are used again by the rules of `reuse`.
     pub fn new(
-        connect_timeout: Duration, backend_idle: Duration, reports: Reports, reuse: Reuse,
+        connect_timeout: Duration, backend_idle: Duration, reports: LoadReportSource, reuse: Reuse,
         speech: Rc<dyn Speech>, bounds: Bounds,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -466,7 +466,7 @@
             return end;
         }
         // Without an answer it is over in every case; in doubt it may have run.
-        life.now().outcome().unwrap_or(Outcome::Broken).into()
+        life.now().outcome().unwrap_or(Outcome::ConnectionLost).into()
     }
 
     /// Finds a connection and has the request answered on it. With no answer the life says how it ended.
@@ -630,11 +630,11 @@
     fn judge(&self, (mut head, body): (response::Parts, Bytes), repeatable: bool) -> End {
         let outcome = match self.speech.verdict(&head, repeatable) {
             Verdict::Served => Outcome::Served,
-            Verdict::Full => Outcome::Full,
+            Verdict::Full => Outcome::Rejected,
             Verdict::Elsewhere => Outcome::Misdirected,
             Verdict::Error => Outcome::Error,
         };
-        let report = head.headers.remove(LOAD).filter(|_| self.reports == Reports::Answers);
+        let report = head.headers.remove(LOAD).filter(|_| self.reports == LoadReportSource::Responses);
         let load = report.as_ref().and_then(|r| r.to_str().ok()).and_then(load::read);
         let answer = (outcome == Outcome::Served).then(|| {
             for name in
--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -87,7 +87,7 @@
             let counters = counters.map(|counters| {
                 let report = move |name, outcome, latency| {
                     if let Some(engine) = to.upgrade() {
-                        engine.post(Event::Counted { name, outcome, latency });
+                        engine.post(Event::CounterReply { key: name, outcome, latency });
                     }
                 };
                 counters(patience, Rc::new(report))
@@ -113,7 +113,7 @@
         // Where there is only ever one, nothing is to be told.
         let partition = self.counters.as_ref().map(|counters| counters.partition());
         if let Some(partition) = partition.filter(|p| p.addresses().len() > 1) {
-            self.post(Event::Counters(partition));
+            self.post(Event::CounterPartition(partition));
         }
     }
 
@@ -139,7 +139,7 @@
 
     /// No more requests come: what is held of the quotas goes back. Takes effect within the time given.
     pub async fn hand_back(&self, time: Duration) {
-        self.post(Event::Ending);
+        self.post(Event::ShuttingDown);
         tokio::time::sleep(time).await;
     }
 
@@ -150,7 +150,7 @@
 
     /// How many requests were sent, by what was known of their backends.
     pub fn sends(&self) -> SendCounts {
-        self.core.borrow().gateway().sends()
+        self.core.borrow().gateway().send_counts()
     }
 
     /// How many attempts ended in each way.
@@ -165,7 +165,7 @@
 
     /// Requests that are held because no backend may be sent one.
     pub fn held(&self) -> usize {
-        self.core.borrow().gateway().held()
+        self.core.borrow().gateway().queued()
     }
 
     /// Takes in an event. What it leads to may bring further events at once; these wait in line, so the
@@ -244,22 +244,22 @@
                     }
                 });
             }
-            Action::Count { counter, name, amount, keep } => match &self.counters {
+            Action::AddToCounter { counter, key: name, amount, ttl: keep } => match &self.counters {
                 Some(counters) => counters.add(counter, name, amount, keep),
-                None => self.post(Event::Counted {
-                    name,
+                None => self.post(Event::CounterReply {
+                    key: name,
                     outcome: doorcourse::CountOutcome::NotAdded,
                     latency: 0.0,
                 }),
             },
             Action::Log(text) => eprintln!("{text}"),
             // No peers to tell here, and the list is watched all the time. What concerns requests is the core's.
-            Action::Tell { .. }
+            Action::Broadcast { .. }
             | Action::WatchBackends
             | Action::Send { .. }
             | Action::Refuse { .. }
             | Action::Fail { .. }
-            | Action::CallOff { .. } => {}
+            | Action::CancelAttempt { .. } => {}
         }
     }
 
--- a/crates/dataplane/src/faults.rs
+++ b/crates/dataplane/src/faults.rs
@@ -67,7 +67,7 @@
 /// What the decisions are told of an attempt's end.
 pub fn outcome(outcome: Outcome) -> Outcome {
     match outcome {
-        Outcome::Error | Outcome::TimedOut | Outcome::Broken if on(Fault::ResendInDoubt) => {
+        Outcome::Error | Outcome::TimedOut | Outcome::ConnectionLost if on(Fault::ResendInDoubt) => {
             Outcome::ConnectFailed
         }
         outcome => outcome,
--- a/crates/emulator/src/scene.rs
+++ b/crates/emulator/src/scene.rs
@@ -10,13 +10,13 @@
         name: name.into(),
         rate,
         burst,
-        open: 0,
+        max_concurrent: 0,
         ceiling_rate: rate * times,
         ceiling_burst: burst * times,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        value_factor: 1.0,
+        over_quota_value_share: 0.0,
+        over_quota_cost_share: 1.0,
     }
 }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -4,8 +4,8 @@
 use crate::counter::{Counters, Fault};
 use crate::measure::{Figures, Ideal, Sent};
 use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, Effect, Event, Gateway, Outcome, Plan,
-    RequestId, Settings,
+    Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, Event, Gateway, Outcome, Plan, RequestId,
+    RetrySafety, Settings,
 };
 use fennelscale_quota::{Loss, Partition};
 use rand::{Rng, SeedableRng};
@@ -229,7 +229,7 @@
         let instance = &mut self.gateways[gateway];
         instance.partition.change(addresses, from).expect("usable addresses");
         let partition = instance.partition.clone();
-        self.tell(gateway, Event::Counters(partition));
+        self.tell(gateway, Event::CounterPartition(partition));
     }
 
     fn kill(&mut self, gateway: usize) {
@@ -240,7 +240,7 @@
 
     fn start(&mut self, gateway: usize) {
         let mut settings = self.settings.clone();
-        settings.number = gateway as u32;
+        settings.gateway_index = gateway as u32;
         let seed = self.random.random();
         let instance = &mut self.gateways[gateway];
         let module = Gateway::new(settings, seed).expect("usable settings");
@@ -254,7 +254,7 @@
             started: None,
         });
         let list = list.collect();
-        self.tell(gateway, Event::Counters(partition));
+        self.tell(gateway, Event::CounterPartition(partition));
         self.tell(gateway, Event::BackendList(list));
     }
 
@@ -292,11 +292,11 @@
             plan: self.settings.plans[*plan].name.clone(),
             class: "look".into(),
             units: UNITS,
-            repeat: false,
-            patience: PATIENCE,
-            first: 0,
-            spread: count as u32,
-            bound: None,
+            is_retry: false,
+            client_timeout: PATIENCE,
+            first_gateway: 0,
+            gateway_count: count as u32,
+            constraints: None,
         };
         self.tell(gateway, Event::Request(arrival));
     }
@@ -330,7 +330,7 @@
                         backend,
                         outcome: Outcome::Served,
                         latency: SERVICE,
-                        true_units: None,
+                        actual_units: None,
                         finished: true,
                         load: None,
                     };
@@ -343,11 +343,14 @@
                     continue;
                 }
                 Action::SetTimer { after, token } => (after, Event::Timer { token }),
-                Action::Count { counter, name, amount, keep } => {
+                Action::AddToCounter { counter, key: name, amount, ttl: keep } => {
                     let address = &self.gateways[gateway].partition.addresses()[counter];
                     let Some(counter) = self.counters.get_mut(address) else { continue };
                     let reply = counter.call(gateway, self.now, name, amount, keep, &mut self.random);
-                    (reply.after, Event::Counted { name, outcome: reply.outcome, latency: reply.after })
+                    (
+                        reply.after,
+                        Event::CounterReply { key: name, outcome: reply.outcome, latency: reply.after },
+                    )
                 }
                 _ => continue,
             };
@@ -363,12 +366,12 @@
 fn settings(gateways: usize, plans: Vec<Plan>) -> Settings {
     let look = Class {
         name: "look".into(),
-        aim: 800.0,
-        effect: Effect::Safe,
-        group: doorcourse::Group::All,
-        memory: 4000.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        target_latency: 800.0,
+        retry_safety: RetrySafety::Safe,
+        dedup_scope: doorcourse::DedupScope::All,
+        dedup_window: 4000.0,
+        value: 1.0,
+        late_value_share: 0.0,
     };
     Settings {
         gateways: gateways as u32,
@@ -378,13 +381,13 @@
         plans,
         counter: true,
         counter_timeout: COUNTER_PATIENCE,
-        most_units: UNITS,
-        most_attempts: 3,
-        longest_advice: 2000.0,
-        cold_share: 1.0,
-        cold_time: 1000.0,
-        fall_multiple: 2.0,
-        fall_time: 1000.0,
+        max_request_units: UNITS,
+        max_attempts: 3,
+        max_retry_after: 2000.0,
+        cold_capacity_share: 1.0,
+        warm_up_time: 1000.0,
+        overload_multiple: 2.0,
+        overload_window: 1000.0,
         ..Settings::default()
     }
 }
--- a/crates/life-check/src/properties.rs
+++ b/crates/life-check/src/properties.rs
@@ -2,7 +2,7 @@
 //! not by what the gateway believes.
 
 use crate::world::{NODES, REQUESTS, Sent, effect};
-use doorcourse::{Effect as Repeat, Outcome};
+use doorcourse::{Outcome, RetrySafety as Repeat};
 use std::hash::{Hash, Hasher};
 
 /// A property that does not hold.
@@ -187,7 +187,7 @@
     pub(crate) fn ended(&mut self, sent: &Sent, outcome: Outcome, early: bool) {
         let never = matches!(
             outcome,
-            Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Full | Outcome::Misdirected
+            Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Rejected | Outcome::Misdirected
         );
         let of = self.of(sent.id);
         let reached = of.reached.iter().any(|r| r.number == sent.number && !r.declined);
--- a/crates/life-check/src/world.rs
+++ b/crates/life-check/src/world.rs
@@ -7,8 +7,8 @@
 use crate::mutants::Mutant;
 use crate::properties::{Ledger, Violation};
 use doorcourse::{
-    Action as Wish, Arrival, BackendEntry, BackendState, Class, CountOutcome, Effect as Repeat, Event,
-    Gateway, Group, Name, Outcome, Plan, Settings,
+    Action as Wish, Arrival, BackendEntry, BackendState, Class, CountOutcome, DedupScope, Event, Gateway,
+    Name, Outcome, Plan, RetrySafety as Repeat, Settings,
 };
 use life::attempt::{self, Attempt, Certainty};
 use life::connection::{self, Connection};
@@ -289,12 +289,12 @@
 fn settings(bounds: &Bounds, mutant: Option<Mutant>) -> Settings {
     let class = |name: &str, effect, group, memory| Class {
         name: name.into(),
-        aim: AIM,
-        effect,
-        group,
-        memory,
-        worth: 1.0,
-        late_worth: 0.0,
+        target_latency: AIM,
+        retry_safety: effect,
+        dedup_scope: group,
+        dedup_window: memory,
+        value: 1.0,
+        late_value_share: 0.0,
     };
     let memory = if mutant == Some(Mutant::LongMemory) { 10.0 * MEMORY } else { MEMORY };
     Settings {
@@ -302,28 +302,28 @@
         zone: "z".into(),
         tick: 1.0,
         classes: vec![
-            class("licence-order", Repeat::Unsafe, Group::All, 0.0),
-            class("playlist-save", Repeat::Keyed, Group::Cell, memory),
-            class("preview", Repeat::Safe, Group::All, 0.0),
+            class("licence-order", Repeat::Unsafe, DedupScope::All, 0.0),
+            class("playlist-save", Repeat::Keyed, DedupScope::Cell, memory),
+            class("preview", Repeat::Safe, DedupScope::All, 0.0),
         ],
         plans: vec![Plan {
             name: "p".into(),
             rate: RATE,
             burst: 5.0,
-            open: 0,
+            max_concurrent: 0,
             ceiling_rate: 0.0,
             ceiling_burst: 0.0,
             ceiling_slack: 0.0,
-            price: 1.0,
-            over_worth: 0.0,
-            over_cost: 1.0,
+            value_factor: 1.0,
+            over_quota_value_share: 0.0,
+            over_quota_cost_share: 1.0,
         }],
         counter: true,
         counter_timeout: 50.0,
-        most_units: 1.0,
-        cancel: true,
-        most_attempts: bounds.attempts,
-        longest_advice: 1000.0,
+        max_request_units: 1.0,
+        can_cancel: true,
+        max_attempts: bounds.attempts,
+        max_retry_after: 1000.0,
         ..Settings::default()
     }
 }
@@ -440,7 +440,7 @@
                     let at = self.timers.partition_point(|t| *t <= timer);
                     self.timers.insert(at, timer);
                 }
-                Effect::Other(Wish::Count { name, amount, .. }) => {
+                Effect::Other(Wish::AddToCounter { key: name, amount, .. }) => {
                     self.calls.push(Call { name, amount, since: self.now, late: false });
                 }
                 Effect::Other(_) => {}
@@ -632,11 +632,11 @@
                     plan: "p".into(),
                     class,
                     units: 1.0,
-                    repeat: false,
-                    patience: f64::from(PATIENCE) * STEP,
-                    first: 0,
-                    spread: 1,
-                    bound: None,
+                    is_retry: false,
+                    client_timeout: f64::from(PATIENCE) * STEP,
+                    first_gateway: 0,
+                    gateway_count: 1,
+                    constraints: None,
                 };
                 self.run(mutant, |core, now, out, answers| {
                     core.open(now, arrival, (), out, answers);
@@ -678,7 +678,7 @@
                 self.total += if mutant == Some(Mutant::CountTwice) { call.amount } else { 0.0 };
                 let outcome = CountOutcome::Total(self.total);
                 let latency = 1.0 + f64::from(self.now - call.since) * STEP;
-                self.event(mutant, Event::Counted { name: call.name, outcome, latency });
+                self.event(mutant, Event::CounterReply { key: call.name, outcome, latency });
             }
             Step::CountDelays => {
                 self.faults -= 1;
@@ -691,7 +691,7 @@
                 self.total += if step == Step::CountUnheard { call.amount } else { 0.0 };
                 let latency = 50.0 + f64::from(self.now - call.since) * STEP;
                 let outcome = CountOutcome::Unknown;
-                self.event(mutant, Event::Counted { name: call.name, outcome, latency });
+                self.event(mutant, Event::CounterReply { key: call.name, outcome, latency });
             }
             Step::Drains(n) => {
                 self.drains -= 1;
@@ -727,7 +727,7 @@
             }
             Step::Terminates => {
                 self.faults -= 1;
-                self.event(mutant, Event::Ending);
+                self.event(mutant, Event::ShuttingDown);
             }
             Step::Places(n) => self.places(n, mutant),
             Step::Connects(n) => {
@@ -873,9 +873,9 @@
         self.nodes[node].kept |= free && self.nodes[node].ready && !cut;
         let outcome = match reply {
             Reply::Whole | Reply::Overlong => Outcome::Served,
-            Reply::Error if mutant == Some(Mutant::ErrorIsDecline) => Outcome::Full,
+            Reply::Error if mutant == Some(Mutant::ErrorIsDecline) => Outcome::Rejected,
             Reply::Error => Outcome::Error,
-            Reply::Declined | Reply::Spoilt => Outcome::Full,
+            Reply::Declined | Reply::Spoilt => Outcome::Rejected,
         };
         self.move_attempt(n, attempt::Event::Answered(outcome), mutant);
     }
@@ -888,14 +888,14 @@
         let Some(mut outcome) = next.outcome() else { return };
         let early = before.certainty() == Certainty::Never;
         if early && event == attempt::Event::CalledOff && mutant == Some(Mutant::CallOffIsDoubt) {
-            outcome = Outcome::CalledOff;
+            outcome = Outcome::Cancelled;
         }
-        if outcome == Outcome::CalledOff && mutant == Some(Mutant::ResendAfterCancel) {
+        if outcome == Outcome::Cancelled && mutant == Some(Mutant::ResendAfterCancel) {
             outcome = Outcome::ConnectFailed;
         }
         let sent = self.sent.remove(n);
         self.ledger.ended(&sent, outcome, early);
-        if outcome == Outcome::CalledOff && mutant == Some(Mutant::LoseStoppedEnd) {
+        if outcome == Outcome::Cancelled && mutant == Some(Mutant::LoseStoppedEnd) {
             return;
         }
         let latency = f64::from(self.now - sent.begun) * STEP;
@@ -952,7 +952,7 @@
 
     /// At the end of all time: whether everything has had its end.
     pub fn is_settled(&self) -> bool {
-        let (backends, customers) = self.core.gateway().out();
+        let (backends, customers) = self.core.gateway().in_flight();
         self.core.requests() == 0
             && self.core.open_requests() == 0
             && self.sent.is_empty()
@@ -966,9 +966,9 @@
     /// not told.
     pub fn units_add_up(&self) -> bool {
         let gateway = self.core.gateway();
-        let (held, owed) = gateway.units();
+        let (held, owed) = gateway.leased_and_owed();
         let spare = self.total + owed - held - f64::from(self.ledger.used());
-        let came = if gateway.was_silent() { RATE * self.ms() / 1000.0 } else { 0.0 };
+        let came = if gateway.counter_was_silent() { RATE * self.ms() / 1000.0 } else { 0.0 };
         spare.abs() < 1e-6 || self.lost && spare > -came
     }
 }
--- a/crates/life/src/attempt.rs
+++ b/crates/life/src/attempt.rs
@@ -105,7 +105,7 @@
             | (Self::Dialling, Event::CalledOff) => Self::Over(Outcome::NeverSent),
             (Self::Dialling, Event::TimedOut) => Self::Over(Outcome::ConnectFailed),
             (Self::Exchanging { .. }, Event::TimedOut) => Self::Over(Outcome::TimedOut),
-            (Self::Exchanging { .. }, Event::CalledOff) => Self::Over(Outcome::CalledOff),
+            (Self::Exchanging { .. }, Event::CalledOff) => Self::Over(Outcome::Cancelled),
             (Self::Decided, Event::Kept) => Self::Placed { kept: true },
             (Self::Decided, Event::Dial) => Self::Dialling,
             (Self::Dialling, Event::Connected) => Self::Placed { kept: false },
@@ -119,7 +119,7 @@
             (Self::Exchanging { .. }, Event::Broke(Progress::Unsent | Progress::Partly)) => {
                 Self::Over(Outcome::ConnectFailed)
             }
-            (Self::Exchanging { .. }, Event::Broke(Progress::Whole)) => Self::Over(Outcome::Broken),
+            (Self::Exchanging { .. }, Event::Broke(Progress::Whole)) => Self::Over(Outcome::ConnectionLost),
             // The backend lives and may have run it. Guards the fleet against being left alone for answers that come
             // spoilt from all alike: an error says no more than that.
             (Self::Exchanging { .. }, Event::Broke(Progress::Spoilt)) => Self::Over(Outcome::Error),
--- a/crates/life/src/core.rs
+++ b/crates/life/src/core.rs
@@ -173,7 +173,7 @@
         let was_open = entry.kept.take().is_some();
         self.step(id, request::Event::Left, 0.0, out, answers);
         if was_open {
-            self.handle(now, Event::ClientLeft { id }, out, answers);
+            self.handle(now, Event::ClientDisconnected { id }, out, answers);
         }
     }
 
@@ -190,7 +190,8 @@
         self.step(id, request::Event::Ended { number, end }, 0.0, out, answers);
         let finished = self.kept(id).is_none();
         let (attempt, true_units) = (number, None);
-        let end = AttemptEnd { id, attempt, backend, outcome, latency, true_units, finished, load };
+        let end =
+            AttemptEnd { id, attempt, backend, outcome, latency, actual_units: true_units, finished, load };
         self.handle(now, Event::AttemptEnded(end), out, answers);
     }
 
@@ -224,7 +225,7 @@
                         backend,
                         outcome: Outcome::NeverSent,
                         latency: 0.0,
-                        true_units: None,
+                        actual_units: None,
                         finished,
                         load: None,
                     }));
--- a/crates/settings/src/decisions.rs
+++ b/crates/settings/src/decisions.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object, of a `START` line or of a real gateway's configuration, into the library's
 //! `Settings`.
 
-use doorcourse::{Class, Effect, Group, Name, Plan, Reports, Settings};
+use doorcourse::{Class, DedupScope, LoadReportSource, Name, Plan, RetrySafety, Settings};
 use fennelscale_quota::Loss;
 use serde_json::Value;
 
@@ -77,15 +77,15 @@
     let rules = Object::of(root, "rules")?;
     let prices = Object::of(root, "prices")?;
     let reports = match Object::of(root, "load-info")?.text("source")? {
-        "inline" => Reports::Answers,
-        "on_probe" => Reports::Probes,
-        "off" | "" => Reports::None,
+        "inline" => LoadReportSource::Responses,
+        "on_probe" => LoadReportSource::Probes,
+        "off" | "" => LoadReportSource::None,
         other => return Err(format!("settings: unknown load source {other}")),
     };
     Ok(Settings {
-        sweep: 0.0,
+        housekeeping_interval: 0.0,
         gateways: top.count("fleet-size")?,
-        number: top.count("my-number")?,
+        gateway_index: top.count("my-number")?,
         zone: Name::from(top.text("locality")?),
         tick: top.number("period-ms")?,
         classes: top.list("classes")?.iter().map(class).collect::<Result<_, _>>()?,
@@ -94,20 +94,20 @@
         counter_timeout: extra.number("count-limit-ms")?,
         // The operators' file says it, not the platform's.
         loss: Loss::Whole,
-        settles: extra.flag("trued-up")?,
-        most_units: extra.number("units-top")?,
-        reports,
+        actual_units_reported: extra.flag("trued-up")?,
+        max_request_units: extra.number("units-top")?,
+        load_reports: reports,
         probes: permissions.flag("probes")?,
-        peers: permissions.flag("peers")?,
-        cancel: permissions.flag("may-cancel")?,
+        peer_messages: permissions.flag("peers")?,
+        can_cancel: permissions.flag("may-cancel")?,
         list_on_request: top.text("discovery")? == "on_request",
-        most_attempts: permissions.count("most-tries")?,
-        longest_advice: permissions.number("max-retry-after-ms")?,
-        cold_share: rules.number("cold-from")?,
-        cold_time: rules.number("cold-ms")?,
-        fall_multiple: rules.number("overload-factor")?,
-        fall_time: rules.number("fall-ms")?,
-        price_cross_zone: prices.number("cross-zone")?,
+        max_attempts: permissions.count("most-tries")?,
+        max_retry_after: permissions.number("max-retry-after-ms")?,
+        cold_capacity_share: rules.number("cold-from")?,
+        warm_up_time: rules.number("cold-ms")?,
+        overload_multiple: rules.number("overload-factor")?,
+        overload_window: rules.number("fall-ms")?,
+        cross_zone_cost: prices.number("cross-zone")?,
     })
 }
 
@@ -115,22 +115,22 @@
     let class = Object(value);
     Ok(Class {
         name: Name::from(class.text("name")?),
-        aim: class.number("goal-time-ms")?,
-        effect: match class.text("effect")? {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed,
-            "at_most_once" => Effect::Unsafe,
+        target_latency: class.number("goal-time-ms")?,
+        retry_safety: match class.text("effect")? {
+            "idempotent" => RetrySafety::Safe,
+            "deduplicated" => RetrySafety::Keyed,
+            "at_most_once" => RetrySafety::Unsafe,
             other => return Err(format!("settings: unknown effect {other}")),
         },
-        group: match class.text("dedup-scope")? {
-            "all" | "" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+        dedup_scope: match class.text("dedup-scope")? {
+            "all" | "" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            "cell" => DedupScope::Cell,
             other => return Err(format!("settings: unknown dedup-scope {other}")),
         },
-        memory: class.number("window-ms")?,
-        worth: class.number("worth")?,
-        late_worth: class.number("late-value")?,
+        dedup_window: class.number("window-ms")?,
+        value: class.number("worth")?,
+        late_value_share: class.number("late-value")?,
     })
 }
 
@@ -140,12 +140,12 @@
         name: Name::from(plan.text("name")?),
         rate: plan.number("refill")?,
         burst: plan.number("burst")?,
-        open: plan.count("parallel")?,
+        max_concurrent: plan.count("parallel")?,
         ceiling_rate: plan.number("cap-rate")?,
         ceiling_burst: plan.number("ceiling-burst")?,
         ceiling_slack: plan.number("ceiling-slack")?,
-        price: plan.number("worth-factor")?,
-        over_worth: plan.number("over-worth")?,
-        over_cost: plan.number("overrun-cost")?,
+        value_factor: plan.number("worth-factor")?,
+        over_quota_value_share: plan.number("over-worth")?,
+        over_quota_cost_share: plan.number("overrun-cost")?,
     })
 }
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -10,7 +10,7 @@
     match key {
         "outstanding" => report.inflight = Some(value),
         "backlog" => report.queue = Some(value),
-        "recent_ms" => report.service = Some(value),
+        "recent_ms" => report.service_time = Some(value),
         _ => {}
     }
 }
--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -2,8 +2,8 @@
 //! Time is a plain number here; a real host uses a clock that agrees with those of the other gateways.
 
 use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, CountOutcome, Effect, Event, Gateway,
-    Group, Millis, Outcome, Plan, Settings,
+    Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, CountOutcome, DedupScope, Event, Gateway,
+    Millis, Outcome, Plan, RetrySafety, Settings,
 };
 use std::collections::BTreeMap;
 
@@ -13,24 +13,24 @@
 fn settings() -> Settings {
     let class = Class {
         name: "read".into(),
-        aim: 500.0,
-        effect: Effect::Safe,
-        group: Group::All,
-        memory: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        target_latency: 500.0,
+        retry_safety: RetrySafety::Safe,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
+        value: 1.0,
+        late_value_share: 0.0,
     };
     let plan = Plan {
         name: "basic".into(),
         rate: 5.0,
         burst: 4.0,
-        open: 0,
+        max_concurrent: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        value_factor: 1.0,
+        over_quota_value_share: 0.0,
+        over_quota_cost_share: 1.0,
     };
     Settings {
         gateways: 1,
@@ -40,10 +40,10 @@
         plans: vec![plan],
         counter: true,
         counter_timeout: 50.0,
-        most_attempts: 3,
-        longest_advice: 1000.0,
-        cold_share: 0.2,
-        cold_time: 10_000.0,
+        max_attempts: 3,
+        max_retry_after: 1000.0,
+        cold_capacity_share: 0.2,
+        warm_up_time: 10_000.0,
         ..Settings::default()
     }
 }
@@ -71,11 +71,11 @@
             plan: name,
             class,
             units: 1.0,
-            repeat: false,
-            patience: 900.0,
-            first: 0,
-            spread: 1,
-            bound: None,
+            is_retry: false,
+            client_timeout: 900.0,
+            first_gateway: 0,
+            gateway_count: 1,
+            constraints: None,
         };
         plan(&mut agenda, id as Millis * 10.0, Event::Request(arrival));
     }
@@ -98,11 +98,11 @@
         for action in actions {
             match action {
                 Action::SetTimer { after, token } => plan(&mut agenda, now + after, Event::Timer { token }),
-                Action::Count { name, amount, .. } => {
+                Action::AddToCounter { key: name, amount, .. } => {
                     let total = counts.entry(name).or_default();
                     *total += amount;
                     let outcome = CountOutcome::Total(*total);
-                    plan(&mut agenda, now + 2.0, Event::Counted { name, outcome, latency: 2.0 });
+                    plan(&mut agenda, now + 2.0, Event::CounterReply { key: name, outcome, latency: 2.0 });
                 }
                 Action::Send { id, backend, .. } => {
                     println!("{now:>5} ms  {id} sent to {backend}");
@@ -114,7 +114,7 @@
                         backend,
                         outcome,
                         latency,
-                        true_units: None,
+                        actual_units: None,
                         finished,
                         load: None,
                     };
@@ -125,9 +125,9 @@
                 }
                 Action::Fail { id } => println!("{now:>5} ms  {id} failed"),
                 Action::Log(line) => println!("{now:>5} ms  log: {line}"),
-                Action::CallOff { .. }
+                Action::CancelAttempt { .. }
                 | Action::Probe { .. }
-                | Action::Tell { .. }
+                | Action::Broadcast { .. }
                 | Action::WatchBackends => {}
             }
         }
--- a/gateway/src/back/speech.rs
+++ b/gateway/src/back/speech.rs
@@ -2,7 +2,7 @@
 
 use crate::back::backends::{Message, Speech, Verdict};
 use crate::clock::millis;
-use doorcourse::{Name, Reports};
+use doorcourse::{LoadReportSource, Name};
 use hyper::http::request::Builder;
 use hyper::http::response;
 use hyper::{Request, StatusCode};
@@ -15,7 +15,7 @@
 /// Requests named by `Req-Id`, refusals by `srv-declined`.
 pub struct Metered {
     /// Where load reports come from.
-    pub reports: Reports,
+    pub reports: LoadReportSource,
 }
 
 impl Speech for Metered {
@@ -43,6 +43,6 @@
     }
 
     fn probe(&self) -> &str {
-        if self.reports == Reports::None { "/alive" } else { "/metrics/load" }
+        if self.reports == LoadReportSource::None { "/alive" } else { "/metrics/load" }
     }
 }
--- a/gateway/src/commands/quota.rs
+++ b/gateway/src/commands/quota.rs
@@ -85,7 +85,7 @@
     println!("  past the ceiling by");
     let mut fits = true;
     for count in counts {
-        let terms = plan.terms(f64::from(*count), settings.most_units);
+        let terms = plan.terms(f64::from(*count), settings.max_request_units);
         let bound = Bound {
             terms,
             loss: quota.losses,
--- a/gateway/src/front/clients.rs
+++ b/gateway/src/front/clients.rs
@@ -7,7 +7,7 @@
 use crate::front::door::Door;
 use crate::front::guest::{BUFFER, Guest, Tap};
 use bytes::Bytes;
-use doorcourse::{Arrival, Effect, Name, RequestId, Settings};
+use doorcourse::{Arrival, Name, RequestId, RetrySafety, Settings};
 use fennelscale_admission::origin;
 use fennelscale_settings::admission::{Forged, Header};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -81,7 +81,7 @@
 /// The front side of one gateway.
 pub struct Front {
     engine: Rc<Engine>,
-    classes: Vec<(Name, Effect)>,
+    classes: Vec<(Name, RetrySafety)>,
     plans: Vec<Name>,
     /// What a class's and a plan's request is worth, as a share of the worthiest.
     worths: [Vec<f64>; 2],
@@ -101,14 +101,14 @@
             worths.into_iter().map(|w| if most > 0.0 { w / most } else { 1.0 }).collect()
         };
         let worths = [
-            shares(settings.classes.iter().map(|c| c.worth).collect()),
-            shares(settings.plans.iter().map(|p| p.price).collect()),
+            shares(settings.classes.iter().map(|c| c.value).collect()),
+            shares(settings.plans.iter().map(|p| p.value_factor).collect()),
         ];
         Rc::new(Self {
             engine,
-            classes: settings.classes.iter().map(|c| (c.name.clone(), c.effect)).collect(),
+            classes: settings.classes.iter().map(|c| (c.name.clone(), c.retry_safety)).collect(),
             plans: settings.plans.iter().map(|p| p.name.clone()).collect(),
-            most_units: settings.most_units,
+            most_units: settings.max_request_units,
             gateways: settings.gateways,
             ids: RefCell::default(),
             worths,
@@ -334,9 +334,9 @@
         let (class, effect) = class.cloned().ok_or(Fault::Bad("class"))?;
         let key = single(headers, "idempotency-key")?;
         let fits = match effect {
-            Effect::Safe => method == Method::GET && key.is_none(),
-            Effect::Keyed => method == Method::POST && key.is_some_and(|k| !k.is_empty()),
-            Effect::Unsafe => method == Method::POST && key.is_none(),
+            RetrySafety::Safe => method == Method::GET && key.is_none(),
+            RetrySafety::Keyed => method == Method::POST && key.is_some_and(|k| !k.is_empty()),
+            RetrySafety::Unsafe => method == Method::POST && key.is_none(),
         };
         if !fits {
             return Err(Fault::Bad("method or Idempotency-Key, for this class"));
@@ -402,11 +402,11 @@
                 plan,
                 class,
                 units,
-                repeat,
-                patience: patience_ms,
-                first,
-                spread,
-                bound: None,
+                is_retry: repeat,
+                client_timeout: patience_ms,
+                first_gateway: first,
+                gateway_count: spread,
+                constraints: None,
             },
             message,
             now + patience,
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -98,7 +98,7 @@
     let mut settings = faults::settings(config.settings);
     settings.loss = quota.losses;
     let reuse = Reuse::new(&operators.upstream.unwrap_or_default());
-    let reports = settings.reports;
+    let reports = settings.load_reports;
     let (speech, bounds) = (Rc::new(Metered { reports }), Bounds::small(budget.backends));
     let backends = Backends::new(config.connect_timeout, config.backend_idle, reports, reuse, speech, bounds);
     let counters: Rc<OnceCell<Rc<Counters>>> = Rc::default();
--- a/simhost/src/lib.rs
+++ b/simhost/src/lib.rs
@@ -90,11 +90,11 @@
     Ok(match text {
         "delivered" => Outcome::Served,
         "app_error" => Outcome::Error,
-        "shed" => Outcome::Full,
+        "shed" => Outcome::Rejected,
         "expired" => Outcome::TimedOut,
         "dial_failed" => Outcome::ConnectFailed,
-        "dropped" => Outcome::Broken,
-        "revoked" => Outcome::CalledOff,
+        "dropped" => Outcome::ConnectionLost,
+        "revoked" => Outcome::Cancelled,
         "unused" => Outcome::NeverSent,
         other => return Err(format!("unknown outcome {other}")),
     })
@@ -258,11 +258,11 @@
                     plan,
                     class,
                     units,
-                    repeat,
-                    patience,
-                    first,
-                    spread,
-                    bound: None,
+                    is_retry: repeat,
+                    client_timeout: patience,
+                    first_gateway: first,
+                    gateway_count: spread,
+                    constraints: None,
                 })
             }
             "UNDER_WAY" => Event::StreamStarted { id: fields.number("id")? },
@@ -282,12 +282,12 @@
                     backend,
                     outcome,
                     latency,
-                    true_units,
+                    actual_units: true_units,
                     finished,
                     load,
                 })
             }
-            "GONE" => Event::ClientLeft { id: fields.number("id")? },
+            "GONE" => Event::ClientDisconnected { id: fields.number("id")? },
             "DUE" => Event::Timer { token: fields.number("tag")? },
             "SAMPLED" => {
                 let latency = fields.millis("latency-ms")?;
@@ -313,7 +313,7 @@
                     ("expired", _) => CountOutcome::Unknown,
                     (other, _) => return Err(format!("unknown outcome {other}")),
                 };
-                Event::Counted { name, outcome, latency }
+                Event::CounterReply { key: name, outcome, latency }
             }
             other => return Err(format!("unknown message {other}")),
         })
@@ -327,13 +327,13 @@
         }
         Action::Refuse { id, retry_after } => writeln!(reply, "SHED\t{i}\t{id}\t{retry_after:.3}"),
         Action::Fail { id } => writeln!(reply, "DROP_REQUEST\t{i}\t{id}"),
-        Action::CallOff { id, attempt } => writeln!(reply, "CALL_OFF\t{i}\t{id}\t{attempt}"),
+        Action::CancelAttempt { id, attempt } => writeln!(reply, "CALL_OFF\t{i}\t{id}\t{attempt}"),
         Action::SetTimer { after, token } => writeln!(reply, "NOTIFY_ME\t{i}\t{after:.3}\t{token}"),
         Action::Probe { backend } => writeln!(reply, "TEST\t{i}\t{backend}"),
-        Action::Count { name, amount, keep, .. } => {
+        Action::AddToCounter { key: name, amount, ttl: keep, .. } => {
             writeln!(reply, "CHARGE_COUNTER\t{i}\t{name}\t{amount:.6}\t{keep:.3}")
         }
-        Action::Tell { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
+        Action::Broadcast { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
         Action::WatchBackends => writeln!(reply, "WATCH\t{i}\t1"),
         Action::Log(text) => writeln!(reply, "SAY_LOG\t{i}\t{}", text.replace(['\n', '\t'], " ")),
     }
--- a/src/check.rs
+++ b/src/check.rs
@@ -7,17 +7,17 @@
     if settings.classes.is_empty() {
         return Err(SettingsError::NoClasses);
     }
-    if settings.number >= settings.gateways {
-        return Err(SettingsError::NumberTooHigh);
+    if settings.gateway_index >= settings.gateways {
+        return Err(SettingsError::IndexOutOfRange);
     }
     let figure = |value: f64, what| {
-        if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(SettingsError::BadFigure(what)) }
+        if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(SettingsError::InvalidValue(what)) }
     };
     for class in &settings.classes {
-        figure(class.aim, "a class's aim")?;
-        figure(class.memory, "a class's memory")?;
-        figure(class.worth, "a class's worth")?;
-        figure(class.late_worth, "a class's late worth")?;
+        figure(class.target_latency, "a class's aim")?;
+        figure(class.dedup_window, "a class's memory")?;
+        figure(class.value, "a class's worth")?;
+        figure(class.late_value_share, "a class's late worth")?;
     }
     for plan in &settings.plans {
         figure(plan.rate, "a plan's rate")?;
@@ -25,19 +25,19 @@
         figure(plan.ceiling_rate, "a plan's ceiling rate")?;
         figure(plan.ceiling_burst, "a plan's ceiling burst")?;
         figure(plan.ceiling_slack, "a plan's ceiling slack")?;
-        figure(plan.price, "a plan's price")?;
+        figure(plan.value_factor, "a plan's price")?;
         if plan.rate > 0.0 && plan.burst <= 0.0 {
-            return Err(SettingsError::BadFigure("a plan's burst"));
+            return Err(SettingsError::InvalidValue("a plan's burst"));
         }
     }
     figure(settings.tick, "tick")?;
-    figure(settings.sweep, "sweep")?;
+    figure(settings.housekeeping_interval, "sweep")?;
     figure(settings.counter_timeout, "counter time-out")?;
-    figure(settings.most_units, "most units")?;
-    figure(settings.longest_advice, "longest advice")?;
-    figure(settings.cold_share, "cold share")?;
-    figure(settings.cold_time, "cold time")?;
-    figure(settings.fall_multiple, "fall multiple")?;
-    figure(settings.fall_time, "fall time")?;
-    figure(settings.price_cross_zone, "price of crossing zones")
+    figure(settings.max_request_units, "most units")?;
+    figure(settings.max_retry_after, "longest advice")?;
+    figure(settings.cold_capacity_share, "cold share")?;
+    figure(settings.warm_up_time, "cold time")?;
+    figure(settings.overload_multiple, "fall multiple")?;
+    figure(settings.overload_window, "fall time")?;
+    figure(settings.cross_zone_cost, "price of crossing zones")
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! The types that pass between a host and a gateway: settings, events and actions. Nothing is decided here.
 
-use crate::mesh::{BackendTerms, MeshTerms, RequestBound};
+use crate::topology::{BackendParameters, FleetParameters, RequestConstraints};
 use std::sync::Arc;
 
 /// A name that the host hands in and gets back unchanged: a customer, backend, class, plan, zone.
@@ -12,7 +12,7 @@
 
 /// What repeating a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum RetrySafety {
     /// Safe to repeat at any time.
     Safe,
     /// Carries a key: backends of one group drop a repeat for a stated time.
@@ -23,7 +23,7 @@
 
 /// The backends that share the memory of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All backends.
     All,
     /// The backends of one zone.
@@ -38,17 +38,17 @@
     /// The class's name.
     pub name: Name,
     /// An answer within this time has its full worth.
-    pub aim: Millis,
+    pub target_latency: Millis,
     /// What repeating it may do.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// Who drops a keyed repeat.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For how long a keyed repeat is dropped, from the first send that may have run.
-    pub memory: Millis,
+    pub dedup_window: Millis,
     /// What an answer is worth.
-    pub worth: f64,
+    pub value: f64,
     /// The share of the worth that an answer after the aim still has.
-    pub late_worth: f64,
+    pub late_value_share: f64,
 }
 
 /// One plan: the quota each of its customers holds over all gateways together.
@@ -61,7 +61,7 @@
     /// The most units that may be used at once.
     pub burst: f64,
     /// The most attempts out at once; 0 means no such quota.
-    pub open: u32,
+    pub max_concurrent: u32,
     /// Units a second that the hard ceiling fills by; 0 means no ceiling.
     pub ceiling_rate: f64,
     /// The most units that the ceiling holds.
@@ -69,11 +69,11 @@
     /// What the ceiling may be passed by.
     pub ceiling_slack: f64,
     /// A factor on the worth of a request.
-    pub price: f64,
+    pub value_factor: f64,
     /// The share of its worth that a request beyond the quota earns.
-    pub over_worth: f64,
+    pub over_quota_value_share: f64,
     /// The share of its worth that a request beyond the quota costs.
-    pub over_cost: f64,
+    pub over_quota_cost_share: f64,
 }
 
 impl Plan {
@@ -86,12 +86,12 @@
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     /// There are none.
     #[default]
     None,
     /// With the answers.
-    Answers,
+    Responses,
     /// With the answers to probes only.
     Probes,
 }
@@ -102,13 +102,13 @@
     /// How many gateways there are.
     pub gateways: u32,
     /// This gateway's number, from 0.
-    pub number: u32,
+    pub gateway_index: u32,
     /// The zone this gateway is in.
     pub zone: Name,
     /// The shortest time between two calls of `handle`.
     pub tick: Millis,
     /// The time between two rounds of housekeeping; 0 for the usual.
-    pub sweep: Millis,
+    pub housekeeping_interval: Millis,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The plans.
@@ -120,33 +120,33 @@
     /// The losses of the counter that slices are made for.
     pub loss: fennelscale_quota::Loss,
     /// Whether the true units come with the answer.
-    pub settles: bool,
+    pub actual_units_reported: bool,
     /// The most units of one request.
-    pub most_units: f64,
+    pub max_request_units: f64,
     /// Where load reports come from.
-    pub reports: Reports,
+    pub load_reports: LoadReportSource,
     /// Whether probes are allowed.
     pub probes: bool,
     /// Whether gateways may send each other messages.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Whether attempts may be called off.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// Whether the list must be asked for.
     pub list_on_request: bool,
     /// The most attempts of one request.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// The longest advice that a client follows.
-    pub longest_advice: Millis,
+    pub max_retry_after: Millis,
     /// A backend starts with this share of its capacity or more.
-    pub cold_share: f64,
+    pub cold_capacity_share: f64,
     /// A backend is warm after this time at most.
-    pub cold_time: Millis,
+    pub warm_up_time: Millis,
     /// A cold backend falls over when sent more than this multiple of its present capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The time over which that is judged.
-    pub fall_time: Millis,
+    pub overload_window: Millis,
     /// The points taken off for one crossing of zones a request.
-    pub price_cross_zone: f64,
+    pub cross_zone_cost: f64,
 }
 
 /// Settings that cannot be used.
@@ -155,17 +155,17 @@
     /// There are no classes.
     NoClasses,
     /// A figure is negative, not finite, or zero where it may not be.
-    BadFigure(&'static str),
+    InvalidValue(&'static str),
     /// The gateway's own number is not below the number of gateways.
-    NumberTooHigh,
+    IndexOutOfRange,
 }
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NoClasses => write!(f, "settings name no request class"),
-            Self::BadFigure(what) => write!(f, "settings hold an unusable figure: {what}"),
-            Self::NumberTooHigh => write!(f, "the gateway's number is not below the number of gateways"),
+            Self::InvalidValue(what) => write!(f, "settings hold an unusable figure: {what}"),
+            Self::IndexOutOfRange => write!(f, "the gateway's number is not below the number of gateways"),
         }
     }
 }
@@ -206,7 +206,7 @@
     /// Requests that wait there.
     pub queue: Option<f64>,
     /// Its recent service time, without waiting.
-    pub service: Option<Millis>,
+    pub service_time: Option<Millis>,
 }
 
 /// How an attempt or a probe ended.
@@ -217,15 +217,15 @@
     /// The backend answered with an error; it may have run.
     Error,
     /// The backend turned it away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or may still run.
     TimedOut,
     /// No connection was made; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionLost,
     /// It was called off; it may have run.
-    CalledOff,
+    Cancelled,
     /// It was never sent.
     NeverSent,
     /// Another backend answers at its address: the one that it was for is gone. It never ran.
@@ -235,7 +235,7 @@
 impl Outcome {
     /// Whether it is certain that the request has not run and will not.
     pub const fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::NeverSent | Self::Misdirected)
+        matches!(self, Self::Rejected | Self::ConnectFailed | Self::NeverSent | Self::Misdirected)
     }
 }
 
@@ -264,15 +264,15 @@
     /// The units it draws, or a guess of them.
     pub units: f64,
     /// Whether the client marks it as a repeat of an earlier try.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// How long until the client gives up.
-    pub patience: Millis,
+    pub client_timeout: Millis,
     /// The number of the first gateway of the customer's set; the others follow in a row, counted round.
-    pub first: u32,
+    pub first_gateway: u32,
     /// How many gateways the customer's requests come in through.
-    pub spread: u32,
+    pub gateway_count: u32,
     /// Where it may go, where not everywhere.
-    pub bound: Option<Arc<RequestBound>>,
+    pub constraints: Option<Arc<RequestConstraints>>,
 }
 
 /// The end of an attempt.
@@ -289,7 +289,7 @@
     /// How long it was out.
     pub latency: Millis,
     /// The true units, where they come with the answer.
-    pub true_units: Option<f64>,
+    pub actual_units: Option<f64>,
     /// Whether the request has had its final answer.
     pub finished: bool,
     /// A load report, where one came along.
@@ -326,7 +326,7 @@
         load: Option<LoadReport>,
     },
     /// The client left; the request is over.
-    ClientLeft {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
@@ -336,23 +336,23 @@
         token: u64,
     },
     /// A counter call ended.
-    Counted {
+    CounterReply {
         /// The count's name.
-        name: u64,
+        key: u64,
         /// How it ended.
         outcome: CountOutcome,
         /// How long it took.
         latency: Millis,
     },
     /// Accounts are counted on these counters; how each that was there is stays known.
-    Counters(fennelscale_quota::Partition),
+    CounterPartition(fennelscale_quota::Partition),
     /// The whole list of backends, each with its terms, and what is known of the gateways. It is one event, so that nothing is
     /// chosen between the list and the terms: from the first one on, a backend without terms is sent nothing.
-    Mesh(MeshTerms, Vec<(BackendEntry, BackendTerms)>),
+    Topology(FleetParameters, Vec<(BackendEntry, BackendParameters)>),
     /// A class beyond those of the settings; one of a name that is there takes its place.
     Class(Class),
     /// The gateway is about to end: no more requests come.
-    Ending,
+    ShuttingDown,
     /// A message from another gateway.
     PeerMessage {
         /// The sender's number.
@@ -390,7 +390,7 @@
         id: RequestId,
     },
     /// Stop waiting for an attempt.
-    CallOff {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// The attempt's number.
@@ -409,18 +409,18 @@
         backend: Name,
     },
     /// Add to a shared count and hear its total.
-    Count {
+    AddToCounter {
         /// Which counter, by its place in the partition; 0 where none was set.
         counter: usize,
         /// The count's name, below 2^63.
-        name: u64,
+        key: u64,
         /// What to add.
         amount: f64,
         /// How long a new name is kept.
-        keep: Millis,
+        ttl: Millis,
     },
     /// Send a message to all other gateways.
-    Tell {
+    Broadcast {
         /// What it says.
         bytes: Vec<u8>,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,15 +3,18 @@
 //! and when, and carries out the actions it gives back.
 //!
 //! ```
-//! use doorcourse::{Action, Arrival, BackendEntry, BackendState, Class, Effect, Event, Gateway, Group, Plan};
+//! use doorcourse::{
+//!     Action, Arrival, BackendEntry, BackendState, Class, DedupScope, Event, Gateway, Plan, RetrySafety,
+//! };
 //!
 //! let settings = doorcourse::Settings {
-//!     gateways: 1, number: 0, zone: "a".into(), tick: 1.0,
-//!     classes: vec![Class { name: "read".into(), aim: 500.0, effect: Effect::Safe, group: Group::All,
-//!         memory: 0.0, worth: 1.0, late_worth: 0.0 }],
-//!     plans: vec![Plan { name: "basic".into(), rate: 5.0, burst: 10.0, open: 0, ceiling_rate: 0.0,
-//!         ceiling_burst: 0.0, ceiling_slack: 0.0, price: 1.0, over_worth: 0.0, over_cost: 1.0 }],
-//!     most_attempts: 3, longest_advice: 1000.0, ..Default::default()
+//!     gateways: 1, gateway_index: 0, zone: "a".into(), tick: 1.0,
+//!     classes: vec![Class { name: "read".into(), target_latency: 500.0, retry_safety: RetrySafety::Safe,
+//!         dedup_scope: DedupScope::All, dedup_window: 0.0, value: 1.0, late_value_share: 0.0 }],
+//!     plans: vec![Plan { name: "basic".into(), rate: 5.0, burst: 10.0, max_concurrent: 0, ceiling_rate: 0.0,
+//!         ceiling_burst: 0.0, ceiling_slack: 0.0, value_factor: 1.0, over_quota_value_share: 0.0,
+//!         over_quota_cost_share: 1.0 }],
+//!     max_attempts: 3, max_retry_after: 1000.0, ..Default::default()
 //! };
 //! let mut gateway = Gateway::new(settings, 7)?;
 //! let mut actions = Vec::new();
@@ -19,8 +22,8 @@
 //!     started: None };
 //! gateway.handle(0.0, Event::BackendList(vec![backend]), &mut actions);
 //! gateway.handle(1.0, Event::Request(Arrival { id: 1, customer: "c".into(), plan: "basic".into(),
-//!     class: "read".into(), units: 1.0, repeat: false, patience: 900.0, first: 0, spread: 1,
-//!     bound: None }), &mut actions);
+//!     class: "read".into(), units: 1.0, is_retry: false, client_timeout: 900.0, first_gateway: 0,
+//!     gateway_count: 1, constraints: None }), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, .. })));
 //! # Ok::<(), doorcourse::SettingsError>(())
 //! ```
@@ -43,8 +46,8 @@
 mod hash;
 mod interface;
 mod logic;
-mod mesh;
+mod topology;
 
 pub use interface::*;
 pub use logic::Gateway;
-pub use mesh::{BackendTerms, MeshTerms, RequestBound, SendCounts};
+pub use topology::{BackendParameters, FleetParameters, RequestConstraints, SendCounts};
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -14,7 +14,7 @@
 use crate::check::check;
 use crate::hash::{hash, mix, unit};
 use crate::interface::*;
-use crate::mesh::{BackendTerms, Mesh, MeshTerms, RequestBound};
+use crate::topology::{BackendParameters, FleetParameters, Mesh, RequestConstraints};
 use fennelscale_quota::{Health, Heard, Ledger, Loss, Partition, Share, Slice};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -58,7 +58,7 @@
     /// A backend that it was sent to had gone, and another had its address.
     misdirected: bool,
     may_have_run: Option<(Millis, Name, u64)>, // since when, in which zone and cell
-    bound: Option<Arc<RequestBound>>,
+    bound: Option<Arc<RequestConstraints>>,
     sent_at: Millis,
 }
 
@@ -130,18 +130,20 @@
                 self.on_attempt(end, out);
                 self.drain_queue(out);
             }
-            Event::ClientLeft { id } => match self.requests.get_mut(&id) {
+            Event::ClientDisconnected { id } => match self.requests.get_mut(&id) {
                 // The end of what is out still tells whether its units were used.
                 Some(request) if request.stage == Stage::Out => request.stage = Stage::Left,
                 _ => self.forget(id),
             },
             Event::Timer { token: SWEEP_TOKEN } => self.on_sweep(out),
             Event::Timer { token } => self.on_hold_over(token / 2, out),
-            Event::Mesh(terms, backends) => self.on_mesh(terms, backends, out),
+            Event::Topology(terms, backends) => self.on_mesh(terms, backends, out),
             Event::Class(class) => self.on_class(class),
-            Event::Ending => self.ending = true,
-            Event::Counters(partition) => self.set_counters(partition),
-            Event::Counted { name, outcome, latency } => self.on_counted(name, outcome, latency, out),
+            Event::ShuttingDown => self.ending = true,
+            Event::CounterPartition(partition) => self.set_counters(partition),
+            Event::CounterReply { key: name, outcome, latency } => {
+                self.on_counted(name, outcome, latency, out)
+            }
             Event::PeerMessage { bytes, .. } => self.on_told(&bytes),
             Event::StreamStarted { .. } | Event::ProbeEnded { .. } => {}
         }
@@ -172,8 +174,8 @@
         };
         let now = self.now;
         let units = if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 };
-        let (arrived, deadline) = (now, now + arrival.patience);
-        let (customer, repeat, bound) = (name.clone(), arrival.repeat, arrival.bound);
+        let (arrived, deadline) = (now, now + arrival.client_timeout);
+        let (customer, repeat, bound) = (name.clone(), arrival.is_retry, arrival.constraints);
         let rest = Request { bound, ..Request::default() };
         self.requests.insert(id, Request { customer, plan, class, units, repeat, arrived, deadline, ..rest });
         self.mesh.came();
@@ -182,8 +184,9 @@
             Customer { plan, salt, store, store_at: now, demand_at: now, ..Customer::default() }
         });
         let gateways = self.settings.gateways;
-        customer.spread = f64::from(arrival.spread.clamp(1, gateways));
-        customer.place = (self.settings.number + gateways - arrival.first % gateways) % gateways;
+        customer.spread = f64::from(arrival.gateway_count.clamp(1, gateways));
+        customer.place =
+            (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
         let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
         customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
         customer.demand_at = now;
@@ -193,7 +196,11 @@
     }
 
     fn on_sweep(&mut self, out: &mut Vec<Action>) {
-        let after = if self.settings.sweep > 0.0 { self.settings.sweep } else { SWEEP };
+        let after = if self.settings.housekeeping_interval > 0.0 {
+            self.settings.housekeeping_interval
+        } else {
+            SWEEP
+        };
         out.push(Action::SetTimer { after, token: SWEEP_TOKEN });
         let now = self.now;
         let (mut asking, mut idle) = (Vec::new(), Vec::new());
--- a/src/logic/again.rs
+++ b/src/logic/again.rs
@@ -12,7 +12,7 @@
         let (id, outcome) = (end.id, end.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
-        if let Some(true_units) = end.true_units.filter(|_| outcome == Outcome::Served) {
+        if let Some(true_units) = end.actual_units.filter(|_| outcome == Outcome::Served) {
             customer.owed += true_units - request.units;
             customer.store -= true_units - request.units;
         }
@@ -32,14 +32,14 @@
     pub(super) fn may_try_again(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let (class, last) = (&self.settings.classes[request.class], LAST_TICKS * self.settings.tick);
-        let allowed = match (&request.may_have_run, class.effect) {
+        let allowed = match (&request.may_have_run, class.retry_safety) {
             (None, _) => true,
-            (_, Effect::Safe) => request.attempts < REPEAT_MOST,
-            (Some((sent, ..)), Effect::Keyed) => self.now - sent < class.memory - last,
-            (Some(_), Effect::Unsafe) => false,
+            (_, RetrySafety::Safe) => request.attempts < REPEAT_MOST,
+            (Some((sent, ..)), RetrySafety::Keyed) => self.now - sent < class.dedup_window - last,
+            (Some(_), RetrySafety::Unsafe) => false,
         };
-        let most = request.bound.as_ref().map_or(0, |b| b.most_attempts);
-        let most = if most > 0 { most } else { self.settings.most_attempts };
+        let most = request.bound.as_ref().map_or(0, |b| b.max_attempts);
+        let most = if most > 0 { most } else { self.settings.max_attempts };
         let in_budget = request.attempts == 0 || self.mesh.may_repeat(request.misdirected);
         allowed && in_budget && request.deadline - self.now > last && request.attempts < most
     }
--- a/src/logic/backend.rs
+++ b/src/logic/backend.rs
@@ -82,8 +82,8 @@
     /// The share of its capacity that a backend surely has by now: it rises at least evenly.
     pub(super) fn warmth(&self, now: Millis, settings: &Settings) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let age = ((now - started) / settings.cold_time.max(1.0)).clamp(0.0, 1.0);
-        settings.cold_share + (1.0 - settings.cold_share) * age
+        let age = ((now - started) / settings.warm_up_time.max(1.0)).clamp(0.0, 1.0);
+        settings.cold_capacity_share + (1.0 - settings.cold_capacity_share) * age
     }
 
     /// Guards against dead and stalled backends, which show in outcomes long before the list does: nothing
@@ -94,11 +94,11 @@
     /// request and breaks: that spoils `BREAKS_FREE` more.
     pub(super) fn failed(&mut self, now: Millis, end: &AttemptEnd, settings: &Settings) -> bool {
         self.failures += 1;
-        let broken = end.outcome == Outcome::Broken;
+        let broken = end.outcome == Outcome::ConnectionLost;
         let counts = self.failures.saturating_sub(if broken { BREAKS_FREE } else { 0 });
         if counts > 0 {
             let share = EJECT_SHARE * f64::from(counts);
-            self.eject_until = now + end.latency.max(settings.cold_time * share);
+            self.eject_until = now + end.latency.max(settings.warm_up_time * share);
         }
         let told = counts >= EJECT_TOLD;
         told && !std::mem::replace(&mut self.told, told)
@@ -119,8 +119,8 @@
     pub(super) fn taken(&mut self, class: usize, blind: bool) -> bool {
         self.late *= 1.0 - NEWEST * NEWEST;
         let classes = &self.settings.classes;
-        let mean = classes.iter().map(|c| c.worth).sum::<f64>() / classes.len() as f64;
-        let rank = mean / classes[class].worth.max(1e-9) * if blind { BLIND_RANK } else { 1.0 };
+        let mean = classes.iter().map(|c| c.value).sum::<f64>() / classes.len() as f64;
+        let rank = mean / classes[class].value.max(1e-9) * if blind { BLIND_RANK } else { 1.0 };
         let share = self.take().powf(rank);
         !self.many() || self.chance() < share
     }
@@ -133,7 +133,8 @@
     /// Takes list and terms whole before anything is chosen. Guards cold backends: by the list alone they
     /// look ready.
     pub(super) fn on_mesh(
-        &mut self, terms: MeshTerms, backends: Vec<(BackendEntry, BackendTerms)>, out: &mut Vec<Action>,
+        &mut self, terms: FleetParameters, backends: Vec<(BackendEntry, BackendParameters)>,
+        out: &mut Vec<Action>,
     ) {
         let named = backends.iter().map(|(entry, terms)| (entry.name.clone(), *terms)).collect();
         self.mesh.told(self.now, terms, named);
@@ -171,8 +172,9 @@
         let (request, backend) = (self.requests.get_mut(&id), self.backends.get_mut(&name));
         let (Some(request), Some(backend)) = (request, backend) else { return false };
         let class = &self.settings.classes[request.class];
-        let keyed = request.may_have_run.as_ref().filter(|_| class.effect == Effect::Keyed);
-        let write_by = keyed.map(|(at, ..)| at + class.memory - LAST_TICKS * self.settings.tick - self.now);
+        let keyed = request.may_have_run.as_ref().filter(|_| class.retry_safety == RetrySafety::Keyed);
+        let write_by =
+            keyed.map(|(at, ..)| at + class.dedup_window - LAST_TICKS * self.settings.tick - self.now);
         // Guards keyed requests that waited in line, and through the host those whose connection is late.
         if write_by.is_some_and(|left| left <= 0.0) {
             return false;
@@ -189,7 +191,7 @@
     pub(super) fn open_allowed(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return true };
-        let cap = self.settings.plans[request.plan].open;
+        let cap = self.settings.plans[request.plan].max_concurrent;
         let (spread, place) = (customer.spread as u32, customer.place);
         cap == 0 || customer.open < (cap / spread + u32::from(place < cap % spread)).max(1)
     }
@@ -202,7 +204,7 @@
     pub(super) fn pick(&mut self, id: RequestId) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
-        let tied = request.may_have_run.as_ref().filter(|_| class.effect == Effect::Keyed);
+        let tied = request.may_have_run.as_ref().filter(|_| class.retry_safety == RetrySafety::Keyed);
         let bound = request.bound.as_deref();
         let bytes = bound.map_or(0, |b| b.bytes);
         let out: f64 = self.backends.values().map(|b| f64::from(b.out)).sum();
@@ -210,15 +212,16 @@
             return None;
         }
         let ready = self.backends.values().filter(|b| b.usable()).count().max(1) as f64;
-        let (salt, own) = (self.random, mix(u64::from(self.settings.number) + 1));
-        let far = 1.0 + self.settings.price_cross_zone * ZONE_BIAS;
+        let (salt, own) = (self.random, mix(u64::from(self.settings.gateway_index) + 1));
+        let far = 1.0 + self.settings.cross_zone_cost * ZONE_BIAS;
         let (many, cold_share) = (self.many(), COLD_MULTIPLE * self.take());
         let mut best: Option<(f64, &Name)> = None;
         for (name, backend) in &self.backends {
-            let (group, zone, cell) = (class.group, &backend.zone, backend.cell);
-            let same =
-                |home: &(_, Name, u64)| if group == Group::Zone { home.1 == *zone } else { home.2 == cell };
-            let in_group = group == Group::All || tied.is_none_or(same);
+            let (group, zone, cell) = (class.dedup_scope, &backend.zone, backend.cell);
+            let same = |home: &(_, Name, u64)| {
+                if group == DedupScope::Zone { home.1 == *zone } else { home.2 == cell }
+            };
+            let in_group = group == DedupScope::All || tied.is_none_or(same);
             let full = f64::from(backend.out) >= backend.room.ceil();
             let luck = unit(salt ^ hash(name));
             let warmth = backend.warmth(self.now, &self.settings);
@@ -278,10 +281,10 @@
                 backend.failures = 0;
                 self.mesh.served(name, latency);
                 *usual = if *usual == 0.0 { latency } else { *usual + USUAL_WEIGHT * (latency - *usual) };
-                latency > self.settings.classes[class].aim * ROOM_SHARE
+                latency > self.settings.classes[class].target_latency * ROOM_SHARE
             }
-            Outcome::Error | Outcome::NeverSent | Outcome::CalledOff | Outcome::Misdirected => return,
-            Outcome::Full => true,
+            Outcome::Error | Outcome::NeverSent | Outcome::Cancelled | Outcome::Misdirected => return,
+            Outcome::Rejected => true,
             // A client with little time left proves nothing of the fleet.
             _ => latency > *usual * LATE_LATENCIES,
         };
--- a/src/logic/refusal.rs
+++ b/src/logic/refusal.rs
@@ -34,12 +34,12 @@
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let hold = self.settings.classes[request.class].aim * HOLD_SHARE;
+        let hold = self.settings.classes[request.class].target_latency * HOLD_SHARE;
         let until = if fresh { request.arrived } else { self.now } + hold;
         if until <= self.now || fresh && self.queue.len() as f64 >= self.room().max(1.0) {
             return self.give_up(id, out);
         }
-        let worth = |r: &Request| self.settings.classes[r.class].worth;
+        let worth = |r: &Request| self.settings.classes[r.class].value;
         let less = |q: &RequestId| self.requests.get(q).is_some_and(|r| worth(r) < worth(request));
         let at = self.queue.iter().position(less).unwrap_or(self.queue.len());
         self.queue.insert(at, id);
@@ -69,10 +69,10 @@
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class];
         let harmless = request.may_have_run.is_none()
-            || class.effect == Effect::Safe
-            || (class.effect == Effect::Keyed && class.group == Group::All);
+            || class.retry_safety == RetrySafety::Safe
+            || (class.retry_safety == RetrySafety::Keyed && class.dedup_scope == DedupScope::All);
         if harmless && self.now < request.deadline {
-            let wait = self.settings.longest_advice * (0.3 + 0.4 * self.chance());
+            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.chance());
             self.refuse(id, wait, out);
         } else {
             self.forget(id);
@@ -82,7 +82,7 @@
 
     pub(super) fn refuse(&mut self, id: RequestId, wait: Millis, out: &mut Vec<Action>) {
         self.forget(id);
-        out.push(Action::Refuse { id, retry_after: wait.clamp(0.0, self.settings.longest_advice) });
+        out.push(Action::Refuse { id, retry_after: wait.clamp(0.0, self.settings.max_retry_after) });
     }
 
     /// Units of a request that surely never ran go back to its customer's block.
--- a/src/logic/units.rs
+++ b/src/logic/units.rs
@@ -230,7 +230,7 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         customer.waiting.push_back(id);
-        let until = request.arrived + self.settings.classes[request.class].aim * BLOCK_WAIT;
+        let until = request.arrived + self.settings.classes[request.class].target_latency * BLOCK_WAIT;
         self.hold(id, Stage::Block, until, out);
         true
     }
@@ -259,7 +259,7 @@
         let Some(customer) = self.customers.get(&request.customer) else { return };
         let plan = &self.settings.plans[customer.plan];
         let usual = self.plan_odds[customer.plan][usize::from(request.repeat)];
-        let pays = usual > (1.0 - usual) * (plan.over_cost - plan.over_worth);
+        let pays = usual > (1.0 - usual) * (plan.over_quota_cost_share - plan.over_quota_value_share);
         let usual = if pays { 1.0 } else { usual };
         let (odds, at) = self.told.get(&customer.salt).copied().unwrap_or_default();
         let age = (self.now - at) / Customer::turn(plan);
@@ -283,10 +283,10 @@
         let even = (plan.burst * THIN_ODDS + since + luck) / (asked + block);
         let odds = if asked + block > granted { even.min(1.0) } else { 1.0 };
         let (told, at) = self.told.insert(customer.salt, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
-        if self.settings.peers && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
+        if self.settings.peer_messages && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
             let mut bytes = customer.salt.to_le_bytes();
             bytes[7] = (odds * 255.0) as u8;
-            out.push(Action::Tell { bytes: bytes.to_vec() });
+            out.push(Action::Broadcast { bytes: bytes.to_vec() });
         }
         let waiting = std::mem::take(&mut customer.waiting);
         if !std::mem::replace(&mut customer.known, true) {
@@ -370,7 +370,7 @@
         counter.calls.insert(count, name.clone());
         let keep = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
         let (counter, amount) = (customer.counter, block + owed);
-        out.push(Action::Count { counter, name: count, amount, keep });
+        out.push(Action::AddToCounter { counter, key: count, amount, ttl: keep });
     }
 
     pub(super) fn on_counted(
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -3,44 +3,44 @@
 
 use super::{Backend, Counter, Customer, Gateway, Request};
 use crate::interface::Millis;
-use crate::mesh::SendCounts;
+use crate::topology::SendCounts;
 use fennelscale_quota::{Health, Slice};
 use std::hash::{Hash, Hasher};
 
 impl Gateway {
     /// How many backends are remembered.
-    pub fn backends(&self) -> usize {
+    pub fn backend_count(&self) -> usize {
         self.backends.len()
     }
 
     /// How many customers are remembered.
-    pub fn customers(&self) -> usize {
+    pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
     /// What is counted as out: attempts at all backends, and attempts of all customers.
-    pub fn out(&self) -> (u32, u32) {
+    pub fn in_flight(&self) -> (u32, u32) {
         (self.backends.values().map(|b| b.out).sum(), self.customers.values().map(|c| c.open).sum())
     }
 
     /// How many requests were sent, by what was known of their backends.
-    pub fn sends(&self) -> SendCounts {
+    pub fn send_counts(&self) -> SendCounts {
         self.mesh.sends()
     }
 
     /// Requests that are held because no backend may be sent one.
-    pub fn held(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
     /// Whether a counter was ever found silent.
-    pub fn was_silent(&self) -> bool {
+    pub fn counter_was_silent(&self) -> bool {
         self.counters.iter().any(|counter| counter.health.silent_at > 0.0)
     }
 
     /// Units of all customers: in blocks in hand, and used but not yet added to the shared count (negative:
     /// to be given back).
-    pub fn units(&self) -> (f64, f64) {
+    pub fn leased_and_owed(&self) -> (f64, f64) {
         let sum = |of: fn(&Customer) -> f64| self.customers.values().map(of).sum();
         (sum(|c| c.lease), sum(|c| c.owed))
     }
--- a/src/mesh.rs
+++ b/src/topology.rs
@@ -38,26 +38,26 @@
 
 /// What is known of one backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct BackendTerms {
+pub struct BackendParameters {
     /// Requests that it works on at once.
     pub slots: f64,
     /// How many gateways are likely to send there; of an own one, how many have it as theirs.
     pub sharers: f64,
     /// It is this gateway's own, or one of few that share it.
-    pub own: bool,
+    pub is_owned: bool,
     /// The way there and back.
-    pub way: Millis,
+    pub round_trip: Millis,
     /// What the way costs a usual request, as a time that an answer may come later.
-    pub price: Millis,
+    pub distance_cost: Millis,
     /// It is cold until then ...
     pub cold_until: Millis,
     /// ... and takes this many requests a second from this gateway meanwhile.
-    pub cold_per_s: f64,
+    pub cold_rate_per_s: f64,
 }
 
 /// What is known of all gateways together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct MeshTerms {
+pub struct FleetParameters {
     /// How many gateways there are.
     pub gateways: f64,
     /// Further tries for each request, over all gateways.
@@ -65,16 +65,16 @@
     /// Further tries beyond the ratio, over all gateways.
     pub retry_slack: f64,
     /// The usual time of work, for backends that have not answered yet.
-    pub usual: Millis,
+    pub typical_latency: Millis,
 }
 
 /// What one request is bound to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct RequestBound {
+pub struct RequestConstraints {
     /// The cells whose backends may have it; empty for all.
     pub cells: Vec<u64>,
     /// The most backends that it may be sent to; 0 for as many as the settings say.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Its bytes; 0 for a usual request. What a way costs goes by them.
     pub bytes: u32,
 }
@@ -88,12 +88,12 @@
     /// To backends whose terms say that they are cold.
     pub cold: u64,
     /// To backends of which no terms were told, though terms of others were.
-    pub without_terms: u64,
+    pub without_parameters: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Known {
-    terms: BackendTerms,
+    terms: BackendParameters,
     latency: Millis,
     /// What may still be sent while it is cold, and as of when.
     tokens: f64,
@@ -105,7 +105,7 @@
 pub(crate) struct Mesh {
     /// Terms were told: what has none is sent nothing.
     told: bool,
-    terms: MeshTerms,
+    terms: FleetParameters,
     backends: BTreeMap<Name, Known>,
     repeats: f64,
     sends: SendCounts,
@@ -117,14 +117,17 @@
         self.sends
     }
 
-    pub(crate) fn told(&mut self, now: Millis, terms: MeshTerms, backends: Vec<(Name, BackendTerms)>) {
+    pub(crate) fn told(
+        &mut self, now: Millis, terms: FleetParameters, backends: Vec<(Name, BackendParameters)>,
+    ) {
         if self.terms.retry_ratio == 0.0 {
             self.repeats = terms.retry_slack * SLACK_SHARE / terms.gateways.max(1.0);
         }
         (self.told, self.terms) = (true, terms);
         let mut before = std::mem::take(&mut self.backends);
         for (name, terms) in backends {
-            let fresh = Known { terms, latency: terms.way + self.terms.usual, tokens: 1.0, at: now };
+            let fresh =
+                Known { terms, latency: terms.round_trip + self.terms.typical_latency, tokens: 1.0, at: now };
             let mut known = before.remove(&name).unwrap_or(fresh);
             if terms.cold_until > known.terms.cold_until && known.terms.cold_until <= now {
                 // A cold spell begins: no more at once than one.
@@ -140,7 +143,7 @@
         let terms = self.backends.get(name)?.terms;
         let others = terms.slots / terms.sharers.max(1.0) * ROOM_OTHERS;
         let own = terms.slots / terms.sharers.max(1.0) * ROOM_OWN;
-        Some(if terms.own { own.max(1.0) } else { others.max(1.0) })
+        Some(if terms.is_owned { own.max(1.0) } else { others.max(1.0) })
     }
 
     /// Late answers take it down to this.
@@ -149,7 +152,7 @@
     }
 
     fn tokens(known: &Known, now: Millis) -> f64 {
-        (known.tokens + (now - known.at).max(0.0) / 1000.0 * known.terms.cold_per_s).min(1.0)
+        (known.tokens + (now - known.at).max(0.0) / 1000.0 * known.terms.cold_rate_per_s).min(1.0)
     }
 
     /// How soon a backend's answer is expected; none where it may not be sent anything. Nothing where no terms were ever told.
@@ -158,11 +161,11 @@
     ) -> Option<Option<f64>> {
         let Some(known) = self.backends.get(name) else { return self.told.then_some(None) };
         let terms = &known.terms;
-        if now < terms.cold_until && (terms.cold_per_s <= 0.0 || Self::tokens(known, now) < 1.0) {
+        if now < terms.cold_until && (terms.cold_rate_per_s <= 0.0 || Self::tokens(known, now) < 1.0) {
             return Some(None);
         }
         let (out, slots) = (f64::from(out), terms.slots.max(1.0));
-        let line = if terms.own {
+        let line = if terms.is_owned {
             let slots = (slots / terms.sharers.max(1.0)).max(1.0);
             let over = (out + 1.0 - slots).max(0.0) / slots;
             1.0 + BUSY * (out / slots).min(1.0) + over + 0.1 * luck
@@ -170,7 +173,7 @@
             let part = (slots / terms.sharers.max(1.0)).max(0.5);
             OTHERS + OTHERS_LUCK * luck + out / part
         };
-        Some(Some(known.latency * line + terms.price * (1.0 + f64::from(bytes) / USUAL_BYTES)))
+        Some(Some(known.latency * line + terms.distance_cost * (1.0 + f64::from(bytes) / USUAL_BYTES)))
     }
 
     /// A request goes to a backend; `again` if it has been sent before.
@@ -184,7 +187,7 @@
                 self.sends.cold += 1;
             }
             Some(_) => self.sends.warm += 1,
-            None if self.told => self.sends.without_terms += 1,
+            None if self.told => self.sends.without_parameters += 1,
             None => {}
         }
     }
@@ -214,10 +217,18 @@
         // Counts for metrics are no part of the state that decides.
         let Self { told, terms, backends, repeats, sends: _ } = self;
         told.hash(state);
-        let MeshTerms { gateways, retry_ratio, retry_slack, usual } = terms;
+        let FleetParameters { gateways, retry_ratio, retry_slack, typical_latency: usual } = terms;
         [*gateways, *retry_ratio, *retry_slack, *usual, *repeats].map(f64::to_bits).hash(state);
         for (name, Known { terms, latency, tokens, at }) in backends {
-            let BackendTerms { slots, sharers, own, way, price, cold_until, cold_per_s } = terms;
+            let BackendParameters {
+                slots,
+                sharers,
+                is_owned: own,
+                round_trip: way,
+                distance_cost: price,
+                cold_until,
+                cold_rate_per_s: cold_per_s,
+            } = terms;
             (name, own).hash(state);
             [*slots, *sharers, *way, *price, *cold_until, *cold_per_s, *latency, *tokens, *at]
                 .map(f64::to_bits)
--- a/system/proxy/src/decision_input.rs
+++ b/system/proxy/src/decision_input.rs
@@ -2,7 +2,8 @@
 
 use crate::held::Known;
 use doorcourse::{
-    BackendEntry, BackendState, BackendTerms, Class, Effect, Event, Group, MeshTerms, Name, Plan, Settings,
+    BackendEntry, BackendParameters, BackendState, Class, DedupScope, Event, FleetParameters, Name, Plan,
+    RetrySafety, Settings,
 };
 use fennelscale_settings::list::Host;
 
@@ -19,36 +20,36 @@
 pub fn settings(zone: &Name) -> Settings {
     let class = Class {
         name: USUAL_CLASS.into(),
-        aim: 500.0,
-        effect: Effect::Unsafe,
-        group: Group::All,
-        memory: 0.0,
-        worth: 1.0,
-        late_worth: 0.5,
+        target_latency: 500.0,
+        retry_safety: RetrySafety::Unsafe,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
+        value: 1.0,
+        late_value_share: 0.5,
     };
     let plan = Plan {
         name: PLAN.into(),
         rate: 0.0,
         burst: 0.0,
-        open: 0,
+        max_concurrent: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 0.0,
+        value_factor: 1.0,
+        over_quota_value_share: 0.0,
+        over_quota_cost_share: 0.0,
     };
     Settings {
         gateways: 1,
-        number: 0,
+        gateway_index: 0,
         zone: zone.clone(),
         tick: 1.0,
-        sweep: SWEEP,
+        housekeeping_interval: SWEEP,
         classes: vec![class],
         plans: vec![plan],
-        cancel: true,
-        most_attempts: 3,
-        longest_advice: ADVICE,
+        can_cancel: true,
+        max_attempts: 3,
+        max_retry_after: ADVICE,
         ..Settings::default()
     }
 }
@@ -63,17 +64,17 @@
 
 /// All backends of a service, as they are told. The decisions' clock is ahead of the one that the terms are told by, by
 /// `shift` ms.
-pub fn tell(known: &[Known], terms: MeshTerms, shift: f64) -> Told {
+pub fn tell(known: &[Known], terms: FleetParameters, shift: f64) -> Told {
     let mut hosts = Vec::with_capacity(known.len());
     let mut backends = Vec::with_capacity(known.len());
     for known in known {
         let Ok(dial) = known.backend.address.parse() else { continue };
         let entry = entry_of(known);
         let cold_until = known.terms.cold_until + shift;
-        backends.push((entry.clone(), BackendTerms { cold_until, ..known.terms }));
+        backends.push((entry.clone(), BackendParameters { cold_until, ..known.terms }));
         hosts.push(Host { entry, dial });
     }
-    Told { hosts, event: Event::Mesh(terms, backends) }
+    Told { hosts, event: Event::Topology(terms, backends) }
 }
 
 fn entry_of(known: &Known) -> BackendEntry {
--- a/system/proxy/src/front.rs
+++ b/system/proxy/src/front.rs
@@ -6,7 +6,7 @@
 use crate::proxy::Proxy;
 use crate::speech::{REQUEST_ID, TENANT};
 use bytes::Bytes;
-use doorcourse::{Arrival, RequestBound, RequestId};
+use doorcourse::{Arrival, RequestConstraints, RequestId};
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::{Route, RouteKind, Tenant};
 use fennelscale_dataplane::back::backends::Message;
@@ -412,11 +412,11 @@
                 plan: PLAN.into(),
                 class,
                 units: 1.0,
-                repeat: false,
-                patience,
-                first: 0,
-                spread: 1,
-                bound: Some(bound),
+                is_retry: false,
+                client_timeout: patience,
+                first_gateway: 0,
+                gateway_count: 1,
+                constraints: Some(bound),
             },
             message,
             until,
@@ -438,7 +438,9 @@
     }
 
     /// Where a request may go: the regions that its route and its tenant both allow.
-    fn bound(&self, route: &Route, tenant: Option<&Tenant>, bytes: usize) -> Result<Arc<RequestBound>, ()> {
+    fn bound(
+        &self, route: &Route, tenant: Option<&Tenant>, bytes: usize,
+    ) -> Result<Arc<RequestConstraints>, ()> {
         let held = self.proxy.held.borrow();
         let of_tenant = tenant.map_or(&[][..], |t| &t.regions);
         let regions: Vec<&String> = match (route.regions.as_slice(), of_tenant) {
@@ -452,9 +454,9 @@
             }
         };
         let cells = regions.into_iter().map(|region| held.cell(region)).collect();
-        Ok(Arc::new(RequestBound {
+        Ok(Arc::new(RequestConstraints {
             cells,
-            most_attempts: route.attempts,
+            max_attempts: route.attempts,
             bytes: bytes.min(u32::MAX as usize) as u32,
         }))
     }
--- a/system/proxy/src/held.rs
+++ b/system/proxy/src/held.rs
@@ -56,7 +56,7 @@
     /// Its region's place among all, in the order of their names.
     pub cell: u64,
     /// The terms of the choice.
-    pub terms: doorcourse::BackendTerms,
+    pub terms: doorcourse::BackendParameters,
 }
 
 /// A node that went back.
@@ -361,17 +361,25 @@
         let owns = || self.owners.owns(now, self.place.me, backend, |zone| self.region(zone));
         let cold_per_s = if cold_until > now && owns() { cold * COLD_SHARE } else { 0.0 };
         let slots = f64::from(backend.slots.max(1));
-        let terms = doorcourse::BackendTerms { slots, sharers, own, way, price, cold_until, cold_per_s };
+        let terms = doorcourse::BackendParameters {
+            slots,
+            sharers,
+            is_owned: own,
+            round_trip: way,
+            distance_cost: price,
+            cold_until,
+            cold_rate_per_s: cold_per_s,
+        };
         Known { backend: backend.clone(), ready, cell: self.cell(region), terms }
     }
 
     /// The terms that hold for all backends of a service together.
-    pub fn mesh(&self, ratio: f64, slack: f64) -> doorcourse::MeshTerms {
-        doorcourse::MeshTerms {
+    pub fn mesh(&self, ratio: f64, slack: f64) -> doorcourse::FleetParameters {
+        doorcourse::FleetParameters {
             gateways: self.gateways,
             retry_ratio: ratio,
             retry_slack: slack,
-            usual: USUAL,
+            typical_latency: USUAL,
         }
     }
 }
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -131,7 +131,7 @@
         let label = ServiceLabel { service: name.to_owned() };
         let sends = service.figures().sends;
         for (backend_state, count) in
-            [("warm", sends.warm), ("cold", sends.cold), ("without_terms", sends.without_terms)]
+            [("warm", sends.warm), ("cold", sends.cold), ("without_terms", sends.without_parameters)]
         {
             let labels = SendLabels { service: name.to_owned(), backend_state };
             self.sends.get_or_create(&labels).inner().store(count, Ordering::Relaxed);
@@ -148,11 +148,11 @@
     match outcome {
         Outcome::Served => "served",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Rejected => "full",
         Outcome::TimedOut => "timed_out",
         Outcome::ConnectFailed => "connect_failed",
-        Outcome::Broken => "broken",
-        Outcome::CalledOff => "called_off",
+        Outcome::ConnectionLost => "broken",
+        Outcome::Cancelled => "called_off",
         Outcome::NeverSent => "never_sent",
         Outcome::Misdirected => "misdirected",
     }
--- a/system/proxy/src/services.rs
+++ b/system/proxy/src/services.rs
@@ -4,7 +4,7 @@
 use crate::held::Held;
 use crate::speech::{Mesh, REQUEST_ID};
 use crate::trail::Trail;
-use doorcourse::{Class, Effect, Event, Group, Name, Outcome, Reports, SendCounts};
+use doorcourse::{Class, DedupScope, Event, LoadReportSource, Name, Outcome, RetrySafety, SendCounts};
 use fennelscale_config::{Route, RouteKind};
 use fennelscale_dataplane::back::backends::{Backends, Bounds};
 use fennelscale_dataplane::engine::{Counting, Engine, Report};
@@ -115,7 +115,7 @@
         let most_open = (self.connections / parts).max(16);
         let mesh = Mesh { health, trail: self.trail.clone(), born: self.born };
         let bounds = Bounds { most_open, largest_body: LARGEST, answer: ANSWER };
-        let backends = Backends::new(CONNECT, IDLE, Reports::None, reuse, Rc::new(mesh), bounds);
+        let backends = Backends::new(CONNECT, IDLE, LoadReportSource::None, reuse, Rc::new(mesh), bounds);
         let seed = self.seed.get();
         self.seed.set(fennelscale_messages::mix(seed.wrapping_add(1)));
         let counters = None::<fn(Duration, Rc<Report>) -> Rc<dyn Counting>>;
@@ -151,7 +151,7 @@
             let figures = service.figures();
             let before = service.reported.replace(figures);
             let cold = figures.sends.cold - before.sends.cold;
-            let without_terms = figures.sends.without_terms - before.sends.without_terms;
+            let without_terms = figures.sends.without_parameters - before.sends.without_parameters;
             let misdirected = figures.misdirected - before.misdirected;
             if cold + without_terms + misdirected > 0 {
                 let held = service.engine.held();
@@ -199,17 +199,17 @@
         if classes.len() >= CLASSES {
             return USUAL_CLASS.into();
         }
-        let effect = if kind == 's' { Effect::Safe } else { Effect::Unsafe };
+        let effect = if kind == 's' { RetrySafety::Safe } else { RetrySafety::Unsafe };
         // A rank is all that is told; each step halves what a request counts in line.
         let worth = 0.5_f64.powi(priority.min(16) as i32);
         let class = Class {
             name: name.as_str().into(),
-            aim: route.aim,
-            effect,
-            group: Group::All,
-            memory: 0.0,
-            worth,
-            late_worth: 0.5,
+            target_latency: route.aim,
+            retry_safety: effect,
+            dedup_scope: DedupScope::All,
+            dedup_window: 0.0,
+            value: worth,
+            late_value_share: 0.5,
         };
         classes.insert(name.clone());
         self.engine.post(Event::Class(class));
--- a/system/simulation/src/decisions.rs
+++ b/system/simulation/src/decisions.rs
@@ -76,11 +76,11 @@
                 plan: PLAN.into(),
                 class: USUAL_CLASS.into(),
                 units: 1.0,
-                repeat: false,
-                patience: PATIENCE,
-                first: 0,
-                spread: 1,
-                bound: None,
+                is_retry: false,
+                client_timeout: PATIENCE,
+                first_gateway: 0,
+                gateway_count: 1,
+                constraints: None,
             };
             self.handle(now, Event::Request(arrival));
         }
@@ -94,7 +94,7 @@
 
     /// Requests that were sent to backends without terms.
     pub(crate) fn sent_without_terms(&self) -> u64 {
-        self.gateway.sends().without_terms
+        self.gateway.send_counts().without_parameters
     }
 
     fn set(&mut self, at: Millis, due: Due) {
@@ -126,7 +126,7 @@
             backend: sent.backend,
             outcome,
             latency,
-            true_units: None,
+            actual_units: None,
             finished,
             load: None,
         };
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -72,9 +72,10 @@
 fn connections_that_break_leave_a_backend_in_use_until_three_in_a_row() {
     let mut door = Door::new(settings(), &["a1"]);
     let a1: Name = "a1".into();
-    for (round, outcomes) in
-        [(0, [Outcome::Broken, Outcome::Broken, Outcome::Served]), (1, [Outcome::Broken; 3])]
-    {
+    for (round, outcomes) in [
+        (0, [Outcome::ConnectionLost, Outcome::ConnectionLost, Outcome::Served]),
+        (1, [Outcome::ConnectionLost; 3]),
+    ] {
         for (n, outcome) in outcomes.into_iter().enumerate() {
             let id = round * 10 + n as u64 + 1;
             door.served(id, &format!("c{id}"), "plain", "unsafe");
@@ -122,10 +123,14 @@
         door.now += 25.0;
         door.tell(Event::Timer { token: 1 });
     }
-    assert_eq!(door.gateway.backends(), 2, "the last one, and the first, from which an end is still to come");
+    assert_eq!(
+        door.gateway.backend_count(),
+        2,
+        "the last one, and the first, from which an end is still to come"
+    );
     door.end(1, 0, &at, Outcome::Served);
     door.tell(Event::Timer { token: 1 });
-    assert_eq!(door.gateway.backends(), 1);
+    assert_eq!(door.gateway.backend_count(), 1);
 }
 
 #[test]
@@ -133,10 +138,10 @@
     let mut door = Door::new(settings(), &["a1"]);
     let at = door.served(1, "c", "plain", "keyed");
     door.tell(Event::BackendList(vec![backend("b1", BackendState::Ready, None)]));
-    assert_eq!(sends(&door.end(1, 0, &at, Outcome::Broken)), 0);
+    assert_eq!(sends(&door.end(1, 0, &at, Outcome::ConnectionLost)), 0);
     door.now += 25.0;
     assert_eq!(sends(&door.tell(Event::Timer { token: 1 })), 0, "another cell does not know the key");
-    assert_eq!(door.gateway.backends(), 1);
+    assert_eq!(door.gateway.backend_count(), 1);
     let did = door.tell(Event::BackendChanges(vec![backend("a2", BackendState::Ready, None)]));
     assert_eq!(sent(&did), Some((1, "a2".into())));
 }
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -9,7 +9,7 @@
 
 fn counts(did: &[Action]) -> Vec<(u64, f64)> {
     let call = |action: &Action| match action {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::AddToCounter { key: name, amount, .. } => Some((*name, *amount)),
         _ => None,
     };
     did.iter().filter_map(call).collect()
@@ -17,7 +17,7 @@
 
 fn answer(door: &mut Door, call: (u64, f64)) -> Vec<Action> {
     // At once, so that the counter stays at ease.
-    door.tell(Event::Counted { name: call.0, outcome: CountOutcome::Total(call.1), latency: 0.0 })
+    door.tell(Event::CounterReply { key: call.0, outcome: CountOutcome::Total(call.1), latency: 0.0 })
 }
 
 #[test]
@@ -50,7 +50,8 @@
     let first: Vec<_> =
         (0..MOST).map(|n| counts(&door.ask(n + 1, &format!("m{n:02}"), "plain", "safe"))[0]).collect();
     assert!(counts(&door.ask(101, "late", "plain", "safe")).is_empty());
-    let did = door.tell(Event::Counted { name: first[0].0, outcome: CountOutcome::NotAdded, latency: 1.0 });
+    let did =
+        door.tell(Event::CounterReply { key: first[0].0, outcome: CountOutcome::NotAdded, latency: 1.0 });
     // The counter is taken for less at ease: fewer calls, and none for this one until there is room.
     assert!(counts(&did).is_empty());
     let begun: usize = first[1..].iter().map(|call| counts(&answer(&mut door, *call)).len()).sum();
@@ -98,17 +99,17 @@
         for (name, amount) in counts(&did) {
             door.total(name, amount);
         }
-        door.tell(Event::ClientLeft { id: n + 1 });
-        door.end(n + 1, 0, &"a1".into(), Outcome::CalledOff);
+        door.tell(Event::ClientDisconnected { id: n + 1 });
+        door.end(n + 1, 0, &"a1".into(), Outcome::Cancelled);
     }
     door.now += 10_000.0;
     let mut rounds = 0;
-    while door.gateway.customers() > 0 {
-        let before = door.gateway.customers();
+    while door.gateway.customer_count() > 0 {
+        let before = door.gateway.customer_count();
         for (name, amount) in counts(&door.pass(25.0, &[])) {
             door.total(name, amount);
         }
-        assert!(before - door.gateway.customers() <= 256, "no round looks after all");
+        assert!(before - door.gateway.customer_count() <= 256, "no round looks after all");
         rounds += 1;
         assert!(rounds < 40, "{before} customers are left");
     }
@@ -120,7 +121,7 @@
     for id in 1..=20 {
         let call = counts(&door.ask(id, &format!("spoilt{id}"), "plain", "safe"))[0];
         let outcome = CountOutcome::Unknown;
-        let again = door.tell(Event::Counted { name: call.0, outcome, latency: 1.0 });
+        let again = door.tell(Event::CounterReply { key: call.0, outcome, latency: 1.0 });
         // It is asked again at once for who waits.
         answer(&mut door, counts(&again)[0]);
     }
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -6,7 +6,7 @@
 
 fn silence(door: &mut Door, name: u64) -> Vec<Action> {
     door.now += 50.0;
-    door.tell(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 })
+    door.tell(Event::CounterReply { key: name, outcome: CountOutcome::Unknown, latency: 50.0 })
 }
 
 /// Offers a request every 20 ms while the counter says nothing; gives how many went on.
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -7,46 +7,46 @@
 pub fn settings() -> Settings {
     let class = |name: &str, effect, group| Class {
         name: name.into(),
-        aim: 800.0,
-        effect,
-        group,
-        memory: 4000.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        target_latency: 800.0,
+        retry_safety: effect,
+        dedup_scope: group,
+        dedup_window: 4000.0,
+        value: 1.0,
+        late_value_share: 0.0,
     };
     let plan = |name: &str, open, ceiling: f64| Plan {
         name: name.into(),
         rate: 5.0,
         burst: 10.0,
-        open,
+        max_concurrent: open,
         ceiling_rate: 5.0 * ceiling,
         ceiling_burst: 10.0 * ceiling,
         ceiling_slack: ceiling,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        value_factor: 1.0,
+        over_quota_value_share: 0.0,
+        over_quota_cost_share: 1.0,
     };
     Settings {
         gateways: 2,
         zone: "z1".into(),
         tick: 4.0,
         classes: vec![
-            class("safe", Effect::Safe, Group::All),
-            class("keyed", Effect::Keyed, Group::Cell),
-            class("unsafe", Effect::Unsafe, Group::All),
+            class("safe", RetrySafety::Safe, DedupScope::All),
+            class("keyed", RetrySafety::Keyed, DedupScope::Cell),
+            class("unsafe", RetrySafety::Unsafe, DedupScope::All),
         ],
         plans: vec![plan("plain", 0, 0.0), plan("ceiling", 0, 1.6), plan("capped", 2, 0.0)],
         counter: true,
         counter_timeout: 50.0,
-        most_units: 1.0,
+        max_request_units: 1.0,
         probes: true,
-        cancel: true,
-        most_attempts: 4,
-        longest_advice: 2000.0,
-        cold_share: 0.2,
-        cold_time: 18_000.0,
-        fall_multiple: 2.0,
-        fall_time: 3000.0,
+        can_cancel: true,
+        max_attempts: 4,
+        max_retry_after: 2000.0,
+        cold_capacity_share: 0.2,
+        warm_up_time: 18_000.0,
+        overload_multiple: 2.0,
+        overload_window: 3000.0,
         ..Settings::default()
     }
 }
@@ -107,11 +107,11 @@
             plan: plan.into(),
             class: class.into(),
             units: 1.0,
-            repeat,
-            patience: 2000.0,
-            first: 0,
-            spread,
-            bound: None,
+            is_retry: repeat,
+            client_timeout: 2000.0,
+            first_gateway: 0,
+            gateway_count: spread,
+            constraints: None,
         }))
     }
 
@@ -128,7 +128,7 @@
             backend: backend.clone(),
             outcome,
             latency,
-            true_units: None,
+            actual_units: None,
             finished: outcome == Outcome::Served,
             load: None,
         }))
@@ -136,7 +136,7 @@
 
     /// Answers a counter call with a total.
     pub fn total(&mut self, name: u64, total: f64) -> Vec<Action> {
-        self.tell(Event::Counted { name, outcome: CountOutcome::Total(total), latency: 2.0 })
+        self.tell(Event::CounterReply { key: name, outcome: CountOutcome::Total(total), latency: 2.0 })
     }
 
     /// A request that finds the counter answering `others` + what this gateway adds; gives where it was sent.
@@ -152,7 +152,7 @@
 /// The first counter call among actions: its name and amount.
 pub fn count(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::AddToCounter { key: name, amount, .. } => Some((*name, *amount)),
         _ => None,
     })
 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -36,7 +36,7 @@
 #[test]
 fn all_gateways_derive_the_same_name_and_it_changes_with_the_window() {
     let mut other = settings();
-    other.number = 1;
+    other.gateway_index = 1;
     let mut one = Door::new(settings(), &["a1"]);
     let mut two = Door::new(other, &["a1"]);
     let first = count(&one.ask(1, "c", "plain", "safe")).expect("call").0;
@@ -78,19 +78,19 @@
     for (outcome, held) in [
         (Outcome::ConnectFailed, 5.0),
         (Outcome::NeverSent, 5.0),
-        (Outcome::Full, 5.0),
-        (Outcome::Broken, 4.0),
+        (Outcome::Rejected, 5.0),
+        (Outcome::ConnectionLost, 4.0),
         (Outcome::Error, 4.0),
-        (Outcome::CalledOff, 4.0),
+        (Outcome::Cancelled, 4.0),
     ] {
         let mut door = Door::new(settings(), &["a1"]);
         let (name, amount) = count(&door.ask(1, "c", "plain", "unsafe")).expect("call");
         assert_eq!(sends(&door.total(name, amount)), 1);
-        assert_eq!(door.gateway.units(), (4.0, 0.0), "one unit of five is spent");
+        assert_eq!(door.gateway.leased_and_owed(), (4.0, 0.0), "one unit of five is spent");
         door.tell(Event::BackendList(Vec::new()));
         let did = door.end(1, 0, &"a1".into(), outcome);
         assert!(failed(&did, 1) || refused(&door.pass(300.0, &[1]), 1), "{outcome:?}");
-        assert_eq!(door.gateway.units(), (held, 0.0), "{outcome:?}");
+        assert_eq!(door.gateway.leased_and_owed(), (held, 0.0), "{outcome:?}");
     }
 }
 
@@ -99,26 +99,34 @@
     for (outcome, held) in [
         (Outcome::NeverSent, 5.0),
         (Outcome::ConnectFailed, 5.0),
-        (Outcome::CalledOff, 4.0),
+        (Outcome::Cancelled, 4.0),
         (Outcome::Served, 4.0),
     ] {
         let mut door = Door::new(settings(), &["a1", "a2"]);
         let (name, amount) = count(&door.ask(1, "c", "plain", "safe")).expect("call");
         let (_, backend) = sent(&door.total(name, amount)).expect("sent on");
-        door.tell(Event::ClientLeft { id: 1 });
-        assert_eq!((door.gateway.units(), door.gateway.out()), ((4.0, 0.0), (1, 1)), "still out");
+        door.tell(Event::ClientDisconnected { id: 1 });
+        assert_eq!(
+            (door.gateway.leased_and_owed(), door.gateway.in_flight()),
+            ((4.0, 0.0), (1, 1)),
+            "still out"
+        );
         let did = door.end(1, 0, &backend, outcome);
         assert!(sends(&did) == 0 && !refused(&did, 1) && !failed(&did, 1), "nothing is owed: {did:?}");
-        assert_eq!((door.gateway.units(), door.gateway.out()), ((held, 0.0), (0, 0)), "{outcome:?}");
-        door.tell(Event::ClientLeft { id: 1 });
-        assert_eq!(door.gateway.units(), (held, 0.0), "not twice");
+        assert_eq!(
+            (door.gateway.leased_and_owed(), door.gateway.in_flight()),
+            ((held, 0.0), (0, 0)),
+            "{outcome:?}"
+        );
+        door.tell(Event::ClientDisconnected { id: 1 });
+        assert_eq!(door.gateway.leased_and_owed(), (held, 0.0), "not twice");
     }
 }
 
 #[test]
 fn settled_units_are_added_later() {
     let mut set = settings();
-    (set.settles, set.most_units) = (true, 4.0);
+    (set.actual_units_reported, set.max_request_units) = (true, 4.0);
     let mut door = Door::new(set, &["a1", "a2"]);
     let backend = door.served(1, "c", "plain", "safe");
     let end = AttemptEnd {
@@ -127,7 +135,7 @@
         backend,
         outcome: Outcome::Served,
         latency: 90.0,
-        true_units: Some(4.0),
+        actual_units: Some(4.0),
         finished: true,
         load: None,
     };
@@ -158,7 +166,7 @@
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, amount) = count(&door.ask(1, "c", "plain", "safe")).expect("call");
     door.total(name, amount);
-    door.tell(Event::Ending);
+    door.tell(Event::ShuttingDown);
     door.now += 25.0;
     let did = door.tell(Event::Timer { token: 1 });
     assert_eq!(count(&did), Some((name, 1.0 - amount)), "all but what was spent");
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -12,7 +12,7 @@
     let names: Vec<&str> = backends.iter().map(String::as_str).collect();
     (0..gateways)
         .map(|number| {
-            let settings = Settings { gateways, number, peers, ..settings() };
+            let settings = Settings { gateways, gateway_index: number, peer_messages: peers, ..settings() };
             let mut door = Door::seeded(settings, 1000 + u64::from(number), &names);
             if cold {
                 let born = Some(door.now);
@@ -110,7 +110,7 @@
     let (name, amount) = count(&spread(&mut doors[0], 1, "c", false)).expect("a call");
     let did = doors[0].total(name, 1000.0 + amount);
     let told =
-        did.iter().find_map(|a| if let Action::Tell { bytes } = a { Some(bytes.clone()) } else { None });
+        did.iter().find_map(|a| if let Action::Broadcast { bytes } = a { Some(bytes.clone()) } else { None });
     assert!(refused(&did, 1));
     doors[1].tell(Event::PeerMessage { from: 0, bytes: told.expect("a word to the others") });
     for junk in [vec![], vec![1; 7], vec![255; 300]] {
@@ -122,7 +122,7 @@
         let mut did = spread(&mut doors[1], id, "c", false);
         if let Some((name, _)) = count(&did) {
             let (outcome, latency) = (CountOutcome::NotAdded, 1.0);
-            did.extend(doors[1].tell(Event::Counted { name, outcome, latency }));
+            did.extend(doors[1].tell(Event::CounterReply { key: name, outcome, latency }));
         }
         gone_on += sends(&did);
     }
@@ -184,7 +184,11 @@
             door.now += 60.0;
             let mut did = spread(door, id, &format!("c{id}"), false);
             if let Some((name, _)) = count(&did) {
-                did.extend(door.tell(Event::Counted { name, outcome: CountOutcome::NotAdded, latency: 1.0 }));
+                did.extend(door.tell(Event::CounterReply {
+                    key: name,
+                    outcome: CountOutcome::NotAdded,
+                    latency: 1.0,
+                }));
             }
             for (id, backend) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
                 gone_on += 1;
--- a/tests/mesh.rs
+++ b/tests/mesh.rs
@@ -13,17 +13,23 @@
     settings
 }
 
-fn warm() -> BackendTerms {
-    BackendTerms { slots: SLOTS, sharers: 1.0, own: true, way: 1.0, ..BackendTerms::default() }
+fn warm() -> BackendParameters {
+    BackendParameters {
+        slots: SLOTS,
+        sharers: 1.0,
+        is_owned: true,
+        round_trip: 1.0,
+        ..BackendParameters::default()
+    }
 }
 
 /// Cold for longer than any test lasts; `cold_per_s` is what this gateway may send it.
-fn cold(cold_per_s: f64) -> BackendTerms {
-    BackendTerms { cold_until: 1e9, cold_per_s, ..warm() }
+fn cold(cold_per_s: f64) -> BackendParameters {
+    BackendParameters { cold_until: 1e9, cold_rate_per_s: cold_per_s, ..warm() }
 }
 
-fn mesh_terms() -> MeshTerms {
-    MeshTerms { gateways: 1.0, retry_ratio: 0.2, retry_slack: 60.0, usual: 100.0 }
+fn mesh_terms() -> FleetParameters {
+    FleetParameters { gateways: 1.0, retry_ratio: 0.2, retry_slack: 60.0, typical_latency: 100.0 }
 }
 
 fn tell_list(door: &mut Door, names: &[&str]) -> Vec<Action> {
@@ -31,10 +37,10 @@
     door.tell(Event::BackendList(list))
 }
 
-fn tell_terms(door: &mut Door, terms: &[(&str, BackendTerms)]) -> Vec<Action> {
+fn tell_terms(door: &mut Door, terms: &[(&str, BackendParameters)]) -> Vec<Action> {
     let entry = |name| backend(name, BackendState::Ready, None);
     let backends = terms.iter().map(|(name, terms)| (entry(name), *terms)).collect();
-    door.tell(Event::Mesh(mesh_terms(), backends))
+    door.tell(Event::Topology(mesh_terms(), backends))
 }
 
 fn sent_to(actions: &[Action], name: &str) -> usize {
@@ -57,7 +63,7 @@
     for id in 1..=6 {
         door.ask(id, "c", PLAN, "safe");
     }
-    assert!(door.gateway.held() > 0, "requests are held");
+    assert!(door.gateway.queued() > 0, "requests are held");
     door
 }
 
@@ -70,7 +76,7 @@
     assert_eq!(sent_to(&did, "a2"), 0, "it is cold, and another gateway's to send to");
     let did = tell_terms(&mut door, &[("a1", warm()), ("a2", warm())]);
     assert!(sent_to(&did, "a2") > 0, "what is held goes there once the terms allow it");
-    assert_eq!(door.gateway.sends().without_terms, 0);
+    assert_eq!(door.gateway.send_counts().without_parameters, 0);
 }
 
 /// Ends all that was sent to a backend as served; how many that were.
@@ -104,14 +110,17 @@
         sent += serve(&mut door, &told, "a2");
     }
     assert!((4..=6).contains(&sent), "{sent} in a second at 5 a second");
-    assert!(door.gateway.held() > 0, "requests were held all the time");
+    assert!(door.gateway.queued() > 0, "requests were held all the time");
 }
 
 #[test]
 fn one_answer_for_another_ends_a_backend_whatever_the_list_says() {
     let mut door = Door::new(mesh_settings(), &[]);
     // The far one is chosen only where the near one is not.
-    let both = [("a1", warm()), ("a2", BackendTerms { own: false, way: 120.0, price: 500.0, ..warm() })];
+    let both = [
+        ("a1", warm()),
+        ("a2", BackendParameters { is_owned: false, round_trip: 120.0, distance_cost: 500.0, ..warm() }),
+    ];
     tell_terms(&mut door, &both);
     assert_eq!(sent_to(&door.ask(1, "c", PLAN, "unsafe"), "a1"), 1);
     let next = door.end(1, 0, &"a1".into(), Outcome::Misdirected);
@@ -128,13 +137,13 @@
 fn misdirected_requests_go_on_when_other_repeats_are_used_up_but_not_without_bound() {
     // Two dozen backends that are all gone, and a small budget: 0.6 of 10, and 0.3 of it beyond.
     let names: Vec<String> = (0..24).map(|n| format!("a{n}")).collect();
-    let terms: Vec<(&str, BackendTerms)> = names.iter().map(|name| (name.as_str(), warm())).collect();
+    let terms: Vec<(&str, BackendParameters)> = names.iter().map(|name| (name.as_str(), warm())).collect();
     let repeats_after = |outcome| {
         let mut door = Door::new(mesh_settings(), &[]);
-        let mesh = MeshTerms { retry_ratio: 1e-6, retry_slack: 10.0, ..mesh_terms() };
+        let mesh = FleetParameters { retry_ratio: 1e-6, retry_slack: 10.0, ..mesh_terms() };
         let entry = |name| backend(name, BackendState::Ready, None);
         let backends = terms.iter().map(|(name, terms)| (entry(name), *terms)).collect();
-        door.tell(Event::Mesh(mesh, backends));
+        door.tell(Event::Topology(mesh, backends));
         let mut repeats = 0;
         for id in 1..=20 {
             let did = door.ask(id, "c", PLAN, "unsafe");
@@ -146,17 +155,20 @@
         }
         repeats
     };
-    assert_eq!(repeats_after(Outcome::Full), 6);
+    assert_eq!(repeats_after(Outcome::Rejected), 6);
     assert_eq!(repeats_after(Outcome::Misdirected), 9);
 }
 
 #[test]
 fn an_answer_for_another_counts_also_when_its_client_has_left() {
     let mut door = Door::new(mesh_settings(), &[]);
-    let both = [("a1", warm()), ("a2", BackendTerms { own: false, way: 120.0, price: 500.0, ..warm() })];
+    let both = [
+        ("a1", warm()),
+        ("a2", BackendParameters { is_owned: false, round_trip: 120.0, distance_cost: 500.0, ..warm() }),
+    ];
     tell_terms(&mut door, &both);
     assert_eq!(sent_to(&door.ask(1, "c", PLAN, "unsafe"), "a1"), 1);
-    door.tell(Event::ClientLeft { id: 1 });
+    door.tell(Event::ClientDisconnected { id: 1 });
     door.end(1, 0, &"a1".into(), Outcome::Misdirected);
     assert_eq!(sent_to(&door.ask(2, "c", PLAN, "unsafe"), "a2"), 1, "the first one is known to be gone");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -14,9 +14,12 @@
 fn unusable_settings_are_refused() {
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(error(|s| s.number = 2), Some(SettingsError::NumberTooHigh));
-    assert_eq!(error(|s| s.tick = -1.0), Some(SettingsError::BadFigure("tick")));
-    assert_eq!(error(|s| s.plans[0].rate = f64::NAN), Some(SettingsError::BadFigure("a plan's rate")));
-    assert_eq!(error(|s| s.plans[0].burst = 0.0), Some(SettingsError::BadFigure("a plan's burst")));
-    assert_eq!(error(|s| s.classes[0].aim = f64::INFINITY), Some(SettingsError::BadFigure("a class's aim")));
+    assert_eq!(error(|s| s.gateway_index = 2), Some(SettingsError::IndexOutOfRange));
+    assert_eq!(error(|s| s.tick = -1.0), Some(SettingsError::InvalidValue("tick")));
+    assert_eq!(error(|s| s.plans[0].rate = f64::NAN), Some(SettingsError::InvalidValue("a plan's rate")));
+    assert_eq!(error(|s| s.plans[0].burst = 0.0), Some(SettingsError::InvalidValue("a plan's burst")));
+    assert_eq!(
+        error(|s| s.classes[0].target_latency = f64::INFINITY),
+        Some(SettingsError::InvalidValue("a class's aim"))
+    );
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -48,19 +48,19 @@
                 Action::Fail { id } => {
                     self.answer(now, id);
                 }
-                Action::CallOff { id, .. } => {
+                Action::CancelAttempt { id, .. } => {
                     assert!(self.requests[&id].class != 2, "an unsafe attempt called off");
                 }
                 Action::SetTimer { after, token } => {
                     let order = self.timers.len() as u64;
                     self.timers.insert(((now + after).ceil() as u64, token << 8 | order & 0xff), token);
                 }
-                Action::Count { name, .. } => {
+                Action::AddToCounter { key: name, .. } => {
                     assert!(!self.calls.contains(&name), "two calls out for one name");
                     self.calls.push(name);
                     assert!(self.calls.len() <= 64, "calls are bounded");
                 }
-                Action::Probe { .. } | Action::Tell { .. } | Action::WatchBackends | Action::Log(_) => {}
+                Action::Probe { .. } | Action::Broadcast { .. } | Action::WatchBackends | Action::Log(_) => {}
             }
         }
     }
@@ -105,11 +105,11 @@
         plan: plan.into(),
         class: ["safe", "keyed", "unsafe"][class].into(),
         units: 1.0,
-        repeat: random.below(4) == 0,
-        patience,
-        first: random.below(2) as u32,
-        spread: random.below(3) as u32,
-        bound: None,
+        is_retry: random.below(4) == 0,
+        client_timeout: patience,
+        first_gateway: random.below(2) as u32,
+        gateway_count: random.below(3) as u32,
+        constraints: None,
     })
 }
 
@@ -160,7 +160,7 @@
                     1 => CountOutcome::NotAdded,
                     _ => CountOutcome::Total(random.below(25) as f64),
                 };
-                Event::Counted { name, outcome, latency: 5.0 }
+                Event::CounterReply { key: name, outcome, latency: 5.0 }
             }
             34 | 35 => {
                 let name: Name = names[random.below(6) as usize].into();
@@ -174,9 +174,9 @@
                     continue;
                 };
                 checker.requests.get_mut(&id).expect("known").answered = true;
-                Event::ClientLeft { id }
+                Event::ClientDisconnected { id }
             }
-            _ => Event::ClientLeft { id: 900_000_000 },
+            _ => Event::ClientDisconnected { id: 900_000_000 },
         };
         let did = door.tell(event);
         checker.check(door.now, did);
@@ -197,12 +197,17 @@
         let outcome = if overdue {
             Outcome::TimedOut
         } else {
-            let all =
-                [Outcome::Served, Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Broken];
+            let all = [
+                Outcome::Served,
+                Outcome::Error,
+                Outcome::Rejected,
+                Outcome::ConnectFailed,
+                Outcome::ConnectionLost,
+            ];
             all[random.below(5) as usize]
         };
         known.out = None;
-        let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
+        let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
         if !never_ran && known.may_have_run.is_none() {
             known.may_have_run = Some((backend.clone(), sent_at));
         }
@@ -214,7 +219,7 @@
             backend,
             outcome,
             latency,
-            true_units: None,
+            actual_units: None,
             finished,
             load: None,
         };
