--- a/system/config-store/src/disk/tests.rs
+++ b/system/config-store/src/disk/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::store::Store;
 use fennelscale_messages::Host;
-use fennelscale_messages::store::{ Entry, Stamp, StoreRequest, StoreResponse, Term};
+use fennelscale_messages::store::{Entry, Stamp, StoreRequest, StoreResponse, Term};
 use fennelscale_replication::{Origin, Output, Replica};
 use proptest::prelude::*;
 use rustix::process::{Resource, Rlimit, Signal, getrlimit, setrlimit};
@@ -11,7 +11,8 @@
     let vows = AcceptorState { promised: Term { number: round, leader: Host(1) }, joined: Term::default() };
     let entry = Entry { revision: round, body: Some("{}".into()), ..Entry::default() };
     let item = Item { chosen: Some(entry), pending: None };
-    let progress = Progress { position: Stamp { sequence: round, ..Stamp::default() }, ..Progress::default() };
+    let progress =
+        Progress { position: Stamp { sequence: round, ..Stamp::default() }, ..Progress::default() };
     DiskWrites {
         acceptor: Some(vows),
         progress: Some(progress),
--- a/system/config-store/src/lib.rs
+++ b/system/config-store/src/lib.rs
@@ -153,8 +153,10 @@
         let reports = self.store.borrow().book().map(|book| {
             let items = StoreToRegistry::Items { complete: true, entries: book.published_entries() };
             [
-                StoreToRegistry::Members(book.members().clone()), items,
-                StoreToRegistry::UpToDate(book.is_up_to_date()),]
+                StoreToRegistry::Members(book.members().clone()),
+                items,
+                StoreToRegistry::UpToDate(book.is_up_to_date()),
+            ]
         });
         reports.iter().flatten().for_each(|report| self.report(report));
     }
--- a/system/membership/benches/bytes.rs
+++ b/system/membership/benches/bytes.rs
@@ -28,18 +28,21 @@
                 ready: true,
                 idle_nodes: Vec::new(),
             };
-            world
-                .with(of(n), move |round, now| round.receive_from_proxy(now, member.host, ProxyToRegistry::Hello(member)));
+            world.with(of(n), move |round, now| {
+                round.receive_from_proxy(now, member.host, ProxyToRegistry::Hello(member))
+            });
         }
         world.run(4000.0);
         world.bytes = [0; 2];
         for _ in 0..25 {
             for n in 0..proxies {
                 let listing = world.nodes[of(n)].as_ref().map(|r| r.backend_list().stamp).unwrap_or_default();
-                let beat = ProxyToRegistry::Heartbeat { ready: true,
+                let beat = ProxyToRegistry::Heartbeat {
+                    ready: true,
                     items_hash: 0,
                     list_stamp: listing,
-                    self_granted: 0, };
+                    self_granted: 0,
+                };
                 world.with(of(n), move |round, now| {
                     round.receive_from_proxy(now, Host(1000 + n as u32), beat)
                 });
--- a/system/membership/src/feed.rs
+++ b/system/membership/src/feed.rs
@@ -107,7 +107,8 @@
             }
             Some(_) => (oldest, true),
         };
-        let most = if wanted.limit == 0 { MAX_EVENTS_PER_READ } else { wanted.limit.min(MAX_EVENTS_PER_READ) };
+        let most =
+            if wanted.limit == 0 { MAX_EVENTS_PER_READ } else { wanted.limit.min(MAX_EVENTS_PER_READ) };
         let (mut events, mut last) = (Vec::new(), from.saturating_sub(1));
         for event in self.events.iter().skip(from.saturating_sub(oldest) as usize) {
             if wanted.matches(event) {
@@ -214,7 +215,8 @@
         let told = feed.read(0.0, &EventQuery::default());
         assert_eq!((told.events.len(), told.missed), (11, false));
         feed.record_refused_call(5000.0, "config", "invalid: cut short");
-        let told = feed.read(0.0, &EventQuery { kind: Some(EventKind::CallRefused), ..EventQuery::default() });
+        let told =
+            feed.read(0.0, &EventQuery { kind: Some(EventKind::CallRefused), ..EventQuery::default() });
         assert!(told.events[10].cause.ends_with("(and 99990 that were not told)"), "{:?}", told.events[10]);
     }
 }
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -26,7 +26,7 @@
 mod status;
 
 use duties::DutyLeases;
-use feed::{EventKind,Feed};
+use feed::{EventKind, Feed};
 use fennelscale_config::Copied;
 use fennelscale_messages::Host;
 use fennelscale_messages::feed::{Event, EventPage, EventQuery};
@@ -521,8 +521,10 @@
                 }
                 let granted = self.duties.vote(now, from, claims);
                 let wall = self.hours.wall(now);
-                self.out.push(Output::SendToRegistry(from,
-                    RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall },));
+                self.out.push(Output::SendToRegistry(
+                    from,
+                    RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall },
+                ));
             }
             RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall } => {
                 if life == self.life && self.seats.members.iter().any(|seat| seat.host == from) {
@@ -537,8 +539,10 @@
             }
             RegistryMessage::RequestSessions => {
                 let (members, silent, alone) = self.members.own_roll();
-                self.out.push(Output::SendToRegistry(from,
-                    RegistryMessage::Sessions { proxies: members, silent, self_granted: alone },));
+                self.out.push(Output::SendToRegistry(
+                    from,
+                    RegistryMessage::Sessions { proxies: members, silent, self_granted: alone },
+                ));
             }
             RegistryMessage::BackendList(listing) => self.take_listing(now, listing),
             RegistryMessage::RequestBackendList => {
@@ -567,10 +571,14 @@
                     self.counts.back(now, &tenant, units, window);
                 }
             }
-            RegistryMessage::RequestEvents(question, wanted) => { self.out.push(Output::ReadEvents(from, question, wanted))
+            RegistryMessage::RequestEvents(question, wanted) => {
+                self.out.push(Output::ReadEvents(from, question, wanted))
             }
-            RegistryMessage::Events(question, told) => self.out.push(Output::DeliverEvents(from, question, told)),
-            RegistryMessage::LookUpRequest(question, id) => { self.out.push(Output::ReadRequestTrace(from, question, id))
+            RegistryMessage::Events(question, told) => {
+                self.out.push(Output::DeliverEvents(from, question, told))
+            }
+            RegistryMessage::LookUpRequest(question, id) => {
+                self.out.push(Output::ReadRequestTrace(from, question, id))
             }
             RegistryMessage::RequestRecords(question, known) => {
                 self.out.push(Output::DeliverRequestTrace(from, question, known))
@@ -603,18 +611,25 @@
                 } else {
                     self.out.push(Output::SendToRegistry(
                         near,
-                        RegistryMessage::RequestUnitsFromRelay { from, tenant, units,
-                            next_window: next, demand, },
+                        RegistryMessage::RequestUnitsFromRelay {
+                            from,
+                            tenant,
+                            units,
+                            next_window: next,
+                            demand,
+                        },
                     ));
                 }
             }
-            ProxyToRegistry::ReturnUnits { tenant, units, window } => { match self.holder(now, duties::bit_of(&tenant)) {
-                Some(host) if host == self.me => self.counts.back(now, &tenant, units, window),
-                Some(host) => {
-                    self.out.push(Output::SendToRegistry(host, RegistryMessage::ReturnUnits { tenant, units, window }))
+            ProxyToRegistry::ReturnUnits { tenant, units, window } => {
+                match self.holder(now, duties::bit_of(&tenant)) {
+                    Some(host) if host == self.me => self.counts.back(now, &tenant, units, window),
+                    Some(host) => self.out.push(Output::SendToRegistry(
+                        host,
+                        RegistryMessage::ReturnUnits { tenant, units, window },
+                    )),
+                    None => {}
                 }
-                None => {}
-            }
             }
             ProxyToRegistry::IdleNodes(nodes) => {
                 if self.members.quiet(from, nodes, now) {
@@ -622,7 +637,8 @@
                 }
             }
             ProxyToRegistry::FailureCounts(counts) => self.met(now, from, counts),
-            ProxyToRegistry::RequestRecord(question, known) => { self.out.push(Output::DeliverProxyTrace(from, question, known))
+            ProxyToRegistry::RequestRecord(question, known) => {
+                self.out.push(Output::DeliverProxyTrace(from, question, known))
             }
             ProxyToRegistry::EndSession => {
                 self.members.bye(from, now);
--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -3,7 +3,7 @@
 //! An order is a key like a tenant: the registry that holds the key's duty decides for it. That two may think so for a moment does
 //! no harm: the store writes a step only while all that was looked at still stands.
 
-use crate::feed::{EventKind,Feed};
+use crate::feed::{EventKind, Feed};
 use crate::{Millis, Output, RegistryState, duties};
 use fennelscale_config::{Copied, Fact, fact};
 use fennelscale_maintenance::clock::{Clock, Span};
--- a/system/membership/src/proxy_updates.rs
+++ b/system/membership/src/proxy_updates.rs
@@ -174,7 +174,8 @@
         }
         // The list last: with it a proxy is ready, and by then it knows with whom it shares the backends.
         let items = self.lacking(now, parts);
-        let words = [self.registries(now), members, items, RegistryToProxy::BackendList(self.listing.clone())];
+        let words =
+            [self.registries(now), members, items, RegistryToProxy::BackendList(self.listing.clone())];
         self.out.extend(words.into_iter().map(|word| Output::SendToProxy(host, Rc::new(word))));
         // Others hear of it at once.
         self.beat_at = now;
@@ -188,7 +189,8 @@
         }
         let contact_age = self.contact_age(now) as u32;
         if let Some(time) = self.hours.time(now) {
-            self.out.push(Output::SendToProxy(from, Rc::new(RegistryToProxy::Time(time.earliest, time.latest))));
+            self.out
+                .push(Output::SendToProxy(from, Rc::new(RegistryToProxy::Time(time.earliest, time.latest))));
         }
         self.out.push(Output::SendToProxy(from, Rc::new(RegistryToProxy::Heartbeat { contact_age })));
         let standing = self.sums.standing(now, self.items.sum(), items);
--- a/system/membership/src/quota_events.rs
+++ b/system/membership/src/quota_events.rs
@@ -48,7 +48,8 @@
     use fennelscale_messages::feed::EventQuery;
 
     fn told(round: &RegistryState) -> Vec<(EventKind, String)> {
-        let told = round.feed().read(0.0, &EventQuery { subject_prefix: "t:".into(), ..EventQuery::default() });
+        let told =
+            round.feed().read(0.0, &EventQuery { subject_prefix: "t:".into(), ..EventQuery::default() });
         told.events.into_iter().map(|event| (event.kind, event.subject)).collect()
     }
 
--- a/system/membership/src/quota_grants.rs
+++ b/system/membership/src/quota_grants.rs
@@ -49,7 +49,9 @@
         for sent in sent {
             match sent {
                 Sent::Down(proxy, grant) => match self.ways.get(&proxy) {
-                    Some(by) => self.out.push(Output::SendToRegistry(*by, RegistryMessage::Grant(proxy, grant))),
+                    Some(by) => {
+                        self.out.push(Output::SendToRegistry(*by, RegistryMessage::Grant(proxy, grant)))
+                    }
                     None => self.out.push(Output::SendToProxy(proxy, Rc::new(RegistryToProxy::Grant(grant)))),
                 },
                 Sent::Up(tenant, units, next, demand) => self.ask_holder(now, tenant, units, next, demand),
@@ -64,10 +66,10 @@
                 let grant = self.count(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
                 self.relay_grant(now, grant);
             }
-            Some(host) => {
-                self.out.push(Output::SendToRegistry(host,
-                RegistryMessage::RequestUnits { from, tenant, units, next_window: next, demand },))
-            }
+            Some(host) => self.out.push(Output::SendToRegistry(
+                host,
+                RegistryMessage::RequestUnits { from, tenant, units, next_window: next, demand },
+            )),
             None => {
                 let terms = self.terms.get(&tenant).copied().unwrap_or_default();
                 self.relay_grant(now, closed(&tenant, next, terms));
--- a/system/membership/tests/nights/mod.rs
+++ b/system/membership/tests/nights/mod.rs
@@ -41,10 +41,12 @@
             round.receive_from_proxy(
                 now,
                 member.host,
-                ProxyToRegistry::Heartbeat { ready: true,
+                ProxyToRegistry::Heartbeat {
+                    ready: true,
                     items_hash: 0,
                     list_stamp: (0, Host(0)),
-                    self_granted: 0, },
+                    self_granted: 0,
+                },
             );
             round.receive_from_proxy(now, member.host, ProxyToRegistry::IdleNodes(quiet));
         });
--- a/system/membership/tests/registries.rs
+++ b/system/membership/tests/registries.rs
@@ -74,10 +74,12 @@
     }
     let beat = |world: &mut World| {
         for n in 0..6_u32 {
-            let up = ProxyToRegistry::Heartbeat { ready: true,
+            let up = ProxyToRegistry::Heartbeat {
+                ready: true,
                 items_hash: 0,
                 list_stamp: (0, Host(0)),
-                self_granted: 0, };
+                self_granted: 0,
+            };
             world.with(n as usize, |round, now| round.receive_from_proxy(now, Host(100 + n), up));
         }
     };
@@ -186,7 +188,9 @@
     let mut world = World::new(4, 6);
     // Its list is of before the start of all: of a higher number than any that is read now.
     let old = (40, Host(3));
-    world.with(2, |round, now| round.receive_from_proxy(now, Host(102), ProxyToRegistry::Hello(member(2, true))));
+    world.with(2, |round, now| {
+        round.receive_from_proxy(now, Host(102), ProxyToRegistry::Hello(member(2, true)))
+    });
     for _ in 0..8 {
         world.with(2, |round, now| {
             round.receive_from_proxy(
@@ -217,7 +221,9 @@
 #[test]
 fn a_registry_that_is_cut_off_tells_its_proxies_to_look_elsewhere() {
     let mut world = World::new(6, 6);
-    world.with(0, |round, now| round.receive_from_proxy(now, Host(100), ProxyToRegistry::Hello(member(0, true))));
+    world.with(0, |round, now| {
+        round.receive_from_proxy(now, Host(100), ProxyToRegistry::Hello(member(0, true)))
+    });
     let told = |world: &mut World| {
         world.downs.clear();
         world.with(0, |round, now| {
@@ -225,10 +231,12 @@
             round.receive_from_proxy(
                 now,
                 Host(100),
-                ProxyToRegistry::Heartbeat { ready: true,
+                ProxyToRegistry::Heartbeat {
+                    ready: true,
                     items_hash: 0,
                     list_stamp: (0, Host(0)),
-                    self_granted: 0, },
+                    self_granted: 0,
+                },
             );
         });
         world.downs.iter().any(|(.., word)| is_out_of_contact(word))
@@ -249,7 +257,9 @@
 #[test]
 fn proxies_are_told_which_registries_are_heard() {
     let mut world = World::new(6, 6);
-    world.with(1, |round, now| round.receive_from_proxy(now, Host(100), ProxyToRegistry::Hello(member(0, true))));
+    world.with(1, |round, now| {
+        round.receive_from_proxy(now, Host(100), ProxyToRegistry::Hello(member(0, true)))
+    });
     let heard = |world: &World| {
         world.downs.iter().rev().find_map(|(.., word)| match &**word {
             RegistryToProxy::Registries(places) => {
@@ -263,10 +273,12 @@
         world.downs.clear();
         for _ in 0..6 {
             world.run(400.0);
-            let up = ProxyToRegistry::Heartbeat { ready: true,
+            let up = ProxyToRegistry::Heartbeat {
+                ready: true,
                 items_hash: 0,
                 list_stamp: (0, Host(0)),
-                self_granted: 0, };
+                self_granted: 0,
+            };
             world.with(1, |round, now| round.receive_from_proxy(now, Host(100), up));
         }
     };
@@ -296,10 +308,12 @@
         round.receive_from_proxy(
             now,
             Host(100),
-            ProxyToRegistry::Heartbeat { ready: true,
+            ProxyToRegistry::Heartbeat {
+                ready: true,
                 items_hash: 0,
                 list_stamp: (0, Host(0)),
-                self_granted: 0, },
+                self_granted: 0,
+            },
         );
         round
             .take_outputs()
@@ -327,10 +341,12 @@
     for _ in 0..6 {
         world.run(400.0);
         world.downs.clear();
-        let up = ProxyToRegistry::Heartbeat { ready: true,
+        let up = ProxyToRegistry::Heartbeat {
+            ready: true,
             items_hash: 0,
             list_stamp: (0, Host(0)),
-            self_granted: 0, };
+            self_granted: 0,
+        };
         world.with(0, |round, now| round.receive_from_proxy(now, Host(100), up));
         told.push(world.downs.iter().any(|(.., word)| is_out_of_contact(word)));
     }
@@ -338,7 +354,9 @@
     assert_eq!(told[4..], [true; 2], "every other registry is heard, and its own store is not");
     // A proxy that starts is not made ready by such a registry.
     world.downs.clear();
-    world.with(0, |round, now| round.receive_from_proxy(now, Host(101), ProxyToRegistry::Hello(member(1, false))));
+    world.with(0, |round, now| {
+        round.receive_from_proxy(now, Host(101), ProxyToRegistry::Hello(member(1, false)))
+    });
     let vouches = |word: &RegistryToProxy| matches!(word, RegistryToProxy::Items { up_to_date: true, .. });
     assert!(!world.downs.iter().any(|(.., word)| vouches(word)));
 }
@@ -377,10 +395,12 @@
             round.receive_from_proxy(
                 now,
                 Host(100),
-                ProxyToRegistry::Heartbeat { ready: true,
+                ProxyToRegistry::Heartbeat {
+                    ready: true,
                     items_hash: items,
                     list_stamp: (0, Host(0)),
-                    self_granted: 0, },
+                    self_granted: 0,
+                },
             );
         }
         for out in round.take_outputs() {
@@ -427,10 +447,12 @@
             round.receive_from_proxy(
                 now,
                 Host(100),
-                ProxyToRegistry::Heartbeat { ready: true,
+                ProxyToRegistry::Heartbeat {
+                    ready: true,
                     items_hash: items,
                     list_stamp: (0, Host(0)),
-                    self_granted: 0, },
+                    self_granted: 0,
+                },
             );
         }
         for out in round.take_outputs() {
@@ -444,7 +466,8 @@
                         copy.take(name, entry);
                     });
                 }
-                RegistryToProxy::RequestDigest => { round.receive_from_proxy(now, Host(100), ProxyToRegistry::Digest(copy.parts().to_vec()))
+                RegistryToProxy::RequestDigest => {
+                    round.receive_from_proxy(now, Host(100), ProxyToRegistry::Digest(copy.parts().to_vec()))
                 }
                 _ => {}
             }
@@ -469,7 +492,11 @@
         copy.take(&name, &entry);
     });
     round.on_items(10.0, false, vec![route_entry(507)]);
-    round.receive_from_proxy(20.0, Host(100), ProxyToRegistry::Resume(member(0, true), copy.parts().to_vec()));
+    round.receive_from_proxy(
+        20.0,
+        Host(100),
+        ProxyToRegistry::Resume(member(0, true), copy.parts().to_vec()),
+    );
     let items = round.take_outputs().into_iter().find_map(|out| match out {
         fennelscale_membership::Output::SendToProxy(_, word) => match &*word {
             RegistryToProxy::Items { up_to_date: fresh, entries, .. } => Some((*fresh, entries.clone())),
--- a/system/model-checker/src/mutants.rs
+++ b/system/model-checker/src/mutants.rs
@@ -2,7 +2,7 @@
 
 use crate::scenarios::Scenario;
 use fennelscale_messages::Host;
-use fennelscale_messages::store::{ CallId, SnapshotChunk, StoreMessage, StoreRequest};
+use fennelscale_messages::store::{CallId, SnapshotChunk, StoreMessage, StoreRequest};
 use fennelscale_replication::{AcceptorState, DiskWrites, MEMBERS_KEY, PersistedState};
 
 /// A fault.
--- a/system/model-checker/src/world.rs
+++ b/system/model-checker/src/world.rs
@@ -452,8 +452,11 @@
         {
             // Any copy is as new as that.
             return self.input(to, |book, now| {
-                book.receive(now, host,
-                    StoreMessage::ForwardResponse(id, StoreResponse::Fresh(Stamp::default())),);
+                book.receive(
+                    now,
+                    host,
+                    StoreMessage::ForwardResponse(id, StoreResponse::Fresh(Stamp::default())),
+                );
             });
         }
         let words = match self.mutant {
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -353,10 +353,12 @@
     pub fn beat(&self) -> ProxyToRegistry {
         let held = self.held.borrow();
         let (items, listing) = (held.checksum(), held.listing.stamp);
-        ProxyToRegistry::Heartbeat { ready: self.is_ready(),
+        ProxyToRegistry::Heartbeat {
+            ready: self.is_ready(),
             items_hash: items,
             list_stamp: listing,
-            self_granted: self.cache.borrow().alone(self.now()), }
+            self_granted: self.cache.borrow().alone(self.now()),
+        }
     }
 
     fn far(&self, zone: &str, region: &str) -> u8 {
@@ -426,7 +428,11 @@
         let held = self.held.borrow();
         let newer = (held.listing.stamp > listing).then(|| held.listing.clone());
         let members = (held.members.clone(), held.known_proxy_count());
-        ProxyMessage::Update { entries: held.entries_in_differing_parts(items), backend_list: newer, proxies: members }
+        ProxyMessage::Update {
+            entries: held.entries_in_differing_parts(items),
+            backend_list: newer,
+            proxies: members,
+        }
     }
 
     pub fn session(&self, writer: Option<Writer>) {
--- a/system/proxy/src/routing_state.rs
+++ b/system/proxy/src/routing_state.rs
@@ -361,11 +361,15 @@
         let owns = || self.owners.owns(now, self.location.host, backend, |zone| self.region(zone));
         let cold_per_s = if cold_until > now && owns() { cold * COLD_SHARE } else { 0.0 };
         let slots = f64::from(backend.slots.max(1));
-        let terms = doorcourse::BackendParameters { slots, sharers,
+        let terms = doorcourse::BackendParameters {
+            slots,
+            sharers,
             is_owned: own,
             round_trip: way,
-            distance_cost: price, cold_until,
-            cold_rate_per_s: cold_per_s, };
+            distance_cost: price,
+            cold_until,
+            cold_rate_per_s: cold_per_s,
+        };
         KnownBackend { backend: backend.clone(), ready, cell: self.cell(region), terms }
     }
 
--- a/system/registry/src/api.rs
+++ b/system/registry/src/api.rs
@@ -10,7 +10,7 @@
 use fennelscale_maintenance::order::Node;
 use fennelscale_maintenance::plan::Why;
 use fennelscale_membership::maintenance::{NodeStatus, OrderStatus};
-use fennelscale_messages::store::{ Change, Entry, StoreRequest, StoreResponse};
+use fennelscale_messages::store::{Change, Entry, StoreRequest, StoreResponse};
 use http_body_util::Full;
 use hyper::{Method, Response};
 use std::rc::Rc;
--- a/system/registry/src/registry.rs
+++ b/system/registry/src/registry.rs
@@ -187,8 +187,7 @@
                 Output::StoreProxyCount(proxies) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let ask =
-                            StoreRequest::Note(
+                        let ask = StoreRequest::Note(
                             fennelscale_membership::PROXY_COUNT_NAME.to_owned(),
                             proxies.to_string(),
                         );
@@ -199,7 +198,8 @@
                 Output::WriteMaintenanceStep(write) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let told = registry.ask(StoreRequest::MaintenanceStep(write.view_hash, write.records)).await;
+                        let told =
+                            registry.ask(StoreRequest::MaintenanceStep(write.view_hash, write.records)).await;
                         if told != StoreResponse::Done {
                             tracing::info!(event = "maintenance-step-refused", told = ?told);
                         }
@@ -285,7 +285,9 @@
                 StoreToRegistry::Items { complete: whole, entries } => {
                     self.with(|round, now| round.on_items(now, whole, entries));
                 }
-                StoreToRegistry::UpToDate(fresh) => self.with(|round, now| round.on_store_freshness(now, fresh)),
+                StoreToRegistry::UpToDate(fresh) => {
+                    self.with(|round, now| round.on_store_freshness(now, fresh))
+                }
                 StoreToRegistry::Members(seats) => self.with(|round, now| round.on_seats(now, seats)),
             }
         }
--- a/system/replication/src/membership.rs
+++ b/system/replication/src/membership.rs
@@ -144,8 +144,10 @@
         }
         let (tail, pending) = (self.tail(since), self.pending());
         let (promised, joined, more) = (self.acceptor.promised, self.acceptor.joined, tail.is_none());
-        self.send(from,
-            StoreMessage::RecoveryState { promised, joined, chosen: tail.unwrap_or_default(), more, pending },);
+        self.send(
+            from,
+            StoreMessage::RecoveryState { promised, joined, chosen: tail.unwrap_or_default(), more, pending },
+        );
     }
 
     /// A seat that has forgotten what it promised learns from a quorum of the others before it votes again.
@@ -235,7 +237,8 @@
             return None;
         }
         let stay = list.iter().filter(|seat| self.counts(now, seat.host)).count();
-        let needed = crate::quorum(&MemberList { version: 0, members: list.clone() }, self.place.fault_tolerance);
+        let needed =
+            crate::quorum(&MemberList { version: 0, members: list.clone() }, self.place.fault_tolerance);
         (stay >= needed).then_some(list)
     }
 
--- a/system/replication/src/writer.rs
+++ b/system/replication/src/writer.rs
@@ -287,8 +287,8 @@
         let begin =
             StoreMessage::BeginTerm { term: epoch, entries, digest: self.digest, missing: Some(lacked) };
         let rest = holding.flights.iter().filter(|(turn, _)| **turn > 0);
-        let rest = rest
-            .map(|(turn, flight)| { self.word_of(Stamp { term: epoch, sequence: *turn }, flight.entries.clone(), chosen)
+        let rest = rest.map(|(turn, flight)| {
+            self.word_of(Stamp { term: epoch, sequence: *turn }, flight.entries.clone(), chosen)
         });
         let words: Vec<StoreMessage> = std::iter::once(begin).chain(rest).collect();
         self.out.extend(words.into_iter().map(|word| Output::Send(from, word)));
--- a/system/replication/tests/schedules.rs
+++ b/system/replication/tests/schedules.rs
@@ -359,8 +359,11 @@
     assert_eq!(world.hand(2, 4, accept.clone()), [StoreMessage::Behind(epoch, position)]);
     // Nor does it join while it may lack something that its writer holds as chosen.
     let begin = |digest: u64, lacked| StoreMessage::BeginTerm {
-        term: epoch, entries: Vec::new(), digest,
-        missing: lacked, };
+        term: epoch,
+        entries: Vec::new(),
+        digest,
+        missing: lacked,
+    };
     assert_eq!(world.hand(2, 4, begin(own ^ 1, None)), [StoreMessage::Behind(epoch, position)]);
     assert_eq!(world.acceptor(2).unwrap().joined, acceptor.joined);
     assert_eq!(
--- a/system/replication/tests/world/mod.rs
+++ b/system/replication/tests/world/mod.rs
@@ -4,7 +4,8 @@
 
 use fennelscale_messages::Host;
 use fennelscale_messages::mix;
-use fennelscale_messages::store::{Change, Member, StoreMessage, StoreRequest, StoreResponse};use fennelscale_replication::{AcceptorState, Item, Origin, Output, PersistedState, Replica, ReplicaConfig};
+use fennelscale_messages::store::{Change, Member, StoreMessage, StoreRequest, StoreResponse};
+use fennelscale_replication::{AcceptorState, Item, Origin, Output, PersistedState, Replica, ReplicaConfig};
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP: f64 = 50.0;
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -168,10 +168,13 @@
                 self.cache.grant(now, grant.clone(), out, &mut told);
                 self.told(told);
             }
-            RegistryToProxy::Heartbeat { contact_age } => { self.choice.record_heartbeat(now, f64::from(*contact_age))
+            RegistryToProxy::Heartbeat { contact_age } => {
+                self.choice.record_heartbeat(now, f64::from(*contact_age))
             }
             RegistryToProxy::RequestDigest => out.push(ProxyToRegistry::Digest(self.held.part_checksums())),
-            RegistryToProxy::Registries(_) | RegistryToProxy::Time(..) | RegistryToProxy::LookUpRequest(..) => {}
+            RegistryToProxy::Registries(_)
+            | RegistryToProxy::Time(..)
+            | RegistryToProxy::LookUpRequest(..) => {}
         }
         // As in the program: whatever may bear on the choice of a backend is told to the decisions with the word that brought it.
         if matches!(
@@ -206,10 +209,12 @@
 
     fn beat(&self, now: Millis) -> ProxyToRegistry {
         let (ready, items, listing) = (self.held.is_ready(), self.held.checksum(), self.held.listing.stamp);
-        ProxyToRegistry::Heartbeat { ready,
+        ProxyToRegistry::Heartbeat {
+            ready,
             items_hash: items,
             list_stamp: listing,
-            self_granted: self.cache.alone(now), }
+            self_granted: self.cache.alone(now),
+        }
     }
 
     fn told(&mut self, told: Vec<(u64, Admission)>) {
--- a/system/simulation/src/world.rs
+++ b/system/simulation/src/world.rs
@@ -514,7 +514,10 @@
                 Output::StoreProxyCount(proxies) => {
                     let (id, does) = self.cores[n].ask(
                         now,
-                        StoreRequest::Note(fennelscale_membership::PROXY_COUNT_NAME.to_owned(), proxies.to_string()),
+                        StoreRequest::Note(
+                            fennelscale_membership::PROXY_COUNT_NAME.to_owned(),
+                            proxies.to_string(),
+                        ),
                     );
                     self.steps.insert((n, id));
                     self.store(n, does);
