--- a/system/proxy/src/service_engines.rs
+++ b/system/proxy/src/service_engines.rs
@@ -95,7 +95,7 @@
                 Some(service) => service,
                 None => {
                     let health =
-                        held.table.services.get(&name).map_or("/health".into(), |s| s.health.clone());
+                        held.table.services.get(&name).map_or("/health".into(), |s| s.health_path.clone());
                     let Some(service) = self.start(health, parts) else { continue };
                     self.all.borrow_mut().insert(name.clone(), service.clone());
                     service
@@ -196,7 +196,7 @@
             RouteKind::Idempotent => 's',
             RouteKind::NonIdempotent | RouteKind::Upload => 'u',
         };
-        let name = format!("{kind}{}-{priority}", route.aim);
+        let name = format!("{kind}{}-{priority}", route.target_latency);
         let mut classes = self.classes.borrow_mut();
         if classes.contains(&name) {
             return name.as_str().into();
@@ -209,7 +209,7 @@
         let worth = 0.5_f64.powi(priority.min(16) as i32);
         let class = Class {
             name: name.as_str().into(),
-            target_latency: route.aim,
+            target_latency: route.target_latency,
             retry_safety: effect,
             dedup_scope: DedupScope::All,
             dedup_window: 0.0,
