--- a/system/proxy/src/decision_input.rs
+++ b/system/proxy/src/decision_input.rs
@@ -80,7 +80,7 @@
     BackendEntry {
         name: known.backend.id.as_str().into(),
         zone: known.backend.zone.as_str().into(),
-        cell: known.cell,
+        cell: known.region_index,
         state: if known.ready { BackendState::Ready } else { BackendState::Draining },
         started: None,
     }
--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -451,7 +451,7 @@
                 both
             }
         };
-        let cells = regions.into_iter().map(|region| held.cell(region)).collect();
+        let cells = regions.into_iter().map(|region| held.region_index(region)).collect();
         Ok(Arc::new(RequestBound {
             cells,
             most_attempts: route.attempts,
--- a/system/proxy/src/routing_state.rs
+++ b/system/proxy/src/routing_state.rs
@@ -1,5 +1,5 @@
-//! What this proxy holds of the system's news: items and the table made of them, the list of backends, the members.
-//! No I/O and no clock of its own: it is told the time.
+//! The routing state of a proxy: configuration items and the routing table built from them, the list of
+//! backends, and the members. Performs no I/O and reads no clock; the caller passes the time.
 
 use crate::cold_owners::ColdOwners;
 use fennelscale_config::{Copied, Table, fact};
@@ -11,288 +11,306 @@
 use fennelscale_messages::news::{Backend, Listing, Member};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Of a cold backend's rate so much is used: two proxies that both think it theirs stay within the rule.
-const COLD_SHARE: f64 = 0.75;
-/// A node that goes back counts as cold for at least this many ms beyond the platform's lag.
-const BACK_COLD: f64 = 1500.0;
-/// From a reading of the platform's list until proxies have it, in ms: between regions twice, and some.
-const LIST_WAY: f64 = 400.0;
-/// What runs out by itself is brought up to date this often, in ms.
+/// Share of a cold backend's rate that its owner uses, so that two proxies that both consider themselves its
+/// owner stay within the limit.
+const COLD_RATE_SHARE: f64 = 0.75;
+/// A node that returns to service counts as cold for at least this many ms beyond the maximum age of the
+/// platform's list.
+const MIN_COLD_AFTER_RETURN: f64 = 1500.0;
+/// Time in ms from a read of the platform's list until proxies have it: two trips between regions, and a
+/// margin.
+const LIST_PROPAGATION: f64 = 400.0;
+/// Interval, in ms, at which terms that change with time alone are brought up to date.
 pub const UPDATE_INTERVAL: f64 = 250.0;
-/// What a way costs, as ms that an answer may come later: between zones, between regions.
-const ZONE_PRICE: f64 = 12.0;
-const REGION_PRICE: f64 = 220.0;
-/// Ways there and back, as long as nothing is known of them, in ms.
-const IN_ZONE: f64 = 1.0;
-const IN_REGION: f64 = 3.0;
-const FAR: f64 = 120.0;
-/// The usual time of work, as long as nothing is known, in ms.
-const USUAL: f64 = 100.0;
-/// Ids of backends that are known to drain are remembered up to this many.
-const MOST: usize = 20_000;
-
-/// Where this proxy is, and the zones' regions.
+/// Cost of sending a request to another zone, as the equivalent added latency in ms.
+const CROSS_ZONE_COST: f64 = 12.0;
+/// The same for another region.
+const CROSS_REGION_COST: f64 = 220.0;
+/// Assumed round trips in ms until they are measured: within the zone, within the region, and to another
+/// region.
+const ZONE_ROUND_TRIP: f64 = 1.0;
+const REGION_ROUND_TRIP: f64 = 3.0;
+const REMOTE_ROUND_TRIP: f64 = 120.0;
+/// Assumed processing time of a request in ms until it is measured.
+const DEFAULT_LATENCY: f64 = 100.0;
+/// Maximum number of remembered ids of draining backends.
+const MAX_DRAINED_IDS: usize = 20_000;
+
+/// The location of this proxy, and the topology of the deployment.
 #[derive(Clone, Debug)]
 pub struct ProxyLocation {
-    /// This machine.
+    /// The address of this machine.
     pub host: Host,
-    /// Its zone and region.
+    /// Its zone.
     pub zone: String,
     /// Its region.
     pub region: String,
     /// The region of each zone.
     pub zone_regions: BTreeMap<String, String>,
-    /// How old the platform's list may be when it is read, in ms.
+    /// Maximum age, in ms, of the platform's list at the moment of a read.
     pub max_list_age: f64,
 }
 
-/// One backend as the decisions are told of it.
+/// A listed backend with the terms that the decision module uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownBackend {
-    /// As listed.
+    /// The entry of the list.
     pub backend: Backend,
-    /// It may be sent something new.
+    /// Whether it may be sent new requests.
     pub ready: bool,
-    /// Its region's place among all, in the order of their names.
-    pub cell: u64,
-    /// The terms of the choice.
+    /// The index of its region among all regions, sorted by name.
+    pub region_index: u64,
+    /// The terms for the choice of a backend.
     pub terms: doorcourse::BackendTerms,
 }
 
-/// A node that went back.
+/// A node that returned to service.
 #[derive(Clone, Copy, Debug)]
 struct Returned {
-    /// When that was heard.
-    heard: f64,
-    /// It was evacuated: its backends may have turned cold just before. Of a work order's node only the list says so.
+    /// When this proxy learned of it.
+    heard_at: f64,
+    /// Whether it was evacuated: its backends may have turned cold shortly before. For a work order's node
+    /// only the list tells.
     evacuated: bool,
 }
 
-/// All news.
+/// Everything that a proxy knows for routing requests.
 #[derive(Debug)]
 pub struct RoutingState {
     location: ProxyLocation,
     items: Copied,
-    /// What follows from the items.
+    /// The routing table built from the items.
     pub table: Table,
-    /// The newest list.
+    /// The newest list of backends.
     pub listing: Listing,
-    listed: f64,
-    /// Backends that were seen to drain: they never take anything again.
-    drained: BTreeSet<String>,
-    /// Nodes that went back and whose backends may count as cold.
-    back: BTreeMap<Node, Returned>,
-    /// Nodes that work orders have drained and that are heeded now, ...
-    out: BTreeSet<Node>,
-    /// ... until the hours end by this: true time, and the own time when it was heard.
-    time: Option<(f64, Span)>,
-    /// All proxies, and how many there are for shares.
+    /// When the newest list arrived.
+    listed_at: f64,
+    /// Backends that were listed as draining: a draining backend never accepts requests again.
+    drained_backends: BTreeSet<String>,
+    /// Nodes that returned to service and whose backends may count as cold.
+    returned_nodes: BTreeMap<Node, Returned>,
+    /// Nodes that are drained now by work orders.
+    drained_nodes: BTreeSet<Node>,
+    /// True time and the local time at which it was received; drains end by it.
+    true_time: Option<(f64, Span)>,
+    /// All proxies.
     pub members: Vec<Member>,
-    /// Who sends to cold backends.
-    owners: ColdOwners,
-    /// How many proxies there are for shares.
+    /// Which proxy sends to each cold backend.
+    cold_owners: ColdOwners,
+    /// The number of proxies by which shares are divided.
     pub proxy_count: f64,
-    /// A quorum has vouched for the items in this life.
+    /// Whether a quorum has confirmed the items since this process started.
     pub up_to_date: bool,
 }
 
 impl RoutingState {
-    /// Nothing yet.
+    /// An empty state.
     pub fn new(location: ProxyLocation) -> Self {
         Self {
             location,
             items: Copied::default(),
             table: Table::default(),
             listing: Listing::default(),
-            listed: 0.0,
-            drained: BTreeSet::new(),
-            back: BTreeMap::new(),
-            out: BTreeSet::new(),
-            time: None,
+            listed_at: 0.0,
+            drained_backends: BTreeSet::new(),
+            returned_nodes: BTreeMap::new(),
+            drained_nodes: BTreeSet::new(),
+            true_time: None,
             members: Vec::new(),
-            owners: ColdOwners::default(),
-            // Until somebody knows: no part of anything.
+            cold_owners: ColdOwners::default(),
+            // Until the number is known, the share of this proxy is zero.
             proxy_count: f64::INFINITY,
             up_to_date: false,
         }
     }
 
-    /// All items in one number.
+    /// A checksum over all items.
     pub fn checksum(&self) -> u64 {
         self.items.sum()
     }
 
-    /// All items by parts of their names.
+    /// Checksums of the items, one for each part of the key space.
     pub fn part_checksums(&self) -> Vec<u64> {
         self.items.parts().to_vec()
     }
 
-    /// Items of the parts in which another copy holds something else.
+    /// The entries of the parts whose checksums differ from those of another copy.
     pub fn entries_in_differing_parts(&self, theirs: &[u64]) -> Vec<Named> {
         self.items.differing(theirs)
     }
 
-    /// All proxies, and how many there are for shares; 0 where nobody knows: what was known before holds.
+    /// Sets all proxies and the number by which shares are divided; 0 means unknown and keeps the previous
+    /// number.
     pub fn set_members(&mut self, now: f64, members: Vec<Member>, proxies: u32) {
-        self.owners.set_members(now, &members);
+        self.cold_owners.set_members(now, &members);
         self.members = members;
         if proxies > 0 {
             self.proxy_count = f64::from(proxies);
         }
     }
 
-    /// How many proxies there are for shares; 0 where that is not known.
+    /// The number of proxies by which shares are divided; 0 if it is unknown.
     pub fn known_proxy_count(&self) -> u32 {
         if self.proxy_count.is_finite() { self.proxy_count as u32 } else { 0 }
     }
 
-    /// Whether enough is known to serve clients.
+    /// Whether the state suffices to serve clients.
     pub fn is_ready(&self) -> bool {
         self.up_to_date && self.listing.stamp.0 > 0 && !self.table.services.is_empty()
     }
 
-    /// Entries that came. Names of those that were news.
+    /// Merges received entries and returns the names of those that were newer than the known ones.
     pub fn merge(&mut self, now: f64, entries: Vec<Named>) -> Vec<String> {
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for (name, entry) in entries {
             if !self.items.take(&name, &entry) {
                 continue;
             }
             let fact = entry.body.as_deref().and_then(|body| fact(&name, &entry.host, body).ok());
-            // One that was ready and hears of an end only may have missed the beginning. What had ended before this life is old.
+            // A proxy that was ready may learn only of an evacuation's end, having missed its start. One that
+            // ended before this process started is of no interest.
             if let Some(zone) = name.strip_prefix("e:")
                 && fact.is_none()
                 && (self.up_to_date || self.table.evacuated.contains(zone))
             {
-                self.back.insert(Node::Zone(zone.to_owned()), Returned { heard: now, evacuated: true });
+                self.returned_nodes
+                    .insert(Node::Zone(zone.to_owned()), Returned { heard_at: now, evacuated: true });
             }
             self.table.set(&name, entry.stamp, fact);
-            news.push(name);
+            changed.push(name);
         }
         self.update_drains(now);
-        news
+        changed
     }
 
-    /// A list that came; false if it is not news.
+    /// Takes over a received list; returns false if it is not newer than the known one.
     pub fn set_listing(&mut self, now: f64, listing: Listing) -> bool {
         if listing.stamp <= self.listing.stamp {
             return false;
         }
         for backend in listing.backends.iter().filter(|b| b.draining) {
-            self.drained.insert(backend.id.clone());
+            self.drained_backends.insert(backend.id.clone());
         }
-        while self.drained.len() > MOST {
-            self.drained.pop_first();
+        while self.drained_backends.len() > MAX_DRAINED_IDS {
+            self.drained_backends.pop_first();
         }
-        (self.listing, self.listed) = (listing, now);
+        (self.listing, self.listed_at) = (listing, now);
         true
     }
 
-    /// True time, as a registry vouches for it now.
+    /// Sets the true time that a registry confirms as of now.
     pub fn set_true_time(&mut self, now: f64, time: Span) {
-        self.time = Some((now, time));
+        self.true_time = Some((now, time));
     }
 
-    /// True time now, carried on from when it was told.
+    /// The true time now, extrapolated from when it was received.
     pub fn true_time(&self, now: f64) -> Option<Span> {
-        self.time.map(|(at, span)| span.later(now - at))
+        self.true_time.map(|(at, span)| span.later(now - at))
     }
 
-    /// Which drains are heeded now: those of the work orders, until their hours have ended by whatever time there is. Whoever is cut
-    /// off carries on the last time that it was told. Nodes that go back count as cold for a moment, until the list says how
-    /// they are. Whether anything has changed.
+    /// Updates which nodes are drained now: those of the work orders whose maintenance window has not ended.
+    /// A proxy that is cut off extrapolates the last true time that it received. Nodes that return to service
+    /// count as cold for a short time, until the list shows their state. Returns whether anything has
+    /// changed.
     pub fn update_drains(&mut self, now: f64) -> bool {
-        let over = |ends: f64| self.time.is_some_and(|(at, span)| span.later(now - at).latest >= ends);
-        let drains = self.table.drains.values().filter(|drain| !over(drain.ends));
-        let out: BTreeSet<Node> = drains.flat_map(Drain::nodes).collect();
-        if out == self.out {
+        let has_ended =
+            |ends: f64| self.true_time.is_some_and(|(at, span)| span.later(now - at).latest >= ends);
+        let drains = self.table.drains.values().filter(|drain| !has_ended(drain.ends));
+        let drained_nodes: BTreeSet<Node> = drains.flat_map(Drain::nodes).collect();
+        if drained_nodes == self.drained_nodes {
             return false;
         }
-        for node in self.out.difference(&out) {
-            self.back.insert(node.clone(), Returned { heard: now, evacuated: false });
+        for node in self.drained_nodes.difference(&drained_nodes) {
+            self.returned_nodes.insert(node.clone(), Returned { heard_at: now, evacuated: false });
         }
-        self.out = out;
+        self.drained_nodes = drained_nodes;
         true
     }
 
-    /// Nodes that are drained.
+    /// Nodes that are drained now.
     pub fn drained_nodes(&self) -> &BTreeSet<Node> {
-        &self.out
+        &self.drained_nodes
     }
 
-    /// Whether this proxy is to be left by its clients.
+    /// Whether this proxy is drained: its clients are to go to other proxies.
     pub fn is_drained(&self) -> bool {
-        self.out.contains(&Node::Proxy(self.location.host))
-            || self.out.contains(&Node::Zone(self.location.zone.clone()))
+        self.drained_nodes.contains(&Node::Proxy(self.location.host))
+            || self.drained_nodes.contains(&Node::Zone(self.location.zone.clone()))
     }
 
-    /// Drained nodes where nothing of this proxy's is at work. `working`: backends that may have something of it; `clients`:
-    /// whether any are connected here.
-    pub fn idle_nodes(&self, working: &BTreeSet<String>, clients: bool) -> Vec<String> {
+    /// Drained nodes on which this proxy has no work in progress. `working` are the backends that may have
+    /// requests of this proxy; `has_clients` tells whether any clients are connected to it.
+    pub fn idle_nodes(&self, working: &BTreeSet<String>, has_clients: bool) -> Vec<String> {
         let zone_of =
             |id: &String| self.listing.backends.iter().find(|b| b.id == *id).map(|b| b.zone.as_str());
         let busy = |node: &&Node| match node {
             Node::Backend(id) => working.contains(id),
-            Node::Proxy(host) => *host == self.location.host && clients,
-            // Of one that is no longer listed nobody knows where it is.
+            Node::Proxy(host) => *host == self.location.host && has_clients,
+            // The zone of a backend that is no longer listed is unknown.
             Node::Zone(zone) => {
                 working.iter().any(|id| zone_of(id).is_none_or(|z| z == zone))
-                    || *zone == self.location.zone && clients
+                    || *zone == self.location.zone && has_clients
             }
         };
-        self.out.iter().filter(|node| !busy(node)).map(Node::to_string).collect()
+        self.drained_nodes.iter().filter(|node| !busy(node)).map(Node::to_string).collect()
     }
 
-    /// The number of a region among all, in the order of their names.
-    pub fn cell(&self, region: &str) -> u64 {
+    /// The index of a region among all regions, sorted by name.
+    pub fn region_index(&self, region: &str) -> u64 {
         let regions: BTreeSet<&str> = self.location.zone_regions.values().map(String::as_str).collect();
         regions.iter().position(|r| *r == region).map_or(u64::MAX, |at| at as u64)
     }
 
-    fn region<'a>(&'a self, zone: &str) -> &'a str {
+    fn region_of<'a>(&'a self, zone: &str) -> &'a str {
         self.location.zone_regions.get(zone).map_or("", String::as_str)
     }
 
-    /// Whether anything runs out by itself: nodes that went back are taken for cold only for a while, and whoever owns cold backends
-    /// changes with time.
+    /// Whether the terms may change with time alone: returned nodes count as cold only for a while, and the
+    /// owners of cold backends change with time.
     pub fn needs_update(&self, now: f64) -> bool {
-        !self.back.is_empty() || self.owners.may_change(now, UPDATE_INTERVAL) && self.has_cold(now)
+        !self.returned_nodes.is_empty()
+            || self.cold_owners.may_change(now, UPDATE_INTERVAL) && self.has_cold(now)
     }
 
-    /// Whether the list names a backend that is cold now.
+    /// Whether the list contains a backend that is cold now.
     fn has_cold(&self, now: f64) -> bool {
         let mut spans = self.listing.backends.iter().map(|backend| backend.cold_ms);
-        spans.any(|span| span > 0 && now < self.listed + f64::from(span))
+        spans.any(|span| span > 0 && now < self.listed_at + f64::from(span))
     }
 
-    /// The backends of a service, with the terms of the choice as of now.
+    /// The backends of a service, with the current terms for the choice between them.
     pub fn backends(&mut self, now: f64, service: &str) -> Vec<KnownBackend> {
         let longest = self.table.services.values().map(|service| service.cold_start).fold(0.0, f64::max);
-        let kept = longest.max(BACK_COLD) + self.location.max_list_age;
-        self.back.retain(|_, returned| now < returned.heard + kept);
-        let of = self.listing.backends.iter().filter(|b| b.service == service);
-        let own = self.own(of.clone());
-        of.map(|backend| self.known(now, service, backend, own.get(backend.id.as_str()).copied())).collect()
+        let retention = longest.max(MIN_COLD_AFTER_RETURN) + self.location.max_list_age;
+        self.returned_nodes.retain(|_, returned| now < returned.heard_at + retention);
+        let listed = self.listing.backends.iter().filter(|b| b.service == service);
+        let own = self.own_backends(listed.clone());
+        listed
+            .map(|backend| self.known_backend(now, service, backend, own.get(backend.id.as_str()).copied()))
+            .collect()
     }
 
-    /// The backends of this proxy's region are shared out among its proxies, so that each has some of its own: with how many
-    /// others it shares each. Where there are more backends, each in turn goes to the proxy with the fewest slots so far; where
-    /// there are more proxies, each in turn takes the backend with the fewest proxies to a slot. Those of one zone go together
-    /// as far as that is even. All proxies that know the same share alike.
-    fn own<'a>(&self, backends: impl Iterator<Item = &'a Backend>) -> BTreeMap<&'a str, f64> {
-        let here = |zone: &str| self.region(zone) == self.location.region;
-        let mut near: Vec<&Backend> = backends.filter(|b| here(&b.zone) && self.takes(b)).collect();
-        let draw = |b: &Backend| fennelscale_messages::hash(b.id.as_bytes());
-        near.sort_by_key(|b| (draw(b), &b.id));
+    /// Assigns the backends of this proxy's region to the region's proxies, so that each proxy has some of
+    /// its own. Returns this proxy's backends and how many proxies share each. If there are at least as many
+    /// backends as proxies, each backend goes to the proxy with the fewest slots so far; otherwise each proxy
+    /// takes the backend with the fewest proxies per slot. Ties prefer the same zone. Proxies with the same
+    /// state compute the same assignment.
+    fn own_backends<'a>(&self, backends: impl Iterator<Item = &'a Backend>) -> BTreeMap<&'a str, f64> {
+        let is_local = |zone: &str| self.region_of(zone) == self.location.region;
+        let mut local: Vec<&Backend> =
+            backends.filter(|b| is_local(&b.zone) && self.accepts_requests(b)).collect();
+        let hash_of = |b: &Backend| fennelscale_messages::hash(b.id.as_bytes());
+        local.sort_by_key(|b| (hash_of(b), &b.id));
         let proxies = self.members.iter().filter(|m| m.ready && m.region == self.location.region);
-        let turn = |b: &Backend, m: &Member| fennelscale_messages::mix(draw(b) ^ u64::from(m.host.0));
+        let tie_break = |b: &Backend, m: &Member| fennelscale_messages::mix(hash_of(b) ^ u64::from(m.host.0));
         let mut own = BTreeMap::new();
-        if near.len() >= proxies.clone().count() {
-            let mut parts: Vec<(u32, &Member)> = proxies.map(|m| (0, m)).collect();
-            for backend in near {
-                let first =
-                    |(slots, m): &&mut (u32, &Member)| (*slots, m.zone != backend.zone, turn(backend, m));
-                let Some((slots, member)) = parts.iter_mut().min_by_key(first) else { continue };
+        if local.len() >= proxies.clone().count() {
+            let mut assigned_slots: Vec<(u32, &Member)> = proxies.map(|m| (0, m)).collect();
+            for backend in local {
+                let rank = |(slots, m): &&mut (u32, &Member)| {
+                    (*slots, m.zone != backend.zone, tie_break(backend, m))
+                };
+                let Some((slots, member)) = assigned_slots.iter_mut().min_by_key(rank) else { continue };
                 *slots += backend.slots.max(1);
                 if member.host == self.location.host {
                     own.insert(backend.id.as_str(), 1.0);
@@ -300,79 +318,85 @@
             }
             return own;
         }
-        let mut parts: Vec<(u32, &Backend)> = near.into_iter().map(|b| (0, b)).collect();
-        let mut mine = None;
+        let mut sharers: Vec<(u32, &Backend)> = local.into_iter().map(|b| (0, b)).collect();
+        let mut own_index = None;
         for member in proxies {
-            let first = |(at, (taken, b)): &(usize, &(u32, &Backend))| {
-                // In whole numbers: all must share alike.
-                (*taken * 1000 / b.slots.max(1), b.zone != member.zone, turn(b, member), *at)
+            let rank = |(index, (count, b)): &(usize, &(u32, &Backend))| {
+                // Integer arithmetic: all proxies must compute the same assignment.
+                (*count * 1000 / b.slots.max(1), b.zone != member.zone, tie_break(b, member), *index)
             };
-            let Some((at, _)) = parts.iter().enumerate().min_by_key(first) else { continue };
-            parts[at].0 += 1;
+            let Some((index, _)) = sharers.iter().enumerate().min_by_key(rank) else { continue };
+            sharers[index].0 += 1;
             if member.host == self.location.host {
-                mine = Some(at);
+                own_index = Some(index);
             }
         }
-        own.extend(mine.map(|at| (parts[at].1.id.as_str(), f64::from(parts[at].0))));
+        own.extend(own_index.map(|index| (sharers[index].1.id.as_str(), f64::from(sharers[index].0))));
         own
     }
 
-    fn takes(&self, backend: &Backend) -> bool {
+    fn accepts_requests(&self, backend: &Backend) -> bool {
         !backend.draining
-            && !self.drained.contains(&backend.id)
+            && !self.drained_backends.contains(&backend.id)
             && !self.table.evacuated.contains(&backend.zone)
-            && (self.out.is_empty()
-                || !self.out.contains(&Node::Backend(backend.id.clone()))
-                    && !self.out.contains(&Node::Zone(backend.zone.clone())))
+            && (self.drained_nodes.is_empty()
+                || !self.drained_nodes.contains(&Node::Backend(backend.id.clone()))
+                    && !self.drained_nodes.contains(&Node::Zone(backend.zone.clone())))
     }
 
-    /// Until when a backend counts as cold because its node went back. Guards backends that turned cold as an evacuation ended against
-    /// a list that is older than that: they count as cold until a list came that was read later by the platform's lag, and where
-    /// none comes for as long as any backend of the service is cold after its start.
-    fn back_until(&self, backend: &Backend, cold_start: f64) -> f64 {
-        if self.back.is_empty() {
+    /// Until when a backend counts as cold because its node returned to service. Backends may have turned
+    /// cold as an evacuation ended, and a list read before that does not show it. So they count as cold until
+    /// a list arrives that was read later than that by the platform's maximum list age; if none arrives, for
+    /// as long as a backend of the service is cold after its start.
+    fn cold_until_after_return(&self, backend: &Backend, cold_start: f64) -> f64 {
+        if self.returned_nodes.is_empty() {
             return 0.0;
         }
         let until = |returned: &Returned| match returned {
-            Returned { heard, evacuated: false } => heard + BACK_COLD + self.location.max_list_age,
-            Returned { heard, .. } if self.listed >= heard + self.location.max_list_age + LIST_WAY => 0.0,
-            Returned { heard, .. } => heard + cold_start.max(BACK_COLD) + self.location.max_list_age,
+            Returned { heard_at, evacuated: false } => {
+                heard_at + MIN_COLD_AFTER_RETURN + self.location.max_list_age
+            }
+            Returned { heard_at, .. }
+                if self.listed_at >= heard_at + self.location.max_list_age + LIST_PROPAGATION =>
+            {
+                0.0
+            }
+            Returned { heard_at, .. } => {
+                heard_at + cold_start.max(MIN_COLD_AFTER_RETURN) + self.location.max_list_age
+            }
         };
         let nodes = [Node::Backend(backend.id.clone()), Node::Zone(backend.zone.clone())];
-        nodes.iter().filter_map(|node| self.back.get(node)).map(until).fold(0.0, f64::max)
+        nodes.iter().filter_map(|node| self.returned_nodes.get(node)).map(until).fold(0.0, f64::max)
     }
 
-    fn known(&self, now: f64, service: &str, backend: &Backend, own: Option<f64>) -> KnownBackend {
-        let region = self.region(&backend.zone);
-        let ready = self.takes(backend);
+    fn known_backend(&self, now: f64, service: &str, backend: &Backend, own: Option<f64>) -> KnownBackend {
+        let region = self.region_of(&backend.zone);
+        let ready = self.accepts_requests(backend);
         let (way, price) = if backend.zone == self.location.zone {
-            (IN_ZONE, 0.0)
+            (ZONE_ROUND_TRIP, 0.0)
         } else if region == self.location.region {
-            (IN_REGION, ZONE_PRICE)
+            (REGION_ROUND_TRIP, CROSS_ZONE_COST)
         } else {
-            (FAR, REGION_PRICE)
+            (REMOTE_ROUND_TRIP, CROSS_REGION_COST)
         };
         let sharers = self.members.iter().filter(|m| m.ready && m.region == region).count().max(1) as f64;
         let (own, sharers) = (own.is_some(), own.unwrap_or(sharers));
-        let listed = if backend.cold_ms > 0 { self.listed + f64::from(backend.cold_ms) } else { 0.0 };
-        let (cold, cold_start) =
+        let listed_until =
+            if backend.cold_ms > 0 { self.listed_at + f64::from(backend.cold_ms) } else { 0.0 };
+        let (cold_rate, cold_start) =
             self.table.services.get(service).map_or((0.0, 0.0), |s| (s.cold_per_s, s.cold_start));
-        let cold_until = listed.max(self.back_until(backend, cold_start));
-        let owns = || self.owners.owns(now, self.location.host, backend, |zone| self.region(zone));
-        let cold_per_s = if cold_until > now && owns() { cold * COLD_SHARE } else { 0.0 };
+        let cold_until = listed_until.max(self.cold_until_after_return(backend, cold_start));
+        let owns = || self.cold_owners.owns(now, self.location.host, backend, |zone| self.region_of(zone));
+        let cold_per_s = if cold_until > now && owns() { cold_rate * COLD_RATE_SHARE } else { 0.0 };
         let slots = f64::from(backend.slots.max(1));
         let terms = doorcourse::BackendTerms { slots, sharers, own, way, price, cold_until, cold_per_s };
-        KnownBackend { backend: backend.clone(), ready, cell: self.cell(region), terms }
+        KnownBackend { backend: backend.clone(), ready, region_index: self.region_index(region), terms }
     }
 
-    /// The terms that hold for all backends of a service together.
-    pub fn mesh_terms(&self, ratio: f64, slack: f64) -> doorcourse::MeshTerms {
-        doorcourse::MeshTerms {
-            gateways: self.proxy_count,
-            retry_ratio: ratio,
-            retry_slack: slack,
-            usual: USUAL,
-        }
+    /// The terms that apply to all backends of a service together; retries are bounded by `retry_ratio` and
+    /// `retry_slack`.
+    pub fn mesh_terms(&self, retry_ratio: f64, retry_slack: f64) -> doorcourse::MeshTerms {
+        doorcourse::MeshTerms { gateways: self.proxy_count, retry_ratio, retry_slack, usual: DEFAULT_LATENCY }
     }
 }
 
--- a/system/proxy/src/routing_state/tests.rs
+++ b/system/proxy/src/routing_state/tests.rs
@@ -1,13 +1,13 @@
-//! Drains, evacuations and what counts as cold after them.
+//! Tests of drains and evacuations, of what counts as cold after them, and of merging configuration items.
 
 use super::*;
 use fennelscale_messages::depot::{Entry, Stamp};
 
-const ENDS: f64 = 1_800_000_000_000.0;
+const WINDOW_END: f64 = 1_800_000_000_000.0;
 
-fn held() -> RoutingState {
+fn new_state() -> RoutingState {
     let zones = [("a", "r"), ("b", "r")].map(|(z, r)| (z.to_owned(), r.to_owned())).into();
-    let mut held = RoutingState::new(ProxyLocation {
+    let mut state = RoutingState::new(ProxyLocation {
         host: Host(1),
         zone: "a".into(),
         region: "r".into(),
@@ -24,138 +24,135 @@
         cold_ms: 0,
     };
     let backends = vec![backend("x", "a"), backend("y", "a"), backend("z", "b")];
-    held.set_listing(0.0, Listing { stamp: (1, Host(2)), backends });
-    held
+    state.set_listing(0.0, Listing { stamp: (1, Host(2)), backends });
+    state
 }
 
-fn drain(held: &mut RoutingState, now: f64, turn: u64, nodes: &str) {
-    let body = (!nodes.is_empty()).then(|| format!(r#"{{"nodes":[{nodes}],"ends":{ENDS}}}"#));
+fn set_drain(state: &mut RoutingState, now: f64, turn: u64, nodes: &str) {
+    let body = (!nodes.is_empty()).then(|| format!(r#"{{"nodes":[{nodes}],"ends":{WINDOW_END}}}"#));
     let stamp = Stamp { turn, ..Stamp::default() };
-    held.merge(now, vec![("d:o".into(), Entry { stamp, body, ..Entry::default() })]);
+    state.merge(now, vec![("d:o".into(), Entry { stamp, body, ..Entry::default() })]);
 }
 
-fn ready(held: &mut RoutingState, now: f64) -> Vec<String> {
-    held.backends(now, "s").into_iter().filter(|k| k.ready).map(|k| k.backend.id).collect()
+fn ready_backends(state: &mut RoutingState, now: f64) -> Vec<String> {
+    state.backends(now, "s").into_iter().filter(|k| k.ready).map(|k| k.backend.id).collect()
 }
 
 #[test]
-fn what_is_drained_gets_nothing_until_it_is_taken_back_and_is_spared_then() {
-    let mut held = held();
-    drain(&mut held, 0.0, 1, r#""backend:x""#);
-    assert_eq!(ready(&mut held, 1.0), ["y", "z"]);
-    drain(&mut held, 2.0, 2, r#""backend:x","zone:b","proxy:0.0.0.1""#);
-    assert_eq!(ready(&mut held, 3.0), ["y"]);
-    assert!(held.is_drained());
-    drain(&mut held, 10.0, 3, "");
-    assert_eq!(ready(&mut held, 11.0), ["x", "y", "z"]);
-    assert!(!held.is_drained());
-    let cold = |held: &mut RoutingState, now| -> Vec<bool> {
-        held.backends(now, "s").iter().map(|known| known.terms.cold_until > now).collect()
+fn drained_nodes_get_no_requests_and_count_as_cold_after_their_return() {
+    let mut state = new_state();
+    set_drain(&mut state, 0.0, 1, r#""backend:x""#);
+    assert_eq!(ready_backends(&mut state, 1.0), ["y", "z"]);
+    set_drain(&mut state, 2.0, 2, r#""backend:x","zone:b","proxy:0.0.0.1""#);
+    assert_eq!(ready_backends(&mut state, 3.0), ["y"]);
+    assert!(state.is_drained());
+    set_drain(&mut state, 10.0, 3, "");
+    assert_eq!(ready_backends(&mut state, 11.0), ["x", "y", "z"]);
+    assert!(!state.is_drained());
+    let cold = |state: &mut RoutingState, now| -> Vec<bool> {
+        state.backends(now, "s").iter().map(|known| known.terms.cold_until > now).collect()
     };
-    assert_eq!(cold(&mut held, 12.0), [true, false, true]);
-    assert_eq!(cold(&mut held, 10.0 + BACK_COLD + 501.0), [false, false, false]);
+    assert_eq!(cold(&mut state, 12.0), [true, false, true]);
+    assert_eq!(cold(&mut state, 10.0 + MIN_COLD_AFTER_RETURN + 501.0), [false, false, false]);
 }
 
 const COLD_START: f64 = 3000.0;
 
-/// Ready, with a service whose backends are cold for a while after their start.
-fn ready_held() -> RoutingState {
-    let mut held = held();
+/// A ready state with a service whose backends are cold for a while after their start.
+fn ready_state() -> RoutingState {
+    let mut state = new_state();
     let body = r#"{"name":"s","coldStart":"3s","coldPerS":6.7,"revision":"00000001"}"#;
     let entry = Entry { stamp: Stamp { turn: 1, ..Stamp::default() }, revision: 1, ..Entry::default() };
-    held.merge(0.0, vec![("s:s".into(), Entry { body: Some(body.into()), ..entry })]);
-    held.up_to_date = true;
-    held
+    state.merge(0.0, vec![("s:s".into(), Entry { body: Some(body.into()), ..entry })]);
+    state.up_to_date = true;
+    state
 }
 
-fn evacuation(held: &mut RoutingState, now: f64, revision: u64, on: bool) {
+fn set_evacuation(state: &mut RoutingState, now: f64, revision: u64, on: bool) {
     let entry = Entry {
         stamp: Stamp { turn: 1 + revision, ..Stamp::default() },
         revision,
         body: on.then(|| "{}".to_owned()),
         ..Entry::default()
     };
-    held.merge(now, vec![("e:b".into(), entry)]);
+    state.merge(now, vec![("e:b".into(), entry)]);
 }
 
-fn is_cold(held: &mut RoutingState, now: f64) -> bool {
-    let known = held.backends(now, "s");
+fn is_cold(state: &mut RoutingState, now: f64) -> bool {
+    let known = state.backends(now, "s");
     known.iter().any(|known| known.backend.zone == "b" && known.terms.cold_until > now)
 }
 
 #[test]
-fn a_zone_that_is_taken_back_is_cold_until_a_list_that_was_read_later_says_how_it_is() {
+fn a_returned_zone_is_cold_until_a_list_that_was_read_later_arrives() {
     let lag = 500.0;
-    let taken_back = |missed_its_beginning: bool| {
-        let mut held = ready_held();
-        if !missed_its_beginning {
-            evacuation(&mut held, 1000.0, 1, true);
+    let returned_zone = |missed_start: bool| {
+        let mut state = ready_state();
+        if !missed_start {
+            set_evacuation(&mut state, 1000.0, 1, true);
         }
-        evacuation(&mut held, 10_000.0, 2, false);
-        held
+        set_evacuation(&mut state, 10_000.0, 2, false);
+        state
     };
-    for missed_its_beginning in [false, true] {
-        let mut held = taken_back(missed_its_beginning);
-        assert!(is_cold(&mut held, 10_000.0 + COLD_START + lag - 1.0), "no list came");
-        assert!(!is_cold(&mut held, 10_000.0 + COLD_START + lag));
-        // A list that may be older says nothing; one that was read later does.
-        let mut held = taken_back(missed_its_beginning);
-        let listing = held.listing.clone();
+    for missed_start in [false, true] {
+        let mut state = returned_zone(missed_start);
+        assert!(is_cold(&mut state, 10_000.0 + COLD_START + lag - 1.0), "no list arrived");
+        assert!(!is_cold(&mut state, 10_000.0 + COLD_START + lag));
+        // A list that may have been read before the return proves nothing; one that was read later does.
+        let mut state = returned_zone(missed_start);
+        let listing = state.listing.clone();
         let at = |number| Listing { stamp: (number, Host(2)), ..listing.clone() };
-        held.set_listing(10_000.0 + lag, at(2));
-        assert!(is_cold(&mut held, 10_000.0 + lag));
-        held.set_listing(10_000.0 + lag + LIST_WAY, at(3));
-        assert!(!is_cold(&mut held, 10_000.0 + lag + LIST_WAY));
+        state.set_listing(10_000.0 + lag, at(2));
+        assert!(is_cold(&mut state, 10_000.0 + lag));
+        state.set_listing(10_000.0 + lag + LIST_PROPAGATION, at(3));
+        assert!(!is_cold(&mut state, 10_000.0 + lag + LIST_PROPAGATION));
     }
 }
 
 #[test]
-fn an_evacuation_that_had_ended_before_a_life_is_of_no_account_in_it() {
-    let mut held = ready_held();
-    held.up_to_date = false;
-    evacuation(&mut held, 1000.0, 2, false);
-    assert!(!is_cold(&mut held, 1000.0));
+fn an_evacuation_that_ended_before_the_process_started_has_no_effect() {
+    let mut state = ready_state();
+    state.up_to_date = false;
+    set_evacuation(&mut state, 1000.0, 2, false);
+    assert!(!is_cold(&mut state, 1000.0));
 }
 
 #[test]
-fn a_proxy_that_hears_nothing_more_heeds_no_drain_beyond_the_hours() {
-    let mut held = held();
-    drain(&mut held, 0.0, 1, r#""backend:x""#);
-    held.set_true_time(1000.0, Span { earliest: ENDS - 30_500.0, latest: ENDS - 30_000.0 });
-    assert!(!held.update_drains(30_000.0), "a second before the end by the latest that it may be");
-    assert_eq!(ready(&mut held, 30_000.0), ["y", "z"]);
-    assert!(held.update_drains(31_000.0));
-    assert_eq!(ready(&mut held, 31_000.0), ["x", "y", "z"]);
+fn a_disconnected_proxy_ends_drains_with_the_maintenance_window() {
+    let mut state = new_state();
+    set_drain(&mut state, 0.0, 1, r#""backend:x""#);
+    state.set_true_time(1000.0, Span { earliest: WINDOW_END - 30_500.0, latest: WINDOW_END - 30_000.0 });
+    assert!(!state.update_drains(30_000.0), "a second before the end, by the latest possible true time");
+    assert_eq!(ready_backends(&mut state, 30_000.0), ["y", "z"]);
+    assert!(state.update_drains(31_000.0));
+    assert_eq!(ready_backends(&mut state, 31_000.0), ["x", "y", "z"]);
 }
 
 #[test]
-fn a_node_is_quiet_where_nothing_of_this_proxy_is_at_work() {
-    let mut held = held();
-    drain(&mut held, 0.0, 1, r#""backend:x","zone:b","proxy:0.0.0.9""#);
-    let quiet = |working: &[&str]| held.idle_nodes(&working.iter().map(|w| (*w).to_owned()).collect(), true);
+fn a_node_is_idle_if_this_proxy_has_no_work_on_it() {
+    let mut state = new_state();
+    set_drain(&mut state, 0.0, 1, r#""backend:x","zone:b","proxy:0.0.0.9""#);
+    let idle = |working: &[&str]| state.idle_nodes(&working.iter().map(|w| (*w).to_owned()).collect(), true);
+    assert_eq!(idle(&[]), ["backend:x", "proxy:0.0.0.9", "zone:b"], "clients of other proxies do not count");
+    assert_eq!(idle(&["x", "y"]), ["proxy:0.0.0.9", "zone:b"]);
+    assert_eq!(idle(&["z"]), ["backend:x", "proxy:0.0.0.9"]);
+    assert_eq!(idle(&["gone"]), ["backend:x", "proxy:0.0.0.9"], "the backend may have been in any zone");
+    set_drain(&mut state, 1.0, 2, r#""zone:a","proxy:0.0.0.1""#);
     assert_eq!(
-        quiet(&[]),
-        ["backend:x", "proxy:0.0.0.9", "zone:b"],
-        "other proxies' clients are not its own"
-    );
-    assert_eq!(quiet(&["x", "y"]), ["proxy:0.0.0.9", "zone:b"]);
-    assert_eq!(quiet(&["z"]), ["backend:x", "proxy:0.0.0.9"]);
-    assert_eq!(quiet(&["gone"]), ["backend:x", "proxy:0.0.0.9"], "it may have been in any zone");
-    drain(&mut held, 1.0, 2, r#""zone:a","proxy:0.0.0.1""#);
-    assert_eq!(
-        held.idle_nodes(&BTreeSet::new(), true),
+        state.idle_nodes(&BTreeSet::new(), true),
         Vec::<String>::new(),
-        "its own clients are still there"
+        "its own clients are still connected"
     );
-    assert_eq!(held.idle_nodes(&BTreeSet::new(), false).len(), 2);
+    assert_eq!(state.idle_nodes(&BTreeSet::new(), false).len(), 2);
 }
 
-/// An item of the incident below: a route with its place, or a tenant with its key; none where it was dropped.
+/// An item for the test below: a route with its path, or a tenant with its key; without a body if the item is
+/// removed.
 fn claim_entry(turn: u64, holder: usize, claim: Option<usize>) -> (String, Entry) {
     let (name, body) = if holder < ROUTES {
-        let body = claim.map(|place| {
+        let body = claim.map(|path| {
             format!(
-                r#"{{"name":"r{holder}","routeType":"idempotent","public":true,"revision":"{turn:08x}","matchCriteria":{{"pathPrefix":"/p{place}/"}},"action":{{"service":"s","timeout":"4s"}}}}"#
+                r#"{{"name":"r{holder}","routeType":"idempotent","public":true,"revision":"{turn:08x}","matchCriteria":{{"pathPrefix":"/p{path}/"}},"action":{{"service":"s","timeout":"4s"}}}}"#
             )
         });
         (format!("r:r{holder}"), body)
@@ -172,14 +169,15 @@
 const TENANTS: usize = 3;
 const CLAIMS: usize = 3;
 
-/// Which route has each place, and which tenant each key.
-fn answers(held: &RoutingState) -> Vec<Option<String>> {
-    let route = |place| held.table.route("h", &format!("/p{place}/x")).map(|route| route.name.clone());
-    let tenant = |key| held.table.tenant(&format!("k{key}")).map(|tenant| tenant.name.clone());
+/// Which route is found for each path, and which tenant for each key.
+fn lookups(state: &RoutingState) -> Vec<Option<String>> {
+    let route = |path| state.table.route("h", &format!("/p{path}/x")).map(|route| route.name.clone());
+    let tenant = |key| state.table.tenant(&format!("k{key}")).map(|tenant| tenant.name.clone());
     (0..CLAIMS).map(route).chain((0..CLAIMS).map(tenant)).collect()
 }
 
-/// Who holds what after each change: of routes and of tenants no two share a claim, as the store sees to it.
+/// The entry of each change that the store would accept: no two routes share a path, and no two tenants a
+/// key.
 fn history(moves: &[(usize, usize)]) -> Vec<(String, Entry)> {
     let mut claims: BTreeMap<usize, usize> = BTreeMap::new();
     let mut entries = Vec::new();
@@ -201,41 +199,41 @@
 }
 
 proptest::proptest! {
-    // Seen: a proxy refused a route that had been added, and a key that a tenant held, from its start until it was started again.
-    // It came about when a place, or a key, had changed hands and the proxy was told of the new holder before an older version of the
-    // former one, as from a copy that is behind.
-    // Caused by a table that kept one holder of each place: the one that came last hid the other, and left nobody when it went.
-    // Proved by playing the same changes in every order: what a table answers has to follow from the newest items alone.
+    // Guards against a table whose lookups depend on the order of arrival. A proxy refused an added route,
+    // and a tenant's key, from its start until it was restarted. The path or key had moved to another holder,
+    // and the proxy received the new holder before an older version of the former one, as from a replica that
+    // is behind. The table kept one holder for each path: the last to arrive hid the other, and its removal
+    // left none. The lookups must follow from the newest items alone, whatever the order.
     #[test]
-    fn a_table_answers_by_the_newest_items_whatever_the_way_they_came(
+    fn lookups_follow_from_the_newest_items_in_any_order_of_arrival(
         moves in proptest::collection::vec((0..ROUTES + TENANTS, 0..=CLAIMS), 1..12),
         order in proptest::collection::vec(0_usize..64, 1..40),
     ) {
         let history = history(&moves);
         proptest::prop_assume!(!history.is_empty());
-        let mut held = held();
+        let mut state = new_state();
         let mut newest: BTreeMap<String, Entry> = BTreeMap::new();
         let rest = history.iter().cloned();
-        let told: Vec<_> = order.iter().map(|at| history[at % history.len()].clone()).chain(rest).collect();
-        for (name, entry) in told {
+        let received: Vec<_> = order.iter().map(|at| history[at % history.len()].clone()).chain(rest).collect();
+        for (name, entry) in received {
             let known = newest.entry(name.clone()).or_insert_with(|| entry.clone());
             if known.stamp < entry.stamp {
                 *known = entry.clone();
             }
-            held.merge(0.0, vec![(name, entry)]);
-            let mut whole = self::held();
-            whole.merge(0.0, newest.clone().into_iter().collect());
-            proptest::prop_assert_eq!(answers(&held), answers(&whole));
+            state.merge(0.0, vec![(name, entry)]);
+            let mut expected = new_state();
+            expected.merge(0.0, newest.clone().into_iter().collect());
+            proptest::prop_assert_eq!(lookups(&state), lookups(&expected));
         }
-        // All has come: of each claim there is one holder, and it has it.
+        // Everything has arrived: each claim has one holder, and the lookup finds it.
         for (holder, entry) in &newest {
             let claim = entry.body.as_deref().and_then(|body| {
                 (0..CLAIMS).find(|claim| body.contains(&format!("/p{claim}/")) || body.contains(&format!("\"k{claim}\"")))
             });
             let Some(claim) = claim else { continue };
             let at = if holder.starts_with("r:") { claim } else { CLAIMS + claim };
-            let answered = answers(&held);
-            proptest::prop_assert_eq!(answered[at].as_deref(), Some(&holder[2..]));
+            let found = lookups(&state);
+            proptest::prop_assert_eq!(found[at].as_deref(), Some(&holder[2..]));
         }
     }
 }
