--- a/system/proxy/src/decision_input.rs
+++ b/system/proxy/src/decision_input.rs
@@ -1,4 +1,5 @@
-//! What the decisions of a proxy are told: their settings, and the backends of a service with their terms. No I/O and no clock.
+//! The input of the decision module: the settings of an engine, and the backends of a service with their
+//! terms. Performs no I/O and reads no clock.
 
 use crate::routing_state::KnownBackend;
 use doorcourse::{
@@ -6,16 +7,17 @@
 };
 use fennelscale_settings::list::Host;
 
-/// The plan that all requests are under: quotas are the lease cache's.
+/// The plan of all requests; the lease cache enforces quotas.
 pub const PLAN: &str = "mesh";
-/// The class of requests of which nothing else is known.
+/// The class of requests for which no other class is known.
 pub const DEFAULT_CLASS: &str = "usual";
-/// The longest time that a refused client is told to stay away: it heeds a third of what is left.
-const ADVICE: f64 = 500.0;
-/// Between two rounds of housekeeping of one engine, in ms.
-const SWEEP: f64 = 100.0;
+/// The longest delay in ms after which a refused client is told to retry: it heeds at most a third of its
+/// remaining time.
+const MAX_RETRY_AFTER: f64 = 500.0;
+/// Interval of the housekeeping of one engine, in ms.
+const SWEEP_INTERVAL: f64 = 100.0;
 
-/// The settings of the decisions of one service.
+/// The settings of the decision engine of one service.
 pub fn engine_settings(zone: &Name) -> Settings {
     let class = Class {
         name: DEFAULT_CLASS.into(),
@@ -43,40 +45,40 @@
         number: 0,
         zone: zone.clone(),
         tick: 1.0,
-        sweep: SWEEP,
+        sweep: SWEEP_INTERVAL,
         classes: vec![class],
         plans: vec![plan],
         cancel: true,
         most_attempts: 3,
-        longest_advice: ADVICE,
+        longest_advice: MAX_RETRY_AFTER,
         ..Settings::default()
     }
 }
 
-/// What is told of the backends of a service: where connections go, and what the decisions heed.
+/// The backends of a service, for the connections and for the decision module.
 pub struct DecisionInput {
-    /// The backends with their addresses. One whose address cannot be read is as good as not listed.
+    /// The backends with their addresses. A backend whose address cannot be parsed is left out.
     pub hosts: Vec<Host>,
-    /// The same backends with their terms, as one event: nothing is chosen between the two.
+    /// The same backends with their terms, as one event: no backend is chosen before its terms are known.
     pub event: Event,
 }
 
-/// All backends of a service, as they are told. The decisions' clock is ahead of the one that the terms are told by, by
-/// `shift` ms.
-pub fn build(known: &[KnownBackend], terms: MeshTerms, shift: f64) -> DecisionInput {
+/// Builds the input from all backends of a service. The clock of the decision module is `clock_shift` ms
+/// ahead of the clock of the terms.
+pub fn build(known: &[KnownBackend], terms: MeshTerms, clock_shift: f64) -> DecisionInput {
     let mut hosts = Vec::with_capacity(known.len());
     let mut backends = Vec::with_capacity(known.len());
     for known in known {
         let Ok(dial) = known.backend.address.parse() else { continue };
-        let entry = entry_of(known);
-        let cold_until = known.terms.cold_until + shift;
+        let entry = backend_entry(known);
+        let cold_until = known.terms.cold_until + clock_shift;
         backends.push((entry.clone(), BackendTerms { cold_until, ..known.terms }));
         hosts.push(Host { entry, dial });
     }
     DecisionInput { hosts, event: Event::Mesh(terms, backends) }
 }
 
-fn entry_of(known: &KnownBackend) -> BackendEntry {
+fn backend_entry(known: &KnownBackend) -> BackendEntry {
     BackendEntry {
         name: known.backend.id.as_str().into(),
         zone: known.backend.zone.as_str().into(),
--- a/system/proxy/tests/cold_owners.rs
+++ b/system/proxy/tests/cold_owners.rs
@@ -1,4 +1,4 @@
-//! Which proxy owns a cold backend, while members come and go.
+//! Tests of the ownership of cold backends while members join and leave.
 
 use fennelscale_messages::Host;
 use fennelscale_messages::news::{Backend, Member};
@@ -23,7 +23,7 @@
     }
 }
 
-fn owned(owners: &ColdOwners, now: f64, proxy: u32) -> usize {
+fn owned_count(owners: &ColdOwners, now: f64, proxy: u32) -> usize {
     let ids = (0..100).map(|n| format!("i-{n}"));
     ids.filter(|id| owners.owns(now, Host(proxy), &backend(id), |_| "r")).count()
 }
@@ -32,37 +32,37 @@
 fn proxies_of_the_zone_share_its_backends_and_others_own_none() {
     let mut owners = ColdOwners::default();
     owners.set_members(0.0, &[member(1, "a", true), member(2, "a", true), member(3, "b", true)]);
-    let all = [1, 2, 3].map(|proxy| owned(&owners, TAKEOVER_GRACE, proxy));
+    let all = [1, 2, 3].map(|proxy| owned_count(&owners, TAKEOVER_GRACE, proxy));
     assert!(all[0] > 30 && all[1] > 30 && all[0] + all[1] == 100 && all[2] == 0, "{all:?}");
 }
 
 #[test]
 fn a_proxy_that_has_just_started_owns_nothing_yet() {
     let mut owners = ColdOwners::default();
-    assert_eq!(owned(&owners, 0.0, 1), 0);
+    assert_eq!(owned_count(&owners, 0.0, 1), 0);
     owners.set_members(0.0, &[member(1, "a", true)]);
     owners.set_members(TAKEOVER_GRACE - 1.0, &[member(1, "a", true)]);
-    assert_eq!([TAKEOVER_GRACE - 1.0, TAKEOVER_GRACE].map(|now| owned(&owners, now, 1)), [0, 100]);
+    assert_eq!([TAKEOVER_GRACE - 1.0, TAKEOVER_GRACE].map(|now| owned_count(&owners, now, 1)), [0, 100]);
 }
 
 #[test]
-fn nobody_takes_over_from_one_that_may_still_send() {
+fn no_proxy_takes_over_while_the_former_owner_may_still_send() {
     let mut owners = ColdOwners::default();
     let both = |ready| [member(1, "a", true), member(2, "a", ready)];
     owners.set_members(0.0, &both(true));
-    let (now, before) = (2.0 * TAKEOVER_GRACE, owned(&owners, 2.0 * TAKEOVER_GRACE, 1));
-    // It is missing, or not ready; a shorter list later does not begin the time anew.
+    let (now, before) = (2.0 * TAKEOVER_GRACE, owned_count(&owners, 2.0 * TAKEOVER_GRACE, 1));
+    // The other proxy is missing, or not ready; a later list without it does not restart the grace period.
     for list in [vec![member(1, "a", true)], both(false).to_vec()] {
         let mut owners = owners.clone();
         owners.set_members(now, &list);
         assert!(owners.may_change(now + SECOND, SECOND));
         owners.set_members(now + SECOND, &list);
         let [early, late] =
-            [now + TAKEOVER_GRACE - 1.0, now + TAKEOVER_GRACE].map(|now| owned(&owners, now, 1));
+            [now + TAKEOVER_GRACE - 1.0, now + TAKEOVER_GRACE].map(|now| owned_count(&owners, now, 1));
         assert_eq!((early, late), (before, 100));
         assert!(!owners.may_change(now + TAKEOVER_GRACE + SECOND, SECOND));
     }
     owners.set_members(now, &[member(1, "a", true)]);
     owners.set_members(now + SECOND, &both(true));
-    assert_eq!(owned(&owners, now + TAKEOVER_GRACE, 1), before, "it is there again");
+    assert_eq!(owned_count(&owners, now + TAKEOVER_GRACE, 1), before, "the other proxy is listed again");
 }
