--- a/system/experiments/src/capacity.rs
+++ b/system/experiments/src/capacity.rs
@@ -221,7 +221,7 @@
     let listing = Listing { stamp: (1, Host(1)), backends: (0..backends).map(backend).collect() };
     let bytes = frame(&Down::Listing(listing.clone())).len() as f64;
     let mut held = held();
-    held.set_listing(0.0, listing);
+    held.set_backend_list(0.0, listing);
     let begun = Instant::now();
     for service in 0..SERVICES {
         black_box(held.backends(1.0, &format!("s{service}")));
--- a/system/proxy/src/cold_owners.rs
+++ b/system/proxy/src/cold_owners.rs
@@ -36,13 +36,13 @@
 pub struct ColdOwners {
     candidates: BTreeMap<Host, Candidate>,
     /// When this process received its first list of members.
-    first_members_at: Option<f64>,
+    first_list_at: Option<f64>,
 }
 
 impl ColdOwners {
     /// Takes over a list of all members received now.
-    pub fn set_members(&mut self, now: f64, members: &[Member]) {
-        self.first_members_at.get_or_insert(now);
+    pub fn set_proxies(&mut self, now: f64, members: &[Member]) {
+        self.first_list_at.get_or_insert(now);
         for candidate in self.candidates.values_mut() {
             candidate.missing_since.get_or_insert(now);
         }
@@ -57,14 +57,14 @@
     pub fn owns<'a>(
         &self, now: f64, proxy: Host, backend: &Backend, region_of: impl Fn(&str) -> &'a str,
     ) -> bool {
-        let settled = self.first_members_at.is_some_and(|first| now - first >= TAKEOVER_GRACE);
+        let settled = self.first_list_at.is_some_and(|first| now - first >= TAKEOVER_GRACE);
         settled && self.owner(now, backend, region_of(&backend.zone)) == Some(proxy)
     }
 
     /// Whether ownership may change with time alone, or has done so within the last `slack` ms.
     pub fn may_change(&self, now: f64, slack: f64) -> bool {
         let recent = |since: f64| now - since < TAKEOVER_GRACE + slack;
-        self.first_members_at.is_some_and(recent)
+        self.first_list_at.is_some_and(recent)
             || self.candidates.values().filter_map(|candidate| candidate.missing_since).any(recent)
     }
 
--- a/system/proxy/src/decision_input.rs
+++ b/system/proxy/src/decision_input.rs
@@ -71,8 +71,8 @@
     for known in known {
         let Ok(dial) = known.backend.address.parse() else { continue };
         let entry = backend_entry(known);
-        let cold_until = known.terms.cold_until + clock_shift;
-        backends.push((entry.clone(), BackendTerms { cold_until, ..known.terms }));
+        let cold_until = known.parameters.cold_until + clock_shift;
+        backends.push((entry.clone(), BackendTerms { cold_until, ..known.parameters }));
         hosts.push(Host { entry, dial });
     }
     DecisionInput { hosts, event: Event::Mesh(terms, backends) }
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -115,8 +115,8 @@
         for (what, count) in figures {
             self.copies.get_or_create(&CopyLabel { what }).inner().store(count, Ordering::Relaxed);
         }
-        self.listing.set(i64::try_from(held.listing.stamp.0).unwrap_or(i64::MAX));
-        self.members.set(held.members.iter().filter(|member| member.ready).count() as i64);
+        self.listing.set(i64::try_from(held.backend_list.stamp.0).unwrap_or(i64::MAX));
+        self.members.set(held.proxies.iter().filter(|member| member.ready).count() as i64);
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -333,24 +333,24 @@
     fn tell_parts(&self) {
         let known = self.copies.get();
         self.copies.set(CopyFigures { compared: known.compared + 1, ..known });
-        self.send(&Up::Have(self.held.borrow().part_checksums()));
+        self.send(&Up::Have(self.held.borrow().digest()));
     }
 
     /// The first word of a session: one that holds a copy is sent only what it lacks.
     pub fn greeting(&self) -> Up {
         let held = self.held.borrow();
-        if held.checksum() == 0 {
+        if held.items_hash() == 0 {
             drop(held);
             return Up::Hello(self.member());
         }
-        let parts = held.part_checksums();
+        let parts = held.digest();
         drop(held);
         Up::Resume(self.member(), parts)
     }
 
     pub fn beat(&self) -> Up {
         let held = self.held.borrow();
-        let (items, listing) = (held.checksum(), held.listing.stamp);
+        let (items, listing) = (held.items_hash(), held.backend_list.stamp);
         Up::Beat { ready: self.is_ready(), items, listing, alone: self.cache.borrow().alone(self.now()) }
     }
 
@@ -403,7 +403,7 @@
     pub fn others(&self) -> Vec<Host> {
         let held = self.held.borrow();
         let mut others: Vec<(bool, Host)> = held
-            .members
+            .proxies
             .iter()
             .filter(|m| m.host != self.host)
             .map(|m| (m.region != self.settings.region, m.host))
@@ -414,13 +414,13 @@
 
     pub fn have(&self) -> Beside {
         let held = self.held.borrow();
-        Beside::Have { items: held.part_checksums(), listing: held.listing.stamp }
+        Beside::Have { items: held.digest(), listing: held.backend_list.stamp }
     }
 
     pub fn news_for(&self, items: &[u64], listing: (u64, Host)) -> Beside {
         let held = self.held.borrow();
-        let newer = (held.listing.stamp > listing).then(|| held.listing.clone());
-        let members = (held.members.clone(), held.known_proxy_count());
+        let newer = (held.backend_list.stamp > listing).then(|| held.backend_list.clone());
+        let members = (held.proxies.clone(), held.known_proxy_count());
         Beside::News { entries: held.entries_in_differing_parts(items), listing: newer, members }
     }
 
@@ -460,7 +460,7 @@
             Down::Listing(listing) => {
                 let was = self.held.borrow().is_ready();
                 let now = self.now();
-                if self.held.borrow_mut().set_listing(now, listing) {
+                if self.held.borrow_mut().set_backend_list(now, listing) {
                     self.update();
                 }
                 self.tell_ready(was);
@@ -468,7 +468,7 @@
             Down::Members(members, gateways) => {
                 {
                     let mut held = self.held.borrow_mut();
-                    held.set_members(self.now(), members, gateways);
+                    held.set_proxies(self.now(), members, gateways);
                     self.cache.borrow_mut().gateways(held.proxy_count);
                 }
                 self.update();
--- a/system/proxy/src/routing_state.rs
+++ b/system/proxy/src/routing_state.rs
@@ -61,7 +61,7 @@
     /// The index of its region among all regions, sorted by name.
     pub region_index: u64,
     /// The terms for the choice of a backend.
-    pub terms: doorcourse::BackendTerms,
+    pub parameters: doorcourse::BackendTerms,
 }
 
 /// A node that returned to service.
@@ -82,7 +82,7 @@
     /// The routing table built from the items.
     pub table: Table,
     /// The newest list of backends.
-    pub listing: Listing,
+    pub backend_list: Listing,
     /// When the newest list arrived.
     listed_at: f64,
     /// Backends that were listed as draining: a draining backend never accepts requests again.
@@ -94,7 +94,7 @@
     /// True time and the local time at which it was received; drains end by it.
     true_time: Option<(f64, Span)>,
     /// All proxies.
-    pub members: Vec<Member>,
+    pub proxies: Vec<Member>,
     /// Which proxy sends to each cold backend.
     cold_owners: ColdOwners,
     /// The number of proxies by which shares are divided.
@@ -110,13 +110,13 @@
             location,
             items: Copied::default(),
             table: Table::default(),
-            listing: Listing::default(),
+            backend_list: Listing::default(),
             listed_at: 0.0,
             drained_backends: BTreeSet::new(),
             returned_nodes: BTreeMap::new(),
             drained_nodes: BTreeSet::new(),
             true_time: None,
-            members: Vec::new(),
+            proxies: Vec::new(),
             cold_owners: ColdOwners::default(),
             // Until the number is known, the share of this proxy is zero.
             proxy_count: f64::INFINITY,
@@ -125,12 +125,12 @@
     }
 
     /// A checksum over all items.
-    pub fn checksum(&self) -> u64 {
+    pub fn items_hash(&self) -> u64 {
         self.items.sum()
     }
 
     /// Checksums of the items, one for each part of the key space.
-    pub fn part_checksums(&self) -> Vec<u64> {
+    pub fn digest(&self) -> Vec<u64> {
         self.items.parts().to_vec()
     }
 
@@ -141,11 +141,11 @@
 
     /// Sets all proxies and the number by which shares are divided; 0 means unknown and keeps the previous
     /// number.
-    pub fn set_members(&mut self, now: f64, members: Vec<Member>, proxies: u32) {
-        self.cold_owners.set_members(now, &members);
-        self.members = members;
-        if proxies > 0 {
-            self.proxy_count = f64::from(proxies);
+    pub fn set_proxies(&mut self, now: f64, proxies: Vec<Member>, count: u32) {
+        self.cold_owners.set_proxies(now, &proxies);
+        self.proxies = proxies;
+        if count > 0 {
+            self.proxy_count = f64::from(count);
         }
     }
 
@@ -156,7 +156,7 @@
 
     /// Whether the state suffices to serve clients.
     pub fn is_ready(&self) -> bool {
-        self.up_to_date && self.listing.stamp.0 > 0 && !self.table.services.is_empty()
+        self.up_to_date && self.backend_list.stamp.0 > 0 && !self.table.services.is_empty()
     }
 
     /// Merges received entries and returns the names of those that were newer than the known ones.
@@ -184,8 +184,8 @@
     }
 
     /// Takes over a received list; returns false if it is not newer than the known one.
-    pub fn set_listing(&mut self, now: f64, listing: Listing) -> bool {
-        if listing.stamp <= self.listing.stamp {
+    pub fn set_backend_list(&mut self, now: f64, listing: Listing) -> bool {
+        if listing.stamp <= self.backend_list.stamp {
             return false;
         }
         for backend in listing.backends.iter().filter(|b| b.draining) {
@@ -194,7 +194,7 @@
         while self.drained_backends.len() > MAX_DRAINED_IDS {
             self.drained_backends.pop_first();
         }
-        (self.listing, self.listed_at) = (listing, now);
+        (self.backend_list, self.listed_at) = (listing, now);
         true
     }
 
@@ -242,7 +242,7 @@
     /// requests of this proxy; `has_clients` tells whether any clients are connected to it.
     pub fn idle_nodes(&self, working: &BTreeSet<String>, has_clients: bool) -> Vec<String> {
         let zone_of =
-            |id: &String| self.listing.backends.iter().find(|b| b.id == *id).map(|b| b.zone.as_str());
+            |id: &String| self.backend_list.backends.iter().find(|b| b.id == *id).map(|b| b.zone.as_str());
         let busy = |node: &&Node| match node {
             Node::Backend(id) => working.contains(id),
             Node::Proxy(host) => *host == self.location.host && has_clients,
@@ -274,7 +274,7 @@
 
     /// Whether the list contains a backend that is cold now.
     fn has_cold(&self, now: f64) -> bool {
-        let mut spans = self.listing.backends.iter().map(|backend| backend.cold_ms);
+        let mut spans = self.backend_list.backends.iter().map(|backend| backend.cold_ms);
         spans.any(|span| span > 0 && now < self.listed_at + f64::from(span))
     }
 
@@ -283,7 +283,7 @@
         let longest = self.table.services.values().map(|service| service.cold_start).fold(0.0, f64::max);
         let retention = longest.max(MIN_COLD_AFTER_RETURN) + self.location.max_list_age;
         self.returned_nodes.retain(|_, returned| now < returned.heard_at + retention);
-        let listed = self.listing.backends.iter().filter(|b| b.service == service);
+        let listed = self.backend_list.backends.iter().filter(|b| b.service == service);
         let own = self.own_backends(listed.clone());
         listed
             .map(|backend| self.known_backend(now, service, backend, own.get(backend.id.as_str()).copied()))
@@ -301,7 +301,7 @@
             backends.filter(|b| is_local(&b.zone) && self.accepts_requests(b)).collect();
         let hash_of = |b: &Backend| fennelscale_messages::hash(b.id.as_bytes());
         local.sort_by_key(|b| (hash_of(b), &b.id));
-        let proxies = self.members.iter().filter(|m| m.ready && m.region == self.location.region);
+        let proxies = self.proxies.iter().filter(|m| m.ready && m.region == self.location.region);
         let tie_break = |b: &Backend, m: &Member| fennelscale_messages::mix(hash_of(b) ^ u64::from(m.host.0));
         let mut own = BTreeMap::new();
         if local.len() >= proxies.clone().count() {
@@ -379,7 +379,7 @@
         } else {
             (REMOTE_ROUND_TRIP, CROSS_REGION_COST)
         };
-        let sharers = self.members.iter().filter(|m| m.ready && m.region == region).count().max(1) as f64;
+        let sharers = self.proxies.iter().filter(|m| m.ready && m.region == region).count().max(1) as f64;
         let (own, sharers) = (own.is_some(), own.unwrap_or(sharers));
         let listed_until =
             if backend.cold_ms > 0 { self.listed_at + f64::from(backend.cold_ms) } else { 0.0 };
@@ -389,13 +389,13 @@
         let owns = || self.cold_owners.owns(now, self.location.host, backend, |zone| self.region_of(zone));
         let cold_per_s = if cold_until > now && owns() { cold_rate * COLD_RATE_SHARE } else { 0.0 };
         let slots = f64::from(backend.slots.max(1));
-        let terms = doorcourse::BackendTerms { slots, sharers, own, way, price, cold_until, cold_per_s };
-        KnownBackend { backend: backend.clone(), ready, region_index: self.region_index(region), terms }
+        let parameters = doorcourse::BackendTerms { slots, sharers, own, way, price, cold_until, cold_per_s };
+        KnownBackend { backend: backend.clone(), ready, region_index: self.region_index(region), parameters }
     }
 
     /// The terms that apply to all backends of a service together; retries are bounded by `retry_ratio` and
     /// `retry_slack`.
-    pub fn mesh_terms(&self, retry_ratio: f64, retry_slack: f64) -> doorcourse::MeshTerms {
+    pub fn fleet_parameters(&self, retry_ratio: f64, retry_slack: f64) -> doorcourse::MeshTerms {
         doorcourse::MeshTerms { gateways: self.proxy_count, retry_ratio, retry_slack, usual: DEFAULT_LATENCY }
     }
 }
--- a/system/proxy/src/routing_state/tests.rs
+++ b/system/proxy/src/routing_state/tests.rs
@@ -24,7 +24,7 @@
         cold_ms: 0,
     };
     let backends = vec![backend("x", "a"), backend("y", "a"), backend("z", "b")];
-    state.set_listing(0.0, Listing { stamp: (1, Host(2)), backends });
+    state.set_backend_list(0.0, Listing { stamp: (1, Host(2)), backends });
     state
 }
 
@@ -50,7 +50,7 @@
     assert_eq!(ready_backends(&mut state, 11.0), ["x", "y", "z"]);
     assert!(!state.is_drained());
     let cold = |state: &mut RoutingState, now| -> Vec<bool> {
-        state.backends(now, "s").iter().map(|known| known.terms.cold_until > now).collect()
+        state.backends(now, "s").iter().map(|known| known.parameters.cold_until > now).collect()
     };
     assert_eq!(cold(&mut state, 12.0), [true, false, true]);
     assert_eq!(cold(&mut state, 10.0 + MIN_COLD_AFTER_RETURN + 501.0), [false, false, false]);
@@ -80,7 +80,7 @@
 
 fn is_cold(state: &mut RoutingState, now: f64) -> bool {
     let known = state.backends(now, "s");
-    known.iter().any(|known| known.backend.zone == "b" && known.terms.cold_until > now)
+    known.iter().any(|known| known.backend.zone == "b" && known.parameters.cold_until > now)
 }
 
 #[test]
@@ -100,11 +100,11 @@
         assert!(!is_cold(&mut state, 10_000.0 + COLD_START + lag));
         // A list that may have been read before the return proves nothing; one that was read later does.
         let mut state = returned_zone(missed_start);
-        let listing = state.listing.clone();
+        let listing = state.backend_list.clone();
         let at = |number| Listing { stamp: (number, Host(2)), ..listing.clone() };
-        state.set_listing(10_000.0 + lag, at(2));
+        state.set_backend_list(10_000.0 + lag, at(2));
         assert!(is_cold(&mut state, 10_000.0 + lag));
-        state.set_listing(10_000.0 + lag + LIST_PROPAGATION, at(3));
+        state.set_backend_list(10_000.0 + lag + LIST_PROPAGATION, at(3));
         assert!(!is_cold(&mut state, 10_000.0 + lag + LIST_PROPAGATION));
     }
 }
--- a/system/proxy/src/service_engines.rs
+++ b/system/proxy/src/service_engines.rs
@@ -183,7 +183,7 @@
         let shift = self.engine.now() - now;
         let known = held.backends(now, name);
         let DecisionInput { hosts, event } =
-            decision_input::build(&known, held.mesh_terms(ratio, slack), shift);
+            decision_input::build(&known, held.fleet_parameters(ratio, slack), shift);
         self.seq.set(self.seq.get() + 1);
         // Connections first, so that nothing is sent by an older list: what was chosen by one that names others is withdrawn.
         self.backends.update(&List { seq: self.seq.get(), whole: true, hosts });
--- a/system/simulation/src/decisions.rs
+++ b/system/simulation/src/decisions.rs
@@ -58,7 +58,7 @@
     pub(crate) fn tell(&mut self, now: Millis, held: &mut RoutingState) {
         self.updated = now;
         let known = held.backends(now, SERVICE);
-        let told = decision_input::build(&known, held.mesh_terms(RETRY.0, RETRY.1), 0.0);
+        let told = decision_input::build(&known, held.fleet_parameters(RETRY.0, RETRY.1), 0.0);
         self.handle(now, told.event);
     }
 
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -128,10 +128,10 @@
 
     pub(crate) fn dialled(&mut self, now: Millis, core: usize, life: u64) -> Up {
         (self.session, self.heard, self.beat_at) = (Some((core, life)), now, now + BEAT);
-        if self.held.checksum() == 0 {
+        if self.held.items_hash() == 0 {
             Up::Hello(self.member())
         } else {
-            Up::Resume(self.member(), self.held.part_checksums())
+            Up::Resume(self.member(), self.held.digest())
         }
     }
 
@@ -158,9 +158,9 @@
                 }
                 self.held.up_to_date |= fresh;
             }
-            Down::Listing(listing) => drop(self.held.set_listing(now, listing.clone())),
+            Down::Listing(listing) => drop(self.held.set_backend_list(now, listing.clone())),
             Down::Members(members, gateways) => {
-                self.held.set_members(now, members.clone(), *gateways);
+                self.held.set_proxies(now, members.clone(), *gateways);
                 self.cache.gateways(self.held.proxy_count);
             }
             Down::Grant(grant) => {
@@ -169,7 +169,7 @@
                 self.told(told);
             }
             Down::Beat { contact_age } => self.choice.record_heartbeat(now, f64::from(*contact_age)),
-            Down::Compare => out.push(Up::Have(self.held.part_checksums())),
+            Down::Compare => out.push(Up::Have(self.held.digest())),
             Down::Registries(_) | Down::Time(..) | Down::Recall(..) => {}
         }
         // As in the program: whatever may bear on the choice of a backend is told to the decisions with the word that brought it.
@@ -202,7 +202,8 @@
     }
 
     fn beat(&self, now: Millis) -> Up {
-        let (ready, items, listing) = (self.held.is_ready(), self.held.checksum(), self.held.listing.stamp);
+        let (ready, items, listing) =
+            (self.held.is_ready(), self.held.items_hash(), self.held.backend_list.stamp);
         Up::Beat { ready, items, listing, alone: self.cache.alone(now) }
     }
 
