--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -453,7 +453,7 @@
                 both
             }
         };
-        let cells = regions.into_iter().map(|region| held.cell(region)).collect();
+        let cells = regions.into_iter().map(|region| held.region_index(region)).collect();
         Ok(Arc::new(RequestConstraints {
             cells,
             max_attempts: route.max_attempts,
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -335,24 +335,24 @@
     fn tell_parts(&self) {
         let known = self.copies.get();
         self.copies.set(CopyFigures { compared: known.compared + 1, ..known });
-        self.send(&ProxyToRegistry::Digest(self.held.borrow().part_checksums()));
+        self.send(&ProxyToRegistry::Digest(self.held.borrow().digest()));
     }
 
     /// The first word of a session: one that holds a copy is sent only what it lacks.
     pub fn greeting(&self) -> ProxyToRegistry {
         let held = self.held.borrow();
-        if held.checksum() == 0 {
+        if held.items_hash() == 0 {
             drop(held);
             return ProxyToRegistry::Hello(self.member());
         }
-        let parts = held.part_checksums();
+        let parts = held.digest();
         drop(held);
         ProxyToRegistry::Resume(self.member(), parts)
     }
 
     pub fn beat(&self) -> ProxyToRegistry {
         let held = self.held.borrow();
-        let (items, listing) = (held.checksum(), held.listing.stamp);
+        let (items, listing) = (held.items_hash(), held.backend_list.stamp);
         ProxyToRegistry::Heartbeat {
             ready: self.is_ready(),
             items_hash: items,
@@ -410,7 +410,7 @@
     pub fn others(&self) -> Vec<Host> {
         let held = self.held.borrow();
         let mut others: Vec<(bool, Host)> = held
-            .members
+            .proxies
             .iter()
             .filter(|m| m.host != self.host)
             .map(|m| (m.region != self.settings.region, m.host))
@@ -421,13 +421,13 @@
 
     pub fn have(&self) -> ProxyMessage {
         let held = self.held.borrow();
-        ProxyMessage::Digest { items: held.part_checksums(), list_stamp: held.listing.stamp }
+        ProxyMessage::Digest { items: held.digest(), list_stamp: held.backend_list.stamp }
     }
 
     pub fn news_for(&self, items: &[u64], listing: (u64, Host)) -> ProxyMessage {
         let held = self.held.borrow();
-        let newer = (held.listing.stamp > listing).then(|| held.listing.clone());
-        let members = (held.members.clone(), held.known_proxy_count());
+        let newer = (held.backend_list.stamp > listing).then(|| held.backend_list.clone());
+        let members = (held.proxies.clone(), held.known_proxy_count());
         ProxyMessage::Update {
             entries: held.entries_in_differing_parts(items),
             backend_list: newer,
@@ -471,7 +471,7 @@
             RegistryToProxy::BackendList(listing) => {
                 let was = self.held.borrow().is_ready();
                 let now = self.now();
-                if self.held.borrow_mut().set_listing(now, listing) {
+                if self.held.borrow_mut().set_backend_list(now, listing) {
                     self.update();
                 }
                 self.tell_ready(was);
@@ -479,7 +479,7 @@
             RegistryToProxy::Proxies(members, gateways) => {
                 {
                     let mut held = self.held.borrow_mut();
-                    held.set_members(self.now(), members, gateways);
+                    held.set_proxies(self.now(), members, gateways);
                     self.cache.borrow_mut().gateways(held.proxy_count);
                 }
                 self.update();
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -128,10 +128,10 @@
 
     pub(crate) fn dialled(&mut self, now: Millis, core: usize, life: u64) -> ProxyToRegistry {
         (self.session, self.heard, self.beat_at) = (Some((core, life)), now, now + BEAT);
-        if self.held.checksum() == 0 {
+        if self.held.items_hash() == 0 {
             ProxyToRegistry::Hello(self.member())
         } else {
-            ProxyToRegistry::Resume(self.member(), self.held.part_checksums())
+            ProxyToRegistry::Resume(self.member(), self.held.digest())
         }
     }
 
@@ -158,9 +158,9 @@
                 }
                 self.held.up_to_date |= fresh;
             }
-            RegistryToProxy::BackendList(listing) => drop(self.held.set_listing(now, listing.clone())),
+            RegistryToProxy::BackendList(listing) => drop(self.held.set_backend_list(now, listing.clone())),
             RegistryToProxy::Proxies(members, gateways) => {
-                self.held.set_members(now, members.clone(), *gateways);
+                self.held.set_proxies(now, members.clone(), *gateways);
                 self.cache.gateways(self.held.proxy_count);
             }
             RegistryToProxy::Grant(grant) => {
@@ -171,7 +171,7 @@
             RegistryToProxy::Heartbeat { contact_age } => {
                 self.choice.record_heartbeat(now, f64::from(*contact_age))
             }
-            RegistryToProxy::RequestDigest => out.push(ProxyToRegistry::Digest(self.held.part_checksums())),
+            RegistryToProxy::RequestDigest => out.push(ProxyToRegistry::Digest(self.held.digest())),
             RegistryToProxy::Registries(_)
             | RegistryToProxy::Time(..)
             | RegistryToProxy::LookUpRequest(..) => {}
@@ -208,7 +208,7 @@
     }
 
     fn beat(&self, now: Millis) -> ProxyToRegistry {
-        let (ready, items, listing) = (self.held.is_ready(), self.held.checksum(), self.held.listing.stamp);
+        let (ready, items, listing) = (self.held.is_ready(), self.held.items_hash(), self.held.backend_list.stamp);
         ProxyToRegistry::Heartbeat {
             ready,
             items_hash: items,
