--- a/system/membership/tests/registries.rs
+++ b/system/membership/tests/registries.rs
@@ -466,9 +466,11 @@
                         copy.merge(name, entry);
                     });
                 }
-                RegistryToProxy::RequestDigest => {
-                    round.receive_from_proxy(now, Host(100), ProxyToRegistry::Digest(copy.part_checksums().to_vec()))
-                }
+                RegistryToProxy::RequestDigest => round.receive_from_proxy(
+                    now,
+                    Host(100),
+                    ProxyToRegistry::Digest(copy.part_checksums().to_vec()),
+                ),
                 _ => {}
             }
         }
--- a/system/proxy/src/routing_state.rs
+++ b/system/proxy/src/routing_state.rs
@@ -297,17 +297,19 @@
     /// state compute the same assignment.
     fn own_backends<'a>(&self, backends: impl Iterator<Item = &'a Backend>) -> BTreeMap<&'a str, f64> {
         let is_local = |zone: &str| self.region_of(zone) == self.location.region;
-        let mut local: Vec<&Backend> = backends.filter(|b| is_local(&b.zone) && self.accepts_requests(b)).collect();
+        let mut local: Vec<&Backend> =
+            backends.filter(|b| is_local(&b.zone) && self.accepts_requests(b)).collect();
         let hash_of = |b: &Backend| fennelscale_messages::hash(b.id.as_bytes());
         local.sort_by_key(|b| (hash_of(b), &b.id));
         let proxies = self.proxies.iter().filter(|m| m.ready && m.region == self.location.region);
-        let tie_break = |b: &Backend, m: &ProxyInfo| fennelscale_messages::mix(hash_of(b) ^ u64::from(m.host.0));
+        let tie_break =
+            |b: &Backend, m: &ProxyInfo| fennelscale_messages::mix(hash_of(b) ^ u64::from(m.host.0));
         let mut own = BTreeMap::new();
         if local.len() >= proxies.clone().count() {
             let mut assigned_slots: Vec<(u32, &ProxyInfo)> = proxies.map(|m| (0, m)).collect();
             for backend in local {
-                let rank =
-                    |(slots, m): &&mut (u32, &ProxyInfo)| { (*slots, m.zone != backend.zone, tie_break(backend, m))
+                let rank = |(slots, m): &&mut (u32, &ProxyInfo)| {
+                    (*slots, m.zone != backend.zone, tie_break(backend, m))
                 };
                 let Some((slots, member)) = assigned_slots.iter_mut().min_by_key(rank) else { continue };
                 *slots += backend.slots.max(1);
@@ -407,7 +409,7 @@
             gateways: self.proxy_count,
             retry_ratio,
             retry_slack,
-            typical_latency: DEFAULT_LATENCY
+            typical_latency: DEFAULT_LATENCY,
         }
     }
 }
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -208,7 +208,8 @@
     }
 
     fn beat(&self, now: Millis) -> ProxyToRegistry {
-        let (ready, items, listing) = (self.held.is_ready(), self.held.items_hash(), self.held.backend_list.stamp);
+        let (ready, items, listing) =
+            (self.held.is_ready(), self.held.items_hash(), self.held.backend_list.stamp);
         ProxyToRegistry::Heartbeat {
             ready,
             items_hash: items,
