--- a/crates/emulator/benches/counter_loss.rs
+++ b/crates/emulator/benches/counter_loss.rs
@@ -59,10 +59,16 @@
         world.run_until(back + AFTER);
         for account in 0..FLOODS {
             let terms = world.terms(account);
-            let bound = Bound { terms, loss: Loss::Whole, counters: 1.0, detection: 300.0, skew: 0.0 };
-            nearest = nearest.max(fullest(world.sent(account), |span| bound.units(span)));
-            past = past.max(overshoot(world.sent(account), |span| bound.ceiling(span)));
-            past_bound = past_bound.max(bound.units(back) - bound.ceiling(back));
+            let bound = Bound {
+                quota: terms,
+                loss: Loss::Whole,
+                split_counters: 1.0,
+                detection_time: 300.0,
+                clock_skew: 0.0,
+            };
+            nearest = nearest.max(fullest(world.sent(account), |span| bound.max_units(span)));
+            past = past.max(overshoot(world.sent(account), |span| bound.ceiling_units(span)));
+            past_bound = past_bound.max(bound.max_units(back) - bound.ceiling_units(back));
         }
         let spans = [(2000.0, BEGIN), (BEGIN, back), (back, back + AFTER)];
         for (sum, (from, to)) in services.iter_mut().zip(spans) {
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -1,7 +1,7 @@
 //! What a run came to.
 
 use crate::Millis;
-use fennelscale_quota::Slice;
+use fennelscale_quota::LocalBucket;
 
 /// Units sent on for one account at one moment.
 pub type Sent = (Millis, f64);
@@ -33,27 +33,27 @@
 /// A quota as it is meant: one store for all gateways, that knows everything at once.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ideal {
-    store: Slice,
+    store: LocalBucket,
 }
 
 impl Ideal {
     pub(crate) fn new(rate: f64, burst: f64) -> Self {
-        Self { store: Slice { held: burst, at: 0.0, rate, most: burst } }
+        Self { store: LocalBucket { units: burst, updated_at: 0.0, rate_per_s: rate, capacity: burst } }
     }
 
     fn fill(&mut self, now: Millis) {
-        (self.store.held, self.store.at) = (self.store.held_at(now), now);
+        (self.store.units, self.store.updated_at) = (self.store.units_at(now), now);
     }
 
     pub(crate) fn holds(&mut self, now: Millis, units: f64) -> bool {
         self.fill(now);
-        self.store.held + 1e-9 >= units
+        self.store.units + 1e-9 >= units
     }
 
     pub(crate) fn draw(&mut self, now: Millis, units: f64) {
         self.fill(now);
         // What is sent on beyond the quota is not owed by those inside it for longer than one burst.
-        self.store.held = (self.store.held - units).max(-self.store.most);
+        self.store.units = (self.store.units - units).max(-self.store.capacity);
     }
 }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -111,7 +111,7 @@
         addresses: &[&str], seed: u64, gateways: usize, plans: Vec<Plan>, accounts: Vec<Account>, loss: Loss,
     ) -> Self {
         let addresses: Vec<String> = addresses.iter().map(|address| (*address).to_owned()).collect();
-        let partition = Partition::of(&addresses).expect("usable addresses");
+        let partition = Partition::new(&addresses).expect("usable addresses");
         let counters = addresses.into_iter().map(|a| (a, Counters::new(gateways, COUNTER_PATIENCE)));
         let mut settings = settings(gateways, plans);
         settings.loss = loss;
@@ -209,7 +209,7 @@
     }
 
     /// The terms of an account's plan with all gateways.
-    pub fn terms(&self, account: usize) -> fennelscale_quota::Terms {
+    pub fn terms(&self, account: usize) -> fennelscale_quota::AccountQuota {
         let plan = &self.settings.plans[self.accounts[account].plan];
         plan.terms(self.gateways.len() as f64, UNITS)
     }
@@ -227,7 +227,7 @@
             self.counters.entry(address.clone()).or_insert_with(counter);
         }
         let instance = &mut self.gateways[gateway];
-        instance.partition.change(addresses, from).expect("usable addresses");
+        instance.partition.replace_counters(addresses, from).expect("usable addresses");
         let partition = instance.partition.clone();
         self.tell(gateway, Event::CounterPartition(partition));
     }
--- a/crates/emulator/tests/bound.rs
+++ b/crates/emulator/tests/bound.rs
@@ -35,7 +35,13 @@
 }
 
 fn bound(world: &World, account: usize, counters: f64) -> Bound {
-    Bound { terms: world.terms(account), loss: Loss::Whole, counters, detection: 300.0, skew: 0.0 }
+    Bound {
+        quota: world.terms(account),
+        loss: Loss::Whole,
+        split_counters: counters,
+        detection_time: 300.0,
+        clock_skew: 0.0,
+    }
 }
 
 /// The largest share of its bound that the flood (account 0) used up, over a few seeds.
@@ -51,7 +57,7 @@
         script.iter().for_each(|(at, step)| world.at(*at, step.clone()));
         world.run_until(LENGTH);
         let bound = bound(&world, 0, counters);
-        fullest(world.sent(0), |span| bound.units(span))
+        fullest(world.sent(0), |span| bound.max_units(span))
     };
     (0..5).map(run).fold(0.0, f64::max)
 }
@@ -179,8 +185,8 @@
             .enumerate()
             .for_each(|(g, at)| world.at(*at, Step::Partition(vec![g], next.clone(), from)));
         world.run_until(10_000.0);
-        let bound = Bound { detection: 3000.0, ..bound(&world, 0, counters) };
-        (0..6).map(|a| fullest(world.sent(a), |span| bound.units(span))).fold(0.0, f64::max)
+        let bound = Bound { detection_time: 3000.0, ..bound(&world, 0, counters) };
+        (0..6).map(|a| fullest(world.sent(a), |span| bound.max_units(span))).fold(0.0, f64::max)
     };
     (0..3).map(run).fold(0.0, f64::max)
 }
@@ -252,8 +258,8 @@
         world.run_until(LENGTH);
         for account in 0..3 {
             let detection = if splits { LENGTH } else { 300.0 };
-            let bound = Bound { detection, ..bound(&world, account, counters) };
-            let over = overshoot(world.sent(account), |span| bound.units(span));
+            let bound = Bound { detection_time: detection, ..bound(&world, account, counters) };
+            let over = overshoot(world.sent(account), |span| bound.max_units(span));
             prop_assert!(over <= 0.0, "account {account}: {over} units past the bound");
         }
     }
@@ -273,7 +279,7 @@
         world.run_until(LENGTH);
         for account in 0..3 {
             let bound = Bound { loss: Loss::Partial, ..bound(&world, account, 1.0) };
-            let over = overshoot(world.sent(account), |span| bound.units(span));
+            let over = overshoot(world.sent(account), |span| bound.max_units(span));
             prop_assert!(over <= 0.0, "account {account}: {over} units past the bound");
         }
     }
--- a/crates/quota/src/bound.rs
+++ b/crates/quota/src/bound.rs
@@ -1,6 +1,6 @@
 //! The bound: what all gateways together may send on for one account, whatever the counter does.
 
-use crate::{Millis, Share};
+use crate::{Millis, UsageShare};
 use serde::Deserialize;
 
 /// Which losses of the counter the parts are made for.
@@ -16,7 +16,7 @@
 
 /// An account's quota and ceiling.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct AccountQuota {
     /// Units a second inside the quota.
     pub rate: f64,
     /// Units at once inside the quota.
@@ -26,15 +26,15 @@
     /// Units that the ceiling holds.
     pub ceiling_burst: f64,
     /// The largest request, in units.
-    pub largest: f64,
+    pub max_request_units: f64,
     /// Gateways that serve the account, 1 or more.
     pub gateways: f64,
 }
 
-impl Terms {
+impl AccountQuota {
     /// How many times the quota the ceiling bears, in rate and at once; endless where there is none.
     #[must_use]
-    pub fn times(&self) -> f64 {
+    pub fn ceiling_multiple(&self) -> f64 {
         let times = |ceiling: f64, quota: f64| if quota > 0.0 { ceiling / quota } else { f64::INFINITY };
         if self.ceiling_rate <= 0.0 {
             return f64::INFINITY;
@@ -42,23 +42,23 @@
         times(self.ceiling_rate, self.rate).min(times(self.ceiling_burst, self.burst))
     }
 
-    /// The most that one gateway's part may be, as a share of the quota. Let c be [`Terms::times`] and S the gateways.
+    /// The most that one gateway's part may be, as a share of the quota. Let c be [`AccountQuota::ceiling_multiple`] and S the gateways.
     ///
     /// *Whole*: c / S. All parts together are c quotas, and the ceiling is that.
     /// *Partial*: (c - 1) / S. Those who still have the counter share one quota by it, all others' parts together are less
     /// than c - 1 quotas, and c is the ceiling.
     #[must_use]
-    pub fn part_most(&self, loss: Loss) -> f64 {
+    pub fn max_local_share(&self, loss: Loss) -> f64 {
         let spare = if loss == Loss::Whole { 0.0 } else { 1.0 };
-        ((self.times() - spare) / self.gateways.max(1.0)).max(0.0)
+        ((self.ceiling_multiple() - spare) / self.gateways.max(1.0)).max(0.0)
     }
 
     /// The part of the quota that a gateway spends alone, by what it knows of the use: its share of it, and the even part at
     /// least, as use moves from gateway to gateway. Never more than the ceiling bears.
     #[must_use]
-    pub fn part(&self, share: &Share, loss: Loss) -> f64 {
+    pub fn local_share(&self, share: &UsageShare, loss: Loss) -> f64 {
         let even = 1.0 / self.gateways.max(1.0);
-        share.part().unwrap_or(even).max(even).min(self.part_most(loss))
+        share.fraction().unwrap_or(even).max(even).min(self.max_local_share(loss))
     }
 }
 
@@ -66,22 +66,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     /// Quota and ceiling.
-    pub terms: Terms,
+    pub quota: AccountQuota,
     /// The losses that the parts are made for.
     pub loss: Loss,
     /// How many counters may each believe that they hold the whole count, while nobody knows: 1 where that cannot be.
-    pub counters: f64,
+    pub split_counters: f64,
     /// How long a gateway may go on by a counter that is not the others' any more.
-    pub detection: Millis,
+    pub detection_time: Millis,
     /// By how much the gateways' clocks differ: their windows and stores begin so far apart.
-    pub skew: Millis,
+    pub clock_skew: Millis,
 }
 
 impl Bound {
     /// The most units sent on in any span of so many milliseconds.
     ///
     /// Let the quota be r a second and b at once, the ceiling c times as much, S the gateways and p the most that one's part
-    /// is ([`Terms::part_most`], 1 at most). Let f be (c - 1) / S, or 1 if that is more.
+    /// is ([`AccountQuota::max_local_share`], 1 at most). Let f be (c - 1) / S, or 1 if that is more.
     ///
     /// 1. *By the counter* all gateways together are granted b + r t; what is in their blocks is granted already.
     /// 2. *By slices*. Each starts with f b at most and fills at p r up to p b.
@@ -96,12 +96,12 @@
     ///
     /// Restarts add nothing: a slice begun by a gateway that has just come starts empty.
     #[must_use]
-    pub fn units(&self, span: Millis) -> f64 {
-        let Terms { rate, burst, largest, gateways, .. } = self.terms;
-        let span = span.max(0.0) + self.skew;
+    pub fn max_units(&self, span: Millis) -> f64 {
+        let AccountQuota { rate, burst, max_request_units: largest, gateways, .. } = self.quota;
+        let span = span.max(0.0) + self.clock_skew;
         let came = |span: Millis| rate * span / 1000.0;
-        let part = self.terms.part_most(self.loss).min(1.0);
-        let first = self.terms.part_most(Loss::Partial).min(1.0) * burst * gateways;
+        let part = self.quota.max_local_share(self.loss).min(1.0);
+        let first = self.quota.max_local_share(Loss::Partial).min(1.0) * burst * gateways;
         let held = gateways * (part * burst).max(largest);
         let alone = match self.loss {
             Loss::Whole => {
@@ -110,13 +110,14 @@
             }
             Loss::Partial => burst + came(span) + held + gateways * part * came(span),
         };
-        let split = (self.counters - 1.0).max(0.0) * (burst + came(span.min(self.detection + self.skew)));
+        let split = (self.split_counters - 1.0).max(0.0)
+            * (burst + came(span.min(self.detection_time + self.clock_skew)));
         alone + split + largest
     }
 
     /// What the ceiling allows in such a span.
     #[must_use]
-    pub fn ceiling(&self, span: Millis) -> f64 {
-        self.terms.ceiling_burst + self.terms.ceiling_rate * span / 1000.0
+    pub fn ceiling_units(&self, span: Millis) -> f64 {
+        self.quota.ceiling_burst + self.quota.ceiling_rate * span / 1000.0
     }
 }
--- a/crates/quota/src/health.rs
+++ b/crates/quota/src/health.rs
@@ -25,100 +25,108 @@
 
 /// How a call went without a total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Missed {
+pub struct MissedCall {
     /// It may be made again at once: the counter is there, and there is time.
-    pub soon: bool,
+    pub retry_now: bool,
     /// With it the counter has fallen silent.
-    pub silent: bool,
+    pub fell_silent: bool,
 }
 
 /// One counter as one gateway sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Health {
+pub struct CounterHealth {
     /// The share of the calls wanted that the counter can bear, by how fast it answers.
-    pub ease: f64,
+    pub call_share: f64,
     /// Calls without an answer since the last one with, by weight.
-    pub silences: u32,
+    pub missed_weight: u32,
     /// When it was last heard.
-    pub heard: Millis,
+    pub last_answer: Millis,
     /// Whether it has been found silent and not been heard since.
-    pub told: bool,
+    pub known_silent: bool,
     /// When the last silence, or loss of what was counted, was found, and when it was over.
-    pub silent_at: Millis,
+    pub silent_since: Millis,
     /// See `silent_at`.
-    pub back_at: Millis,
+    pub recovered_at: Millis,
     /// When it was last asked whether it is back.
-    pub probed: Millis,
+    pub last_probe: Millis,
 }
 
-impl Default for Health {
+impl Default for CounterHealth {
     fn default() -> Self {
-        Self { ease: 1.0, silences: 0, heard: 0.0, told: false, silent_at: 0.0, back_at: 0.0, probed: 0.0 }
+        Self {
+            call_share: 1.0,
+            missed_weight: 0,
+            last_answer: 0.0,
+            known_silent: false,
+            silent_since: 0.0,
+            recovered_at: 0.0,
+            last_probe: 0.0,
+        }
     }
 }
 
-impl Health {
+impl CounterHealth {
     /// Whether it is silent, where a call is given up after `timeout`.
     #[must_use]
-    pub fn silent(&self, now: Millis, timeout: Millis) -> bool {
-        self.silences > SILENCE && now - self.heard > timeout * SILENT_AFTER
+    pub fn is_silent(&self, now: Millis, timeout: Millis) -> bool {
+        self.missed_weight > SILENCE && now - self.last_answer > timeout * SILENT_AFTER
     }
 
     /// A total came after `latency`; whether that ended a silence.
-    pub fn answered(&mut self, now: Millis, latency: Millis, timeout: Millis) -> bool {
+    pub fn on_answer(&mut self, now: Millis, latency: Millis, timeout: Millis) -> bool {
         self.step((1.0 - latency / (timeout * EASE_SHARE)).max(-2.0));
-        (self.silences, self.heard) = (0, now);
-        let back = std::mem::take(&mut self.told);
+        (self.missed_weight, self.last_answer) = (0, now);
+        let back = std::mem::take(&mut self.known_silent);
         if back {
-            self.back_at = now;
+            self.recovered_at = now;
         }
         back
     }
 
     /// A call ended after `latency` without a total. `unknown`: it may have been added; else it was turned away or never got
     /// there, which is as good as late. A connection that broke in time says nothing of how much the counter can bear.
-    pub fn missed(&mut self, now: Millis, latency: Millis, timeout: Millis, unknown: bool) -> Missed {
+    pub fn on_missed(&mut self, now: Millis, latency: Millis, timeout: Millis, unknown: bool) -> MissedCall {
         let late = (1.0 - latency / (timeout * EASE_SHARE)).clamp(-2.0, 0.0);
         self.step(if unknown { late } else { -2.0 });
         let soon = unknown && latency < timeout * SOON_SHARE;
-        self.silences = self.silences.saturating_add(if soon { 1 } else { SILENCE });
-        let silent = self.silent(now, timeout);
-        let fell = silent && !self.told;
-        self.told |= silent;
+        self.missed_weight = self.missed_weight.saturating_add(if soon { 1 } else { SILENCE });
+        let silent = self.is_silent(now, timeout);
+        let fell = silent && !self.known_silent;
+        self.known_silent |= silent;
         if fell {
-            self.silent_at = now;
+            self.silent_since = now;
         }
-        Missed { soon: soon && !silent, silent: fell }
+        MissedCall { retry_now: soon && !silent, fell_silent: fell }
     }
 
     /// It was found to have forgotten what was added: what was known of its counts is as good as from before a silence.
-    pub fn forgot(&mut self, now: Millis) {
-        (self.silent_at, self.back_at) = (now, now);
+    pub fn on_data_loss(&mut self, now: Millis) {
+        (self.silent_since, self.recovered_at) = (now, now);
     }
 
     /// For how long it was silent until when: now, or the end of the last silence.
     #[must_use]
-    pub fn lost(&self, now: Millis) -> (Millis, Millis) {
-        let until = if self.told { now } else { self.back_at };
-        ((until - self.silent_at).max(0.0), until)
+    pub fn last_outage(&self, now: Millis) -> (Millis, Millis) {
+        let until = if self.known_silent { now } else { self.recovered_at };
+        ((until - self.silent_since).max(0.0), until)
     }
 
     /// For how long from now other gateways may still stand alone that have not heard it again.
     #[must_use]
-    pub fn returning(&self, now: Millis) -> Millis {
-        (self.back_at + RETURN - now).max(0.0)
+    pub fn recovery_remaining(&self, now: Millis) -> Millis {
+        (self.recovered_at + RETURN - now).max(0.0)
     }
 
     /// Whether it is time to ask a silent one whether it is back.
-    pub fn probe(&mut self, now: Millis) -> bool {
-        let due = now >= self.probed + PROBE;
+    pub fn probe_due(&mut self, now: Millis) -> bool {
+        let due = now >= self.last_probe + PROBE;
         if due {
-            self.probed = now;
+            self.last_probe = now;
         }
         due
     }
 
     fn step(&mut self, by: f64) {
-        self.ease = (self.ease * (1.0 + EASE_STEP * by)).clamp(EASE_LEAST, EASE_MOST);
+        self.call_share = (self.call_share * (1.0 + EASE_STEP * by)).clamp(EASE_LEAST, EASE_MOST);
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,13 +1,13 @@
 //! Quotas while the shared counter is lost, spoilt or replaced.
 //!
 //! The guarantee: however the counter fails, what all gateways together send on for an account under a ceiling stays
-//! within [`Bound::units`] in every span. Each piece here is one step of that argument:
+//! within [`Bound::max_units`] in every span. Each piece here is one step of that argument:
 //!
 //! - [`Ledger`] tells a total that grew from one that forgot what this gateway added, so that nothing is counted away;
-//! - [`Share`] knows which part of an account's use came by this gateway, as long as totals were heard;
-//! - [`Terms::part`] makes of it the part of the quota that the gateway may spend alone, whose sum over all gateways
-//!   the ceiling bears; [`Slice`] spends it and says what of it is still to be told;
-//! - [`Health`] tells a counter that is silent from one that is slow, spoilt or forgetful, and says what a silence leaves;
+//! - [`UsageShare`] knows which part of an account's use came by this gateway, as long as totals were heard;
+//! - [`AccountQuota::local_share`] makes of it the part of the quota that the gateway may spend alone, whose sum over all gateways
+//!   the ceiling bears; [`LocalBucket`] spends it and says what of it is still to be told;
+//! - [`CounterHealth`] tells a counter that is silent from one that is slow, spoilt or forgetful, and says what a silence leaves;
 //! - [`Partition`] says which of several counters counts an account;
 //! - [`Bound`] adds all that up.
 //!
@@ -21,12 +21,12 @@
 mod share;
 mod slice;
 
-pub use bound::{Bound, Loss, Terms};
-pub use health::{Health, Missed};
-pub use ledger::{Heard, Ledger};
-pub use partition::{Partition, Unusable};
-pub use share::Share;
-pub use slice::Slice;
+pub use bound::{AccountQuota, Bound, Loss};
+pub use health::{CounterHealth, MissedCall};
+pub use ledger::{Ledger, TotalChange};
+pub use partition::{Partition, PartitionError};
+pub use share::UsageShare;
+pub use slice::LocalBucket;
 
 /// A time or a span in milliseconds.
 pub type Millis = f64;
--- a/crates/quota/src/partition.rs
+++ b/crates/quota/src/partition.rs
@@ -9,26 +9,26 @@
 
 /// A change that cannot be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum PartitionError {
     /// No counter is named.
-    None,
+    Empty,
     /// One is named twice.
-    Twice(String),
+    Duplicate(String),
     /// More than 64 have been named since the start.
     TooMany,
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for PartitionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::None => write!(f, "no counter is named: name one at least"),
-            Self::Twice(address) => write!(f, "{address} is named twice: name each counter once"),
+            Self::Empty => write!(f, "no counter is named: name one at least"),
+            Self::Duplicate(address) => write!(f, "{address} is named twice: name each counter once"),
             Self::TooMany => write!(f, "more than {MOST} counters since the start: restart the gateway"),
         }
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for PartitionError {}
 
 /// Which counter counts an account: the one whose address and the account hash highest (rendezvous hashing, by XXH3 with
 /// its stated output, so that all gateways agree). One counter more or less moves only the accounts that it wins or held.
@@ -49,9 +49,9 @@
     ///
     /// # Errors
     /// When there is none, or one is named twice.
-    pub fn of(addresses: &[String]) -> Result<Self, Unusable> {
+    pub fn new(addresses: &[String]) -> Result<Self, PartitionError> {
         let mut partition = Self::default();
-        partition.change(addresses, f64::NEG_INFINITY)?;
+        partition.replace_counters(addresses, f64::NEG_INFINITY)?;
         Ok(partition)
     }
 
@@ -60,20 +60,20 @@
     ///
     /// # Errors
     /// When there is none, one is named twice, or too many were named since the start. Nothing has changed then.
-    pub fn change(&mut self, addresses: &[String], from: Millis) -> Result<(), Unusable> {
+    pub fn replace_counters(&mut self, addresses: &[String], from: Millis) -> Result<(), PartitionError> {
         if addresses.is_empty() {
-            return Err(Unusable::None);
+            return Err(PartitionError::Empty);
         }
-        if self.is_over(addresses) {
+        if self.uses_exactly(addresses) {
             return Ok(());
         }
         let twice = addresses.iter().enumerate().find(|(n, address)| addresses[..*n].contains(address));
         if let Some((_, address)) = twice {
-            return Err(Unusable::Twice(address.clone()));
+            return Err(PartitionError::Duplicate(address.clone()));
         }
         let fresh = addresses.iter().filter(|address| !self.addresses.contains(address)).count();
         if self.addresses.len() + fresh > MOST {
-            return Err(Unusable::TooMany);
+            return Err(PartitionError::TooMany);
         }
         let mut places = Vec::with_capacity(addresses.len());
         for address in addresses {
@@ -92,7 +92,7 @@
 
     /// Whether accounts are, or are about to be, over just these counters: then there is nothing to change.
     #[must_use]
-    pub fn is_over(&self, addresses: &[String]) -> bool {
+    pub fn uses_exactly(&self, addresses: &[String]) -> bool {
         let named = |place: &usize| self.addresses.get(*place).is_some_and(|a| addresses.contains(a));
         self.new.len() == addresses.len() && self.new.iter().all(named)
     }
--- a/crates/settings/src/quota.rs
+++ b/crates/settings/src/quota.rs
@@ -2,7 +2,7 @@
 
 use crate::file::Fault;
 use crate::units::{Quantity, Time};
-use fennelscale_quota::{Loss, Partition, Unusable};
+use fennelscale_quota::{Loss, Partition, PartitionError};
 use jiff::Timestamp;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -70,10 +70,10 @@
     ///
     /// # Errors
     /// When a list is empty or names a counter twice.
-    pub fn partition(&self) -> Result<Partition, Unusable> {
-        let mut partition = Partition::of(&addresses(&self.counters))?;
+    pub fn partition(&self) -> Result<Partition, PartitionError> {
+        let mut partition = Partition::new(&addresses(&self.counters))?;
         if let Some(next) = &self.next {
-            partition.change(&addresses(&next.counters), next.begins())?;
+            partition.replace_counters(&addresses(&next.counters), next.begins())?;
         }
         Ok(partition)
     }
@@ -85,7 +85,7 @@
             if !(1..=MOST_PARTS).contains(&counters.len()) {
                 return Err(fault("must name 1 to 16 counters".to_owned()));
             }
-            Partition::of(&addresses(counters)).map_err(|error| fault(error.to_string()))?;
+            Partition::new(&addresses(counters)).map_err(|error| fault(error.to_string()))?;
         }
         Ok(())
     }
--- a/gateway/src/commands/quota.rs
+++ b/gateway/src/commands/quota.rs
@@ -87,21 +87,22 @@
     for count in counts {
         let terms = plan.terms(f64::from(*count), settings.max_request_units);
         let bound = Bound {
-            terms,
+            quota: terms,
             loss: quota.losses,
-            counters: f64::from(quota.counters),
-            detection: quota.detection.0,
-            skew: quota.skew.0,
+            split_counters: f64::from(quota.counters),
+            detection_time: quota.detection.0,
+            clock_skew: quota.skew.0,
         };
         let spans = SPANS.map(|span| span * 1000.0);
-        let over = spans.map(|span| bound.units(span) - bound.ceiling(span));
+        let over = spans.map(|span| bound.max_units(span) - bound.ceiling_units(span));
         let most = over.into_iter().fold(0.0, f64::max);
-        let tolerated =
-            |(over, span): (f64, f64)| over <= (bound.ceiling(span) * TOLERATED).max(terms.largest) + 1e-6;
+        let tolerated = |(over, span): (f64, f64)| {
+            over <= (bound.ceiling_units(span) * TOLERATED).max(terms.max_request_units) + 1e-6
+        };
         let holds = over.into_iter().zip(spans).all(tolerated);
         fits &= holds;
-        print!("{count:>9} {:>7.1}%", terms.part_most(bound.loss).min(1.0) * 100.0);
-        spans.iter().for_each(|span| print!(" {:>8.1}", bound.units(*span)));
+        print!("{count:>9} {:>7.1}%", terms.max_local_share(bound.loss).min(1.0) * 100.0);
+        spans.iter().for_each(|span| print!(" {:>8.1}", bound.max_units(*span)));
         println!("  {most:.1}{}", if holds { "" } else { ": more than 5% and than one request" });
     }
     fits
--- a/gateway/src/counting/counters.rs
+++ b/gateway/src/counting/counters.rs
@@ -51,18 +51,18 @@
         let mut partition = self.partition();
         let (named, next) = (addresses(&rule.counters), rule.next.as_ref());
         let wanted = next.map_or_else(|| named.clone(), |next| addresses(&next.counters));
-        if partition.is_over(&wanted) {
+        if partition.uses_exactly(&wanted) {
             return Ok(false);
         }
         let next = next.ok_or(NO_TIME)?;
-        if !partition.is_over(&named) {
+        if !partition.uses_exactly(&named) {
             return Err(NO_TIME.into());
         }
         let from = next.begins();
         if from <= now {
             return Err(PASSED.into());
         }
-        partition.change(&wanted, from).map_err(|error| error.to_string())?;
+        partition.replace_counters(&wanted, from).map_err(|error| error.to_string())?;
         self.partition.replace(partition);
         self.connect();
         Ok(true)
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -87,7 +87,7 @@
     let quota = operators.quota.unwrap_or_default();
     // The rule takes the place of the configuration's counter, where there is one.
     let partition = config.counter.map(|counter| {
-        quota.partition.map_or_else(|| Partition::of(&[counter.to_string()]), |rule| rule.partition())
+        quota.partition.map_or_else(|| Partition::new(&[counter.to_string()]), |rule| rule.partition())
     });
     let partition = match partition.transpose() {
         Ok(partition) => partition,
--- a/gateway/tests/counter_loss.rs
+++ b/gateway/tests/counter_loss.rs
@@ -4,7 +4,7 @@
 mod helper;
 
 use fennelscale_emulator::{Sent, fullest};
-use fennelscale_quota::{Bound, Loss, Terms};
+use fennelscale_quota::{AccountQuota, Bound, Loss};
 use helper::{Backend, Counter, Discovery, Do, Gateway, Mood, Setup, ok, request, row};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -96,19 +96,25 @@
     for flood in floods {
         flood.await.expect("a flood that came to its end");
     }
-    let terms = Terms {
+    let terms = AccountQuota {
         rate: 20.0,
         burst: 20.0,
         ceiling_rate: 32.0,
         ceiling_burst: 32.0,
-        largest: 1.0,
+        max_request_units: 1.0,
         gateways: f64::from(GATEWAYS),
     };
     let Script { counters, detection, .. } = *script;
-    let bound = Bound { terms, loss: Loss::Whole, counters, detection, skew: SLACK };
+    let bound = Bound {
+        quota: terms,
+        loss: Loss::Whole,
+        split_counters: counters,
+        detection_time: detection,
+        clock_skew: SLACK,
+    };
     let mut sent = sent.lock().expect("lock").clone();
     sent.sort_by(|a, b| a.0.total_cmp(&b.0));
-    (fullest(&sent, |span| bound.units(span)), sent.len())
+    (fullest(&sent, |span| bound.max_units(span)), sent.len())
 }
 
 async fn holds(script: Script) {
--- a/gateway/tests/quota.rs
+++ b/gateway/tests/quota.rs
@@ -1,6 +1,6 @@
 //! `fennelscale quota bound` as a process.
 
-use fennelscale_quota::{Bound, Loss, Terms};
+use fennelscale_quota::{AccountQuota, Bound, Loss};
 use std::path::Path;
 use std::process::{Command, Output};
 
@@ -38,18 +38,24 @@
     let text = String::from_utf8(output.stdout).expect("text");
     assert!(text.contains("plan paid") && !text.contains("plan free"), "{text}");
     for gateways in [2.0, 4.0] {
-        let terms = Terms {
+        let terms = AccountQuota {
             rate: 16.0,
             burst: 25.0,
             ceiling_rate: 25.6,
             ceiling_burst: 40.0,
-            largest: 2.0,
+            max_request_units: 2.0,
             gateways,
         };
-        let bound = Bound { terms, loss: Loss::Partial, counters: 1.0, detection: 300.0, skew: 0.0 };
+        let bound = Bound {
+            quota: terms,
+            loss: Loss::Partial,
+            split_counters: 1.0,
+            detection_time: 300.0,
+            clock_skew: 0.0,
+        };
         let row = text.lines().find(|l| l.trim_start().starts_with(&format!("{gateways} "))).expect("a row");
         for span in [0.0, 1000.0, 5000.0, 20_000.0, 60_000.0] {
-            let figure = format!("{:.1}", bound.units(span));
+            let figure = format!("{:.1}", bound.max_units(span));
             assert!(row.split_whitespace().any(|word| word == figure), "{figure} in {row}");
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -78,9 +78,16 @@
 
 impl Plan {
     /// Quota and ceiling of an account of `gateways` gateways whose largest request is of `largest` units.
-    pub fn terms(&self, gateways: f64, largest: f64) -> fennelscale_quota::Terms {
+    pub fn terms(&self, gateways: f64, largest: f64) -> fennelscale_quota::AccountQuota {
         let Self { rate, burst, ceiling_rate, ceiling_burst, .. } = *self;
-        fennelscale_quota::Terms { rate, burst, ceiling_rate, ceiling_burst, largest, gateways }
+        fennelscale_quota::AccountQuota {
+            rate,
+            burst,
+            ceiling_rate,
+            ceiling_burst,
+            max_request_units: largest,
+            gateways,
+        }
     }
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -15,7 +15,7 @@
 use crate::hash::{hash, mix, unit};
 use crate::interface::*;
 use crate::topology::{BackendParameters, FleetParameters, Mesh, RequestConstraints};
-use fennelscale_quota::{Health, Heard, Ledger, Loss, Partition, Share, Slice};
+use fennelscale_quota::{CounterHealth, Ledger, LocalBucket, Loss, Partition, TotalChange, UsageShare};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
 use std::sync::Arc;
@@ -256,7 +256,7 @@
         for at in 0..self.counters.len() {
             let counter = &mut self.counters[at];
             let asks = self.settings.counter && counter.calls.is_empty();
-            if asks && counter.health.silent(now, timeout) && counter.health.probe(now) {
+            if asks && counter.health.is_silent(now, timeout) && counter.health.probe_due(now) {
                 let name = self.customers.iter().find(|(_, c)| c.counter == at && c.call.is_none());
                 let name = name.map(|(name, _)| name.clone());
                 name.iter().for_each(|name| self.ask(name, out));
--- a/src/logic/units.rs
+++ b/src/logic/units.rs
@@ -54,7 +54,7 @@
     pub(super) lease: f64,
     /// What this gateway has added to the window's count and what it heard of it, and its share of the use.
     pub(super) ledger: Ledger,
-    pub(super) share: Share,
+    pub(super) share: UsageShare,
     /// What the customer's store holds by all totals heard; between them it fills at the rate.
     pub(super) store: f64,
     pub(super) store_at: Millis,
@@ -68,7 +68,7 @@
     pub(super) demand: f64,
     pub(super) demand_at: Millis,
     /// This gateway's own slice, spent while the counter is silent.
-    pub(super) slice: Option<Slice>,
+    pub(super) slice: Option<LocalBucket>,
     pub(super) open: u32,
 }
 
@@ -127,18 +127,18 @@
     }
 
     /// The slice that this gateway may spend alone, begun now by what is known of the store.
-    pub(super) fn own_slice(&self, units: f64, now: Millis, alone: &Alone, plan: &Plan) -> Slice {
+    pub(super) fn own_slice(&self, units: f64, now: Millis, alone: &Alone, plan: &Plan) -> LocalBucket {
         let terms = plan.terms(self.spread, units);
-        let part = terms.part(&self.share, alone.loss);
+        let part = terms.local_share(&self.share, alone.loss);
         // A silence that ended before the last total was heard has been settled.
         let lost = if self.heard < alone.until { alone.lost } else { 0.0 };
-        Slice::new(now, self.store, &terms, part, [lost, alone.running], units)
+        LocalBucket::new(now, self.store, &terms, part, [lost, alone.running], units)
     }
 
     /// Spends from the own slice: the silence rule.
     pub(super) fn spend_slice(&mut self, units: f64, now: Millis, alone: &Alone, plan: &Plan) -> bool {
         let mut slice = self.slice.unwrap_or_else(|| self.own_slice(units, now, alone, plan));
-        let fits = slice.spend(now, units);
+        let fits = slice.try_spend(now, units);
         let used = if fits { units } else { 0.0 };
         (self.owed, self.store) = (self.owed + used, self.store - used);
         self.slice = Some(slice);
@@ -158,7 +158,7 @@
 /// One counter: how it is, and the calls to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Counter {
-    pub(super) health: Health,
+    pub(super) health: CounterHealth,
     pub(super) calls: BTreeMap<u64, Name>,
     /// Customers with requests that wait while all calls are out, by when the first has waited long enough.
     pub(super) line: BTreeSet<(u64, Name)>,
@@ -166,7 +166,7 @@
 
 impl Counter {
     pub(super) fn calls_most(&self) -> f64 {
-        (CALLS_MOST * self.health.ease.min(1.0)).max(1.0)
+        (CALLS_MOST * self.health.call_share.min(1.0)).max(1.0)
     }
 
     pub(super) fn is_full(&self) -> bool {
@@ -181,12 +181,12 @@
         self.partition = partition;
     }
 
-    pub(super) fn health(&self, counter: usize) -> Health {
+    pub(super) fn health(&self, counter: usize) -> CounterHealth {
         self.counters.get(counter).map(|c| c.health).unwrap_or_default()
     }
 
     pub(super) fn silent(&self, counter: usize) -> bool {
-        !self.settings.counter || self.health(counter).silent(self.now, self.settings.counter_timeout)
+        !self.settings.counter || self.health(counter).is_silent(self.now, self.settings.counter_timeout)
     }
 
     /// The quota's gate: block in hand, else silence rule, else refusal once both are spent. True: it waits.
@@ -215,7 +215,7 @@
         } else if silent {
             self.by_slice(id, out);
             let idle = self.counters.get(counter).is_some_and(|c| c.calls.is_empty());
-            if idle && self.chance() < self.health(counter).ease {
+            if idle && self.chance() < self.health(counter).call_share {
                 self.ask(&name, out);
             }
         } else if customer.known && left < units {
@@ -241,7 +241,7 @@
         let chance = self.chance();
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return false };
-        let ease = self.health(customer.counter).ease;
+        let ease = self.health(customer.counter).call_share;
         let wanted = if request.repeat { ease - 1.0 } else { ease };
         let calls = self.settings.counter && chance < wanted;
         if calls && customer.call.is_none() {
@@ -308,7 +308,7 @@
     }
 
     pub(super) fn alone(&self, counter: usize) -> Alone {
-        let (lost, until) = self.health(counter).lost(self.now);
+        let (lost, until) = self.health(counter).last_outage(self.now);
         Alone { loss: self.settings.loss, lost, until, running: self.now - self.born }
     }
 
@@ -318,7 +318,7 @@
     }
 
     pub(super) fn ease_of(&self, name: &Name) -> f64 {
-        self.customers.get(name).map_or(1.0, |c| self.health(c.counter).ease)
+        self.customers.get(name).map_or(1.0, |c| self.health(c.counter).call_share)
     }
 
     /// Asks for those who wait, as far as calls are free: whose time is over first goes first.
@@ -347,14 +347,14 @@
             counter.line.extend(first.map(|r| (r.hold_until.max(0.0).to_bits(), name.clone())));
             return;
         }
-        let silent = counter.health.silent(now, timeout);
+        let silent = counter.health.is_silent(now, timeout);
         let waiting = customer.waiting.iter().filter_map(|id| self.requests.get(id));
         let block = if silent {
             // Whether it is back is asked with nothing: what may have been added would be lost to all.
             0.0
         } else if customer.thin(plan) {
             let first: f64 = waiting.filter(|r| !r.repeat).map(|r| r.units).sum();
-            first / counter.health.ease.min(1.0)
+            first / counter.health.call_share.min(1.0)
         } else {
             let need: f64 = waiting.map(|r| r.units).sum();
             let need = need.min(customer.store.max(1.0));
@@ -363,8 +363,8 @@
         };
         let owed = if silent { 0.0 } else { std::mem::take(&mut customer.owed) };
         // What was used in a silence is told as far as it has not come in again since.
-        let aged = customer.slice.filter(|_| customer.heard < counter.health.back_at);
-        let owed = aged.map_or(owed, |slice| slice.still_owed(now, owed));
+        let aged = customer.slice.filter(|_| customer.heard < counter.health.recovered_at);
+        let owed = aged.map_or(owed, |slice| slice.unreported(now, owed));
         let count = mix(customer.salt ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
         customer.call = Some((customer.window, block, owed));
         counter.calls.insert(count, name.clone());
@@ -381,18 +381,18 @@
         let Some((at, name)) = self.counters.iter_mut().enumerate().find_map(called) else { return };
         let health = &mut self.counters[at].health;
         if let CountOutcome::Total(total) = outcome {
-            if health.answered(now, latency, timeout) {
+            if health.on_answer(now, latency, timeout) {
                 out.push(Action::Log(format!("counter{} back", self.named(at))));
             }
             self.granted(&name, at, total, out);
         } else {
             let unknown = outcome == CountOutcome::Unknown;
-            let missed = health.missed(now, latency, timeout, unknown);
-            if missed.silent {
+            let missed = health.on_missed(now, latency, timeout, unknown);
+            if missed.fell_silent {
                 let which = self.named(at);
                 out.push(Action::Log(format!("counter{which} silent: spending blocks and slices")));
             }
-            self.missed(&name, unknown, missed.soon, out);
+            self.missed(&name, unknown, missed.retry_now, out);
         }
         self.ask_next(at, out);
     }
@@ -408,14 +408,14 @@
         }
         customer.roll(now, plan, &self.partition);
         let slice = customer.slice.take();
-        let aged = slice.filter(|_| customer.heard < health.back_at);
-        customer.owed = aged.map_or(customer.owed, |slice| slice.still_owed(now, customer.owed));
-        if plan.ceiling_rate > 0.0 && customer.known && customer.heard < health.back_at {
+        let aged = slice.filter(|_| customer.heard < health.recovered_at);
+        customer.owed = aged.map_or(customer.owed, |slice| slice.unreported(now, customer.owed));
+        if plan.ceiling_rate > 0.0 && customer.known && customer.heard < health.recovered_at {
             // Guards against a counter that comes back empty: what others spent in the silence is told
             // nowhere. Only the own slice is sure to be left, and others may go on with theirs for a while.
             let slice = slice.unwrap_or_else(|| customer.own_slice(0.0, now, &alone, plan));
-            let others = (plan.rate - slice.rate).max(0.0) * health.returning(now) / 1000.0;
-            customer.store = customer.store.min(slice.held_at(now) - others);
+            let others = (plan.rate - slice.rate_per_s).max(0.0) * health.recovery_remaining(now) / 1000.0;
+            customer.store = customer.store.min(slice.units_at(now) - others);
         }
         customer.heard = now;
         if window == customer.window {
@@ -423,29 +423,32 @@
             let paid = customer.owed.clamp(0.0, block);
             (customer.owed, customer.store) = (customer.owed - paid, customer.store + paid);
             let span = Customer::turn(plan) * SHARE_TURNS;
-            match customer.ledger.heard(block + owed, total, plan.ceiling_rate <= 0.0) {
+            match customer.ledger.record_total(block + owed, total, plan.ceiling_rate <= 0.0) {
                 _ if !customer.known => {
-                    customer.share.note(now, block + owed, total, span);
+                    customer.share.record(now, block + owed, total, span);
                     // The counter is just back: its total may not know of what others spent.
-                    let fresh = now - health.back_at < Customer::turn(plan) * IDLE_TURNS;
-                    let young = plan.ceiling_rate > 0.0 && health.back_at > 0.0 && fresh;
-                    let most =
-                        if young { customer.own_slice(0.0, now, &alone, plan).most } else { f64::INFINITY };
+                    let fresh = now - health.recovered_at < Customer::turn(plan) * IDLE_TURNS;
+                    let young = plan.ceiling_rate > 0.0 && health.recovered_at > 0.0 && fresh;
+                    let most = if young {
+                        customer.own_slice(0.0, now, &alone, plan).capacity
+                    } else {
+                        f64::INFINITY
+                    };
                     customer.store = Customer::start_of(plan).min(most) - total;
                     customer.known = true;
                 }
-                Heard::Grew { by, found } => {
-                    customer.share.note(now, block + owed, by, span);
+                TotalChange::Grew { growth: by, confirmed: found } => {
+                    customer.share.record(now, block + owed, by, span);
                     customer.store = (customer.store - (by - owed)).min(plan.burst);
                     customer.lease += found;
                 }
-                Heard::Forgot { missing } => {
+                TotalChange::Forgot { missing } => {
                     // Guards against an emptied count: what is held is told again, lest new blocks stack
                     // on it, and what else is known of others' use may be as old.
                     customer.owed += missing;
                     customer.store -= block;
                     if plan.ceiling_rate > 0.0 {
-                        self.counters[counter].health.forgot(now);
+                        self.counters[counter].health.on_data_loss(now);
                     }
                 }
             }
@@ -472,7 +475,7 @@
         let (window, block, owed) = customer.call.take().unwrap_or_default();
         customer.owed += if may_have_counted { owed.max(0.0) } else { owed };
         if may_have_counted && window == customer.window {
-            customer.ledger.lost(block, owed);
+            customer.ledger.record_unknown(block, owed);
         }
         if soon && !customer.waiting.is_empty() {
             // The answer was spoilt or its connection broke, and there is time left to ask again.
@@ -499,7 +502,7 @@
             return self.place(id, out);
         }
         let slice = customer.slice.unwrap_or_default();
-        let (short, rate) = (request.units - slice.held, slice.rate);
+        let (short, rate) = (request.units - slice.units, slice.rate_per_s);
         self.over_quota(id, short, rate, out);
     }
 }
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -4,7 +4,7 @@
 use super::{Backend, Counter, Customer, Gateway, Request};
 use crate::interface::Millis;
 use crate::topology::SendCounts;
-use fennelscale_quota::{Health, Slice};
+use fennelscale_quota::{CounterHealth, LocalBucket};
 use std::hash::{Hash, Hasher};
 
 impl Gateway {
@@ -35,7 +35,7 @@
 
     /// Whether a counter was ever found silent.
     pub fn counter_was_silent(&self) -> bool {
-        self.counters.iter().any(|counter| counter.health.silent_at > 0.0)
+        self.counters.iter().any(|counter| counter.health.silent_since > 0.0)
     }
 
     /// Units of all customers: in blocks in hand, and used but not yet added to the shared count (negative:
@@ -98,7 +98,15 @@
 impl Hash for Counter {
     fn hash<H: Hasher>(&self, state: &mut H) {
         let Self { health, calls, line } = self;
-        let Health { ease, silences, heard, told, silent_at, back_at, probed } = health;
+        let CounterHealth {
+            call_share: ease,
+            missed_weight: silences,
+            last_answer: heard,
+            known_silent: told,
+            silent_since: silent_at,
+            recovered_at: back_at,
+            last_probe: probed,
+        } = health;
         (calls, line, silences, told).hash(state);
         floats(state, &[*ease, *heard, *silent_at, *back_at, *probed]);
     }
@@ -152,11 +160,15 @@
         } = self;
         (plan, place, salt, window, counter, known, waiting, open).hash(state);
         floats(state, &[*spread, *lease, *store, *store_at]);
-        floats(state, &[ledger.added, ledger.seen, ledger.doubt, share.own, share.all, share.at]);
+        floats(
+            state,
+            &[ledger.added, ledger.last_total, ledger.uncertain, share.own, share.total, share.updated_at],
+        );
         floats(state, &[*heard, *owed, *demand, *demand_at]);
         (call.is_some(), slice.is_some()).hash(state);
         let (window, block, owed) = call.unwrap_or_default();
-        let Slice { held, at, rate, most } = slice.unwrap_or_default();
+        let LocalBucket { units: held, updated_at: at, rate_per_s: rate, capacity: most } =
+            slice.unwrap_or_default();
         state.write_u64(window);
         floats(state, &[block, owed, held, at, rate, most]);
     }
--- a/system/config/src/failures.rs
+++ b/system/config/src/failures.rs
@@ -2,7 +2,7 @@
 
 use crate::InvalidConfig;
 use crate::item::Item;
-use fennelscale_fault_injection::{Order, State, What, Whom};
+use fennelscale_fault_injection::{FailureKind, Order, RequestSelector, State};
 use jiff::Timestamp;
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
     Ok(stamp.as_millisecond() as f64)
 }
 
-fn whom(item: &Item<'_>) -> Result<Whom, InvalidConfig> {
+fn whom(item: &Item<'_>) -> Result<RequestSelector, InvalidConfig> {
     let names = |field: &str| -> Result<BTreeSet<String>, InvalidConfig> {
         let names = item.texts(&["whom", field])?;
         if names.len() > MOST_NAMES {
@@ -37,12 +37,12 @@
     if !(share > 0.0 && share <= 1.0) {
         return Err(item.wrong("whom.share", "a share over 0, up to 1 is wanted"));
     }
-    let whom = Whom {
+    let whom = RequestSelector {
         tenants: names("tenants")?,
         keys: names("keys")?,
         routes: names("routes")?,
         hosts: names("hosts")?.iter().map(|host| host.to_ascii_lowercase()).collect(),
-        kinds,
+        route_kinds: kinds,
         regions: names("regions")?,
         share,
     };
@@ -55,7 +55,7 @@
     Ok(whom)
 }
 
-fn what(item: &Item<'_>) -> Result<What, InvalidConfig> {
+fn what(item: &Item<'_>) -> Result<FailureKind, InvalidConfig> {
     let time = || {
         let time = item.span(&["what", "time"], None)?;
         if time > 0.0 && time <= LONGEST_HOLD {
@@ -68,13 +68,17 @@
         if share <= 1.0 { Ok(share) } else { Err(item.wrong("what.share", "a share from 0 to 1 is wanted")) }
     };
     Ok(match item.text(&["what", "kind"])?.as_str() {
-        "refuse" => What::Refuse,
-        "delay" => What::Delay(time()?),
-        "cut-request" => What::CutRequest(share(0.0)?),
-        "lose-answer" => What::LoseAnswer,
-        "cut-answer" => What::CutAnswer(share(0.5)?),
-        "slow-answer" => What::SlowAnswer(time()?),
-        _ => return Err(item.wrong("what.kind", &format!("one of {} is wanted", What::NAMES.join(", ")))),
+        "refuse" => FailureKind::Refuse,
+        "delay" => FailureKind::Delay(time()?),
+        "cut-request" => FailureKind::CutRequest(share(0.0)?),
+        "lose-answer" => FailureKind::LoseAnswer,
+        "cut-answer" => FailureKind::CutAnswer(share(0.5)?),
+        "slow-answer" => FailureKind::SlowAnswer(time()?),
+        _ => {
+            return Err(
+                item.wrong("what.kind", &format!("one of {} is wanted", FailureKind::NAMES.join(", ")))
+            );
+        }
     })
 }
 
@@ -96,13 +100,13 @@
     }
     Ok(Order {
         name: name.to_owned(),
-        whom: whom(item)?,
-        what: what(item)?,
+        selector: whom(item)?,
+        kind: what(item)?,
         from,
         until,
-        most: most as u64,
-        per_s,
+        max_requests: most as u64,
+        max_per_s: per_s,
         state: state.ok_or_else(|| item.wrong("state", "one of dry, running, stopped is wanted"))?,
-        among: among.split_whitespace().map(str::to_owned).collect(),
+        sharing_proxies: among.split_whitespace().map(str::to_owned).collect(),
     })
 }
--- a/system/config/src/lib.rs
+++ b/system/config/src/lib.rs
@@ -110,7 +110,7 @@
             | ParsedItem::MaintenanceRecord => {}
         }
     }
-    if failures > fennelscale_fault_injection::MOST_ORDERS {
+    if failures > fennelscale_fault_injection::MAX_ORDERS {
         return Err(standing::too_many_failures(failures));
     }
     if orders.len() > MOST_ORDERS {
--- a/system/config/src/standing.rs
+++ b/system/config/src/standing.rs
@@ -189,7 +189,7 @@
             now + added - replaced
         };
         let failures = after(self.failures, |fact| matches!(fact, ParsedItem::FailureOrder(_)));
-        if failures > fennelscale_fault_injection::MOST_ORDERS {
+        if failures > fennelscale_fault_injection::MAX_ORDERS {
             return Err(too_many_failures(failures));
         }
         let orders = after(self.orders, |fact| matches!(fact, ParsedItem::WorkOrder(_)));
@@ -219,7 +219,7 @@
 }
 
 pub(crate) fn too_many_failures(failures: usize) -> InvalidConfig {
-    let most = fennelscale_fault_injection::MOST_ORDERS;
+    let most = fennelscale_fault_injection::MAX_ORDERS;
     InvalidConfig(format!("{failures} failure orders would stand, at most {most}: drop old ones"))
 }
 
--- a/system/config/src/tests.rs
+++ b/system/config/src/tests.rs
@@ -181,7 +181,10 @@
     assert!(facts_of(FAILURE).is_ok());
     let facts = facts(FAILURE).unwrap();
     let ParsedItem::FailureOrder(order) = &facts[0].1 else { panic!("{facts:?}") };
-    assert_eq!((order.what, order.most), (fennelscale_fault_injection::What::CutRequest(0.75), 40));
+    assert_eq!(
+        (order.kind, order.max_requests),
+        (fennelscale_fault_injection::FailureKind::CutRequest(0.75), 40)
+    );
     assert_eq!(order.until - order.from, 600_000.0);
     for (from, to) in [
         ("\"tenants\":[\"choir\"],", ""),
--- a/system/fault-injection/src/lib.rs
+++ b/system/fault-injection/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! # What holds
 //!
-//! - A request that no running order names is told nothing here and changes nothing here but a count ([`Desk::meet`]).
+//! - A request that no running order names is told nothing here and changes nothing here but a count ([`FaultInjector::meet`]).
 //! - Nothing is failed outside of the order's time, by a time of day that a majority of the core vouches for; a proxy that is cut off
 //!   carries the last one on, so each order ends by itself everywhere.
 //! - All proxies together fail no more than the order's `most` in all: the order names the proxies' lives that share it, once for all
@@ -11,18 +11,18 @@
 //!
 //! # What the caller owes
 //!
-//! Tells [`Desk::over`] when a request that is held is done. No I/O, no clock.
+//! Tells [`FaultInjector::over`] when a request that is held is done. No I/O, no clock.
 
 mod desk;
 mod order;
 
-pub use desk::{Counts, Desk, Met, Sums, Verdict};
-pub use order::{Caller, Limits, Order, State, What, Whom, fingerprint, proxy};
+pub use desk::{FaultInjector, InjectedFault, OrderCounts, OutcomeCounts, Verdict};
+pub use order::{Caller, FailureKind, Limits, Order, RequestSelector, State, fingerprint, proxy_id};
 
 /// Milliseconds.
 pub type Millis = f64;
 
 /// Names of failure orders begin so.
-pub const FAILURE: &str = "f:";
+pub const ORDER_PREFIX: &str = "f:";
 /// The most failure orders that stand.
-pub const MOST_ORDERS: usize = 16;
+pub const MAX_ORDERS: usize = 16;
--- a/system/fault-injection/src/order.rs
+++ b/system/fault-injection/src/order.rs
@@ -18,14 +18,14 @@
     /// Its host, in small letters.
     pub host: &'a str,
     /// What repeating may do, as routes write it.
-    pub kind: &'a str,
+    pub route_kind: &'a str,
     /// The region of the proxy that it came to.
     pub region: &'a str,
 }
 
 /// Whom an order names: all that it says must hold; an empty list says nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Whom {
+pub struct RequestSelector {
     /// Tenants by name.
     pub tenants: BTreeSet<String>,
     /// Keys by their fingerprints ([`fingerprint`]): an order shows no key.
@@ -35,7 +35,7 @@
     /// Hosts, in small letters.
     pub hosts: BTreeSet<String>,
     /// What repeating may do.
-    pub kinds: BTreeSet<String>,
+    pub route_kinds: BTreeSet<String>,
     /// Regions of entry.
     pub regions: BTreeSet<String>,
     /// So many of these, chosen by the requests' ids.
@@ -47,14 +47,14 @@
     format!("{:016x}", fennelscale_messages::hash(key.as_bytes()))
 }
 
-impl Whom {
+impl RequestSelector {
     /// Whether a request is named.
-    pub fn names(&self, order: &str, caller: &Caller<'_>) -> bool {
+    pub fn matches(&self, order: &str, caller: &Caller<'_>) -> bool {
         let one_of = |set: &BTreeSet<String>, what: &str| set.is_empty() || set.contains(what);
         one_of(&self.tenants, caller.tenant)
             && one_of(&self.routes, caller.route)
             && one_of(&self.hosts, caller.host)
-            && one_of(&self.kinds, caller.kind)
+            && one_of(&self.route_kinds, caller.route_kind)
             && one_of(&self.regions, caller.region)
             && (self.keys.is_empty() || self.keys.contains(&fingerprint(caller.key)))
             && self.is_drawn(order, caller.id)
@@ -76,7 +76,7 @@
 
 /// What happens to a request that is named.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum What {
+pub enum FailureKind {
     /// It is refused before it is sent on: it has not run and will not.
     Refuse,
     /// It is held for so long, then goes its way.
@@ -91,7 +91,7 @@
     SlowAnswer(Millis),
 }
 
-impl What {
+impl FailureKind {
     /// The kinds' names, as orders and settings write them.
     pub const NAMES: [&'static str; 6] =
         ["refuse", "delay", "cut-request", "lose-answer", "cut-answer", "slow-answer"];
@@ -142,26 +142,26 @@
     /// Its name.
     pub name: String,
     /// Whom.
-    pub whom: Whom,
+    pub selector: RequestSelector,
     /// What.
-    pub what: What,
+    pub kind: FailureKind,
     /// From when, in ms since 1970.
     pub from: Millis,
     /// Until when, in ms since 1970.
     pub until: Millis,
     /// How many at most, over all proxies.
-    pub most: u64,
+    pub max_requests: u64,
     /// How many a second at most, over all proxies.
-    pub per_s: f64,
+    pub max_per_s: f64,
     /// What is wanted of it.
     pub state: State,
-    /// The lives of proxies that share `most` and `per_s`, as [`proxy`] names them. Said once, by the registry that took the order
+    /// The lives of proxies that share `most` and `per_s`, as [`proxy_id`] names them. Said once, by the registry that took the order
     /// first; the same for all its versions.
-    pub among: BTreeSet<String>,
+    pub sharing_proxies: BTreeSet<String>,
 }
 
 /// A proxy's life as orders name it.
-pub fn proxy(host: impl std::fmt::Display, life: u64) -> String {
+pub fn proxy_id(host: impl std::fmt::Display, life: u64) -> String {
     format!("{host}/{life:x}")
 }
 
@@ -169,12 +169,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Requests that one order may fail.
-    pub most: u64,
+    pub max_requests: u64,
     /// Requests a second that one order may fail.
-    pub per_s: f64,
+    pub max_per_s: f64,
     /// How long one may last.
-    pub longest: Duration,
-    /// What one may do; the names of [`What`].
+    pub max_duration: Duration,
+    /// What one may do; the names of [`FailureKind`].
     pub kinds: BTreeSet<String>,
 }
 
@@ -183,18 +183,18 @@
     ///
     /// # Errors
     /// Which limit it is over.
-    pub fn allow(&self, order: &Order) -> Result<(), String> {
-        let longest = self.longest.as_secs_f64() * 1000.0;
-        if !self.kinds.contains(order.what.name()) {
-            return Err(format!("what: the settings do not allow {}", order.what.name()));
+    pub fn check(&self, order: &Order) -> Result<(), String> {
+        let longest = self.max_duration.as_secs_f64() * 1000.0;
+        if !self.kinds.contains(order.kind.name()) {
+            return Err(format!("what: the settings do not allow {}", order.kind.name()));
         }
         if order.until - order.from > longest {
             return Err(format!("until: {:.0} s after `from` at most are allowed", longest / 1000.0));
         }
-        if order.most > self.most || order.per_s > self.per_s {
+        if order.max_requests > self.max_requests || order.max_per_s > self.max_per_s {
             return Err(format!(
                 "most: {} in all and {} a second at most are allowed",
-                self.most, self.per_s
+                self.max_requests, self.max_per_s
             ));
         }
         Ok(())
--- a/system/membership/src/duties.rs
+++ b/system/membership/src/duties.rs
@@ -7,7 +7,7 @@
 
 use crate::Millis;
 use fennelscale_messages::Host;
-pub use fennelscale_quota_lease::{SHARDS, bit_of};
+pub use fennelscale_quota_lease::{SHARDS, shard_bit};
 use std::collections::BTreeMap;
 
 /// A claim that was let stand stays so long.
--- a/system/membership/src/failure_counts.rs
+++ b/system/membership/src/failure_counts.rs
@@ -12,7 +12,7 @@
 pub(crate) type ReportedCounts = BTreeMap<Host, (u64, Vec<OrderCount>)>;
 
 /// The most orders that one proxy may tell of.
-const MOST: usize = fennelscale_fault_injection::MOST_ORDERS;
+const MOST: usize = fennelscale_fault_injection::MAX_ORDERS;
 
 impl RegistryState {
     /// A proxy with a session here tells what it has counted in its life.
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -35,7 +35,7 @@
     Backend, BackendList, ProxyInfo, ProxyToRegistry, RegistryInfo, RegistryToProxy,
 };
 use fennelscale_messages::store::MemberList;
-use fennelscale_quota_lease::{Ask, Counts, Relay, Terms};
+use fennelscale_quota_lease::{Quota, QuotaCounter, Relay, UnitRequest};
 use maintenance::MaintenanceState;
 use members::Members;
 use std::collections::{BTreeMap, BTreeSet};
@@ -118,11 +118,11 @@
     peers: BTreeMap<Host, Peer>,
     members: Members,
     duties: DutyLeases,
-    counts: Counts,
+    counts: QuotaCounter,
     relay: Relay,
     /// The registries that proxies of other registries ask this relay by.
     ways: BTreeMap<Host, Host>,
-    terms: BTreeMap<String, Terms>,
+    terms: BTreeMap<String, Quota>,
     items: ItemCopy,
     /// Sums that the copy had lately.
     sums: copies::RecentSums,
@@ -172,7 +172,7 @@
             peers: BTreeMap::new(),
             members: Members::default(),
             duties: DutyLeases::new(if bootstrap { f64::MIN } else { now }),
-            counts: Counts::default(),
+            counts: QuotaCounter::default(),
             relay: Relay::default(),
             ways: BTreeMap::new(),
             terms: BTreeMap::new(),
@@ -297,7 +297,7 @@
             if self.reachable_registries(now) != self.told_heard {
                 self.tell_registries(now);
             }
-            self.counts.sweep(now);
+            self.counts.remove_idle(now);
             let known: BTreeSet<Host> = self.members.all(now).iter().map(|m| m.host).collect();
             self.ways.retain(|proxy, _| known.contains(proxy));
             self.met.retain(|proxy, _| known.contains(proxy));
@@ -431,7 +431,7 @@
             }
         }
         if lost != 0 {
-            self.counts.drop_where(|tenant| lost & duties::bit_of(tenant) != 0);
+            self.counts.remove_where(|tenant| lost & duties::shard_bit(tenant) != 0);
         }
     }
 
@@ -550,7 +550,8 @@
                 self.out.push(Output::SendToRegistry(from, RegistryMessage::BackendList(listing)));
             }
             RegistryMessage::RequestUnits { from: proxy, tenant, units, next_window: next, demand } => {
-                let grant = self.count(now, Ask { tenant: &tenant, proxy, units, next, demand });
+                let grant =
+                    self.count(now, UnitRequest { tenant: &tenant, proxy, units, next_window: next, demand });
                 self.out.push(Output::SendToRegistry(from, RegistryMessage::Grant(proxy, grant)));
             }
             RegistryMessage::RequestUnitsFromRelay {
@@ -567,8 +568,8 @@
                 self.out.push(Output::SendToProxy(proxy, Rc::new(RegistryToProxy::Grant(grant))))
             }
             RegistryMessage::ReturnUnits { tenant, units, window } => {
-                if self.held_duties(now) & duties::bit_of(&tenant) != 0 {
-                    self.counts.back(now, &tenant, units, window);
+                if self.held_duties(now) & duties::shard_bit(&tenant) != 0 {
+                    self.counts.return_units(now, &tenant, units, window);
                 }
             }
             RegistryMessage::RequestEvents(question, wanted) => {
@@ -622,8 +623,8 @@
                 }
             }
             ProxyToRegistry::ReturnUnits { tenant, units, window } => {
-                match self.holder(now, duties::bit_of(&tenant)) {
-                    Some(host) if host == self.me => self.counts.back(now, &tenant, units, window),
+                match self.holder(now, duties::shard_bit(&tenant)) {
+                    Some(host) if host == self.me => self.counts.return_units(now, &tenant, units, window),
                     Some(host) => self.out.push(Output::SendToRegistry(
                         host,
                         RegistryMessage::ReturnUnits { tenant, units, window },
--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -103,7 +103,7 @@
                 Some(ParsedItem::WorkOrder(order)) => drop(self.orders.insert(name.to_owned(), *order)),
                 _ => drop(self.orders.remove(name)),
             }
-        } else if name.starts_with(fennelscale_fault_injection::FAILURE) {
+        } else if name.starts_with(fennelscale_fault_injection::ORDER_PREFIX) {
             match what() {
                 Some(ParsedItem::FailureOrder(order)) => self.failure(name, Some(&order)),
                 _ => self.failure(name, None),
@@ -268,12 +268,12 @@
         }
         let held = self.held_duties(now);
         let names = || self.hours.orders.keys().chain(self.hours.nights.keys());
-        if !names().any(|name| held & duties::bit_of(name) != 0) {
+        if !names().any(|name| held & duties::shard_bit(name) != 0) {
             return;
         }
         let scene = self.scene(now);
         let me = self.me.to_string();
-        let mine = |name: &str| held & duties::bit_of(name) != 0;
+        let mine = |name: &str| held & duties::shard_bit(name) != 0;
         if let Some(Next { order, night, node, phase }) = plan::next(&scene, &me, mine) {
             let why = night.last(&node).map(|step| step.why.clone()).unwrap_or_default();
             let about = format!("order={order} node={node} phase={} why={why:?}", phase.name());
@@ -363,7 +363,7 @@
                     }
                 }
             };
-            let holder = self.holder(now, duties::bit_of(&order.name));
+            let holder = self.holder(now, duties::shard_bit(&order.name));
             OrderStatus {
                 name: order.name.clone(),
                 state: order.wanted.name(),
--- a/system/membership/src/quota_grants.rs
+++ b/system/membership/src/quota_grants.rs
@@ -6,7 +6,7 @@
 use fennelscale_messages::registry::RegistryMessage;
 use fennelscale_messages::session::{Grant, RegistryToProxy};
 use fennelscale_messages::store::Entry;
-use fennelscale_quota_lease::{Ask, Counts, Sent, Terms};
+use fennelscale_quota_lease::{Quota, QuotaCounter, RelayOutput, UnitRequest};
 use std::rc::Rc;
 
 impl RegistryState {
@@ -35,35 +35,40 @@
             None => drop(self.ways.remove(&proxy)),
         }
         let mut sent = Vec::new();
-        self.relay.ask(now, proxy, tenant, units, next, demand, terms, &mut sent);
+        self.relay.request_units(now, proxy, tenant, units, next, demand, terms, &mut sent);
         self.relay_sent(now, sent);
     }
 
     pub(crate) fn relay_grant(&mut self, now: Millis, grant: Grant) {
         let mut sent = Vec::new();
-        self.relay.grant(now, grant, &mut sent);
+        self.relay.on_grant(now, grant, &mut sent);
         self.relay_sent(now, sent);
     }
 
-    pub(crate) fn relay_sent(&mut self, now: Millis, sent: Vec<Sent>) {
+    pub(crate) fn relay_sent(&mut self, now: Millis, sent: Vec<RelayOutput>) {
         for sent in sent {
             match sent {
-                Sent::Down(proxy, grant) => match self.ways.get(&proxy) {
+                RelayOutput::ToProxy(proxy, grant) => match self.ways.get(&proxy) {
                     Some(by) => {
                         self.out.push(Output::SendToRegistry(*by, RegistryMessage::Grant(proxy, grant)))
                     }
                     None => self.out.push(Output::SendToProxy(proxy, Rc::new(RegistryToProxy::Grant(grant)))),
                 },
-                Sent::Up(tenant, units, next, demand) => self.ask_holder(now, tenant, units, next, demand),
+                RelayOutput::ToHolder(tenant, units, next, demand) => {
+                    self.ask_holder(now, tenant, units, next, demand)
+                }
             }
         }
     }
 
     fn ask_holder(&mut self, now: Millis, tenant: String, units: f64, next: bool, demand: f64) {
         let from = self.me;
-        match self.holder(now, duties::bit_of(&tenant)) {
+        match self.holder(now, duties::shard_bit(&tenant)) {
             Some(host) if host == self.me => {
-                let grant = self.count(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
+                let grant = self.count(
+                    now,
+                    UnitRequest { tenant: &tenant, proxy: from, units, next_window: next, demand },
+                );
                 self.relay_grant(now, grant);
             }
             Some(host) => self.out.push(Output::SendToRegistry(
@@ -87,9 +92,9 @@
     }
 
     /// Grants units of a tenant, if the duty is held here: the fence is looked at here, where units are granted.
-    pub(crate) fn count(&mut self, now: Millis, ask: Ask<'_>) -> Grant {
-        let (tenant, next) = (ask.tenant, ask.next);
-        let bit = duties::bit_of(tenant);
+    pub(crate) fn count(&mut self, now: Millis, ask: UnitRequest<'_>) -> Grant {
+        let (tenant, next) = (ask.tenant, ask.next_window);
+        let bit = duties::shard_bit(tenant);
         let terms = self.terms.get(tenant).copied().unwrap_or_default();
         if self.held_duties(now) & bit == 0 || terms.rate <= 0.0 {
             return closed(tenant, next, terms);
@@ -101,9 +106,10 @@
         }
         let counts = self.counted(now);
         // While a new holder rested all were on their own, and it is a while until they say that they no longer are.
-        let rested = now > since + Counts::REST as f64 * terms.window() + RECONNECT_DELAY;
+        let rested =
+            now > since + QuotaCounter::TAKEOVER_WINDOWS as f64 * terms.window_length() + RECONNECT_DELAY;
         let alone = if rested { self.members.alone_count(bit) } else { 0.0 };
-        let grant = self.counts.ask(now, ask, terms, since, counts.parts + alone / counts.all);
+        let grant = self.counts.request_units(now, ask, terms, since, counts.parts + alone / counts.all);
         self.quota_edge(now, &grant);
         grant
     }
@@ -114,7 +120,7 @@
         let fact = entry.body.as_deref().map(|body| fennelscale_config::parse_item(name, &entry.host, body));
         match fact {
             Some(Ok(ParsedItem::Tenant(t))) if t.rate_per_s > 0.0 => {
-                self.terms.insert(tenant.to_owned(), Terms { rate: t.rate_per_s, burst: t.burst });
+                self.terms.insert(tenant.to_owned(), Quota { rate: t.rate_per_s, burst: t.burst });
             }
             _ => drop(self.terms.remove(tenant)),
         }
@@ -122,7 +128,7 @@
 }
 
 /// Nobody grants now: the proxy is on its own until the window after next.
-fn closed(tenant: &str, next: bool, terms: Terms) -> Grant {
-    let (tenant, ends) = (tenant.to_owned(), terms.window());
+fn closed(tenant: &str, next: bool, terms: Quota) -> Grant {
+    let (tenant, ends) = (tenant.to_owned(), terms.window_length());
     Grant { tenant, units: 0.0, window: 0, begins_in: 0.0, ends_in: ends, next_window: next, closed: true }
 }
--- a/system/membership/src/status.rs
+++ b/system/membership/src/status.rs
@@ -29,8 +29,8 @@
             ("copies_compared", self.resent.0.to_string()),
             ("entries_resent", self.resent.1.to_string()),
             ("duties_held", self.held_duties(now).count_ones().to_string()),
-            ("tenants_counted", self.counts.tenants().to_string()),
-            ("tenants_relayed", self.relay.tenants().to_string()),
+            ("tenants_counted", self.counts.tenant_count().to_string()),
+            ("tenants_relayed", self.relay.tenant_count().to_string()),
         ]
     }
 }
--- a/system/membership/tests/nights/mod.rs
+++ b/system/membership/tests/nights/mod.rs
@@ -81,7 +81,7 @@
         // One clock says that it is time, or that it is over.
         world.walls[seed as usize % 6] = if seed % 2 == 0 { 9000.0 } else { -3_600_000.0 };
         go(&mut world, 24_000.0 + 400.0 * seed as f64);
-        let bit = fennelscale_membership::duties::bit_of("o");
+        let bit = fennelscale_membership::duties::shard_bit("o");
         let now = world.now;
         let holder =
             world.nodes.iter().position(|r| r.as_ref().is_some_and(|r| r.held_duties(now) & bit != 0));
--- a/system/node-settings/src/lib.rs
+++ b/system/node-settings/src/lib.rs
@@ -234,14 +234,14 @@
         return Ok(None);
     }
     let kinds: Vec<String> = sheet.value("/failureOrders/kinds")?;
-    let names = fennelscale_fault_injection::What::NAMES;
+    let names = fennelscale_fault_injection::FailureKind::NAMES;
     if kinds.iter().any(|kind| !names.contains(&kind.as_str())) {
         return Err(sheet.fault("/failureOrders/kinds", format!("list some of {}", names.join(", "))));
     }
     Ok(Some(fennelscale_fault_injection::Limits {
-        most: sheet.value("/failureOrders/mostInAll")?,
-        per_s: sheet.number("/failureOrders/mostPerS")?,
-        longest: sheet.span("/failureOrders/longest")?,
+        max_requests: sheet.value("/failureOrders/mostInAll")?,
+        max_per_s: sheet.number("/failureOrders/mostPerS")?,
+        max_duration: sheet.span("/failureOrders/longest")?,
         kinds: kinds.into_iter().collect(),
     }))
 }
--- a/system/node-settings/src/tests.rs
+++ b/system/node-settings/src/tests.rs
@@ -78,7 +78,7 @@
     let table = "[failureOrders]\nmostInAll = 40\nmostPerS = 2.5\nlongest = \"60s\"\nkinds = [\"refuse\", \"delay\"]\n";
     let limits = Settings::parse(&format!("{TEXT}{table}")).unwrap().failures.unwrap();
     assert_eq!(
-        (limits.most, limits.per_s, limits.longest, limits.kinds.len()),
+        (limits.max_requests, limits.max_per_s, limits.max_duration, limits.kinds.len()),
         (40, 2.5, Duration::from_secs(60), 2)
     );
     for (from, to, field) in [
--- a/system/proxy/src/failure_injection.rs
+++ b/system/proxy/src/failure_injection.rs
@@ -4,7 +4,7 @@
 
 use crate::proxy::Proxy;
 use bytes::Bytes;
-use fennelscale_fault_injection::{Met, What};
+use fennelscale_fault_injection::{FailureKind, InjectedFault};
 use http_body_util::{BodyExt, Full};
 use hyper::Response;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -40,26 +40,26 @@
 /// Room that a request takes while an order holds it.
 pub struct Room {
     proxy: Rc<Proxy>,
-    what: What,
+    what: FailureKind,
 }
 
 impl Drop for Room {
     fn drop(&mut self) {
-        self.proxy.desk.borrow_mut().over(self.what);
+        self.proxy.desk.borrow_mut().release(self.what);
     }
 }
 
 /// What an order does to one request.
 pub struct Fate {
     /// How it is failed.
-    pub what: What,
+    pub what: FailureKind,
     room: Option<Room>,
 }
 
 impl Fate {
     /// Takes what the desk has decided.
-    pub fn new(proxy: &Rc<Proxy>, met: &Met) -> Self {
-        let what = met.what;
+    pub fn new(proxy: &Rc<Proxy>, met: &InjectedFault) -> Self {
+        let what = met.kind;
         let room = what.holds().then(|| Room { proxy: proxy.clone(), what });
         Self { what, room }
     }
@@ -107,8 +107,8 @@
     let body = body.collect().await.map_or_else(|never| match never {}, |body| body.to_bytes());
     let size = body.len() as u64;
     let told = match what {
-        What::LoseAnswer => return Err(Cut),
-        What::CutAnswer(share) => {
+        FailureKind::LoseAnswer => return Err(Cut),
+        FailureKind::CutAnswer(share) => {
             let part = (size as f64 * share) as usize;
             if body.is_empty() {
                 // There is nothing to cut that would not look whole.
@@ -117,12 +117,12 @@
             let left = VecDeque::from([body.slice(..part.min(body.len() - 1))]);
             Pieces { left, size, gap: Duration::ZERO, pause: None, cut: true, _room: room }
         }
-        What::SlowAnswer(ms) => {
+        FailureKind::SlowAnswer(ms) => {
             let left = pieces(&body, PIECES);
             let gap = Duration::from_secs_f64(ms / 1000.0 / left.len().max(1) as f64);
             Pieces { left, size, gap, pause: Some(Box::pin(sleep(gap))), cut: false, _room: room }
         }
-        What::Refuse | What::Delay(_) | What::CutRequest(_) => {
+        FailureKind::Refuse | FailureKind::Delay(_) | FailureKind::CutRequest(_) => {
             return Ok(Response::from_parts(head, Told::Whole(Full::new(body))));
         }
     };
@@ -177,7 +177,7 @@
 mod tests {
     use super::*;
 
-    async fn told(what: What, body: &'static str) -> (Option<u64>, Vec<u8>, bool) {
+    async fn told(what: FailureKind, body: &'static str) -> (Option<u64>, Vec<u8>, bool) {
         let fate = Fate { what, room: None };
         let Ok(response) = fail(fate, Response::new(Full::new(Bytes::from_static(body.as_bytes())))).await
         else {
@@ -199,14 +199,23 @@
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
         runtime.block_on(async {
-            assert_eq!(told(What::LoseAnswer, "abcdefgh").await, (None, Vec::new(), true));
-            assert_eq!(told(What::CutAnswer(0.5), "abcdefgh").await, (Some(8), b"abcd".to_vec(), true));
+            assert_eq!(told(FailureKind::LoseAnswer, "abcdefgh").await, (None, Vec::new(), true));
+            assert_eq!(
+                told(FailureKind::CutAnswer(0.5), "abcdefgh").await,
+                (Some(8), b"abcd".to_vec(), true)
+            );
             // Also where the order says that nothing is missing.
-            assert_eq!(told(What::CutAnswer(1.0), "abcdefgh").await, (Some(8), b"abcdefg".to_vec(), true));
-            assert_eq!(told(What::CutAnswer(0.5), "").await, (None, Vec::new(), true));
-            assert_eq!(told(What::SlowAnswer(1.0), "abcdefgh").await, (Some(8), b"abcdefgh".to_vec(), false));
-            assert_eq!(told(What::SlowAnswer(1.0), "").await, (Some(0), Vec::new(), false));
-            assert_eq!(told(What::Delay(1.0), "abc").await, (Some(3), b"abc".to_vec(), false));
+            assert_eq!(
+                told(FailureKind::CutAnswer(1.0), "abcdefgh").await,
+                (Some(8), b"abcdefg".to_vec(), true)
+            );
+            assert_eq!(told(FailureKind::CutAnswer(0.5), "").await, (None, Vec::new(), true));
+            assert_eq!(
+                told(FailureKind::SlowAnswer(1.0), "abcdefgh").await,
+                (Some(8), b"abcdefgh".to_vec(), false)
+            );
+            assert_eq!(told(FailureKind::SlowAnswer(1.0), "").await, (Some(0), Vec::new(), false));
+            assert_eq!(told(FailureKind::Delay(1.0), "abc").await, (Some(3), b"abc".to_vec(), false));
         });
     }
 }
--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -13,7 +13,7 @@
 use fennelscale_dataplane::engine::{Engine, Reply};
 use fennelscale_dataplane::front::door::Door;
 use fennelscale_dataplane::front::guest::{BUFFER, Guest, Tap};
-use fennelscale_fault_injection::{Caller, Verdict, What};
+use fennelscale_fault_injection::{Caller, FailureKind, Verdict};
 use fennelscale_host::call::{Asked, failed};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_settings::admission::Admission;
@@ -202,10 +202,10 @@
 
     async fn answer(&self, request: Request<Incoming>, guest: &Guest) -> Result<Response<Told>, Cut> {
         let fate = match self.verdict(&request) {
-            Verdict::Met(met) => Fate::new(&self.proxy, &met),
+            Verdict::Fail(met) => Fate::new(&self.proxy, &met),
             verdict => {
                 let response = self.true_answer(request, guest).await;
-                if verdict == Verdict::Unnamed {
+                if verdict == Verdict::Unmatched {
                     self.proxy.unnamed(response.status().as_u16());
                 }
                 return Ok(response.map(Told::Whole));
@@ -213,11 +213,11 @@
         };
         let has_body = !request.body().is_end_stream();
         match fate.what {
-            What::CutRequest(share) => {
+            FailureKind::CutRequest(share) => {
                 failure_injection::read_part(request.into_body(), share).await;
                 return Err(Cut);
             }
-            What::Refuse => {
+            FailureKind::Refuse => {
                 let refusal = Refusal::later(Kind::NoRoom, "this proxy takes no requests now", NOT_READY);
                 let mut response = refusal.answer();
                 if has_body {
@@ -225,8 +225,8 @@
                 }
                 return Ok(response.map(Told::Whole));
             }
-            What::Delay(ms) => tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await,
-            What::LoseAnswer | What::CutAnswer(_) | What::SlowAnswer(_) => {}
+            FailureKind::Delay(ms) => tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await,
+            FailureKind::LoseAnswer | FailureKind::CutAnswer(_) | FailureKind::SlowAnswer(_) => {}
         }
         let response = self.true_answer(request, guest).await;
         failure_injection::fail(fate, response).await
@@ -235,7 +235,7 @@
     /// What failure orders do to a request, by what its head says.
     fn verdict(&self, request: &Request<Incoming>) -> Verdict {
         if self.proxy.desk.borrow().is_empty() {
-            return Verdict::Unnamed;
+            return Verdict::Unmatched;
         }
         let headers = request.headers();
         let text =
@@ -246,7 +246,7 @@
         let host = authority.unwrap_or(&host).to_ascii_lowercase();
         let held = self.proxy.held.borrow();
         let Some(route) = held.table.route(&host, request.uri().path()).cloned() else {
-            return Verdict::Unnamed;
+            return Verdict::Unmatched;
         };
         let tenant = held.table.tenant(&key).cloned();
         drop(held);
@@ -256,7 +256,7 @@
             key: &key,
             route: &route.name,
             host: &route.host,
-            kind: match route.kind {
+            route_kind: match route.kind {
                 RouteKind::Idempotent => "idempotent",
                 RouteKind::NonIdempotent => "non_idempotent",
                 RouteKind::Upload => "upload",
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -10,7 +10,7 @@
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::Tenant;
 use fennelscale_dataplane::front::door::Door;
-use fennelscale_fault_injection::{Caller, Desk, FAILURE, Sums, Verdict};
+use fennelscale_fault_injection::{Caller, FaultInjector, ORDER_PREFIX, OutcomeCounts, Verdict};
 use fennelscale_host::link::Writer;
 use fennelscale_host::start::{self, Signals};
 use fennelscale_host::{call, spawn};
@@ -20,7 +20,7 @@
     ProxyInfo, ProxyMessage, ProxyToRegistry, RegistryInfo, RegistryToProxy,
 };
 use fennelscale_node_settings::{Port, Settings};
-use fennelscale_quota_lease::{Admission, Cache, Comer, Terms, Timely};
+use fennelscale_quota_lease::{Admission, LatenessDetector, LeaseCache, Quota, QuotaRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -60,9 +60,9 @@
     life: u64,
     pub held: RefCell<RoutingState>,
     pub services: Services,
-    cache: RefCell<Cache>,
+    cache: RefCell<LeaseCache>,
     /// Which tries come too late for their aim.
-    pub timely: RefCell<Timely>,
+    pub timely: RefCell<LatenessDetector>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next: Cell<u64>,
     session: RefCell<Option<Writer>>,
@@ -77,7 +77,7 @@
     quiet: RefCell<Vec<String>>,
     door: RefCell<Option<Rc<Door>>>,
     /// Failure orders, and what was told of them.
-    pub desk: RefCell<Desk>,
+    pub desk: RefCell<FaultInjector>,
     tell_at: Cell<f64>,
     leaving: Cell<bool>,
     ended: Cell<bool>,
@@ -117,7 +117,8 @@
     let (trail, born) = (Rc::<RefCell<Trail>>::default(), Instant::now());
     let services = Services::new(&settings.zone, budget.backends, retry, life, trail.clone(), born);
     let grace = settings.bounds.grace;
-    let desk = Desk::new(settings.failures.clone(), fennelscale_fault_injection::proxy(host, life));
+    let desk =
+        FaultInjector::new(settings.failures.clone(), fennelscale_fault_injection::proxy_id(host, life));
     let proxy = Rc::new(Proxy {
         seeds: RefCell::new(settings.seeds.clone()),
         settings,
@@ -125,7 +126,7 @@
         life,
         held: RefCell::new(RoutingState::new(place)),
         services,
-        cache: RefCell::new(Cache::new(0.0, life)),
+        cache: RefCell::new(LeaseCache::new(0.0, life)),
         timely: RefCell::default(),
         waiting: RefCell::default(),
         next: Cell::new(0),
@@ -218,9 +219,9 @@
     /// What becomes of a request by failure orders: nearly all are not named.
     pub fn meet(&self, caller: &Caller<'_>) -> Verdict {
         let (now, held) = (self.now(), self.held.borrow());
-        let verdict = self.desk.borrow_mut().meet(now, held.true_time(now), caller);
-        if let Verdict::Met(met) = &verdict {
-            let what = met.what.name();
+        let verdict = self.desk.borrow_mut().decide(now, held.true_time(now), caller);
+        if let Verdict::Fail(met) = &verdict {
+            let what = met.kind.name();
             tracing::info!(event = "failure-injected", order = met.order, what, request = caller.id);
         }
         verdict
@@ -229,7 +230,7 @@
     /// A request that no failure order names has ended.
     pub fn unnamed(&self, status: u16) {
         if !self.desk.borrow().is_empty() {
-            self.desk.borrow_mut().ended(self.held.borrow().true_time(self.now()), status);
+            self.desk.borrow_mut().record_outcome(self.held.borrow().true_time(self.now()), status);
         }
     }
 
@@ -239,10 +240,10 @@
             return;
         }
         self.tell_at.set(self.now() + TELL);
-        let sums = |s: Sums| [s.served, s.refused, s.failed];
+        let sums = |s: OutcomeCounts| [s.served, s.refused, s.failed];
         let counts = self.desk.borrow().counts().into_iter();
         let counts: Vec<Count> =
-            counts.map(|(order, c, o)| (order, [c.named, c.failed, c.over], o.map(sums))).collect();
+            counts.map(|(order, c, o)| (order, [c.matched, c.failed, c.limited], o.map(sums))).collect();
         // Also unchanged: another registry may have the session by now.
         self.send(&ProxyToRegistry::FailureCounts(counts));
     }
@@ -357,7 +358,7 @@
             ready: self.is_ready(),
             items_hash: items,
             list_stamp: listing,
-            self_granted: self.cache.borrow().alone(self.now()),
+            self_granted: self.cache.borrow().self_granted_shards(self.now()),
         }
     }
 
@@ -458,8 +459,8 @@
                     (news, was)
                 };
                 self.count_items(whole, count, news.len());
-                if news.iter().any(|name| name.starts_with(FAILURE)) {
-                    self.desk.borrow_mut().set(self.held.borrow().table.failure_orders.values());
+                if news.iter().any(|name| name.starts_with(ORDER_PREFIX)) {
+                    self.desk.borrow_mut().set_orders(self.held.borrow().table.failure_orders.values());
                 }
                 self.drop_limits(&news);
                 if !news.is_empty() {
@@ -480,14 +481,14 @@
                 {
                     let mut held = self.held.borrow_mut();
                     held.set_proxies(self.now(), members, gateways);
-                    self.cache.borrow_mut().gateways(held.proxy_count);
+                    self.cache.borrow_mut().set_proxy_count(held.proxy_count);
                 }
                 self.update();
             }
             RegistryToProxy::Registries(registries) => *self.registries.borrow_mut() = registries,
             RegistryToProxy::Grant(grant) => {
                 let (mut out, mut told) = (Vec::new(), Vec::new());
-                self.cache.borrow_mut().grant(self.now(), grant, &mut out, &mut told);
+                self.cache.borrow_mut().on_grant(self.now(), grant, &mut out, &mut told);
                 self.carry_out(out, told);
             }
             RegistryToProxy::Time(earliest, latest) => {
@@ -508,7 +509,7 @@
         for tenant in news.iter().filter_map(|name| name.strip_prefix("t:")) {
             let limited = self.held.borrow().table.tenant_by_name(tenant).is_some_and(|t| t.rate_per_s > 0.0);
             if !limited {
-                self.cache.borrow_mut().forget(tenant, &mut told);
+                self.cache.borrow_mut().remove_tenant(tenant, &mut told);
             }
         }
         self.carry_out(Vec::new(), told);
@@ -543,7 +544,7 @@
     /// Takes a unit of a tenant's lease, waiting for a block no longer than `wait`. How long the client should stay away
     /// where there is none. One that is `late` for its aim goes last while units are scarce.
     pub async fn admit(&self, tenant: &Tenant, wait: Duration, late: bool) -> Result<(), f64> {
-        let terms = Terms { rate: tenant.rate_per_s, burst: tenant.burst };
+        let terms = Quota { rate: tenant.rate_per_s, burst: tenant.burst };
         if terms.rate <= 0.0 {
             return Ok(());
         }
@@ -551,9 +552,9 @@
         self.next.set(request + 1);
         let mut out = Vec::new();
         let until = now + wait.as_secs_f64() * 1000.0;
-        let comer = Comer { request, until, late };
+        let comer = QuotaRequest { id: request, deadline: until, is_late: late };
         let admission = self.cache.borrow_mut().admit(now, &tenant.name, terms, comer, &mut out);
-        let receiver = (admission == Admission::Waits).then(|| {
+        let receiver = (admission == Admission::Queued).then(|| {
             let (sender, receiver) = oneshot::channel();
             self.waiting.borrow_mut().insert(request, sender);
             receiver
@@ -561,19 +562,19 @@
         self.carry_out(out, Vec::new());
         let admission = match receiver {
             // Dropped with its request when the client leaves; the unit is then lost to this window.
-            Some(receiver) => receiver.await.unwrap_or(Admission::Refused(0.0)),
+            Some(receiver) => receiver.await.unwrap_or(Admission::Rejected(0.0)),
             None => admission,
         };
         match admission {
-            Admission::Taken => Ok(()),
-            Admission::Refused(wait) => Err(wait),
-            Admission::Waits => Err(0.0),
+            Admission::Admitted => Ok(()),
+            Admission::Rejected(wait) => Err(wait),
+            Admission::Queued => Err(0.0),
         }
     }
 
     fn hand_back(&self) {
         let mut out = Vec::new();
-        self.cache.borrow_mut().hand_back(self.now(), &mut out);
+        self.cache.borrow_mut().return_units(self.now(), &mut out);
         self.carry_out(out, Vec::new());
     }
 }
--- a/system/quota-lease/src/cache.rs
+++ b/system/quota-lease/src/cache.rs
@@ -1,7 +1,7 @@
 //! The lease cache of a proxy: blocks that end with their window, admission out of them, renewal before they run dry.
 
 use crate::counts::AHEAD;
-use crate::{Block, Millis, SILENT, SLICE, Terms, bit_of};
+use crate::{Block, ISOLATED_SHARE, ISOLATION_TIMEOUT, Millis, Quota, shard_bit};
 use fennelscale_messages::session::{Grant, ProxyToRegistry};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -37,33 +37,33 @@
 const WAITING: usize = 256;
 
 /// A request that waits for a block.
-pub type Request = u64;
+pub type RequestId = u64;
 
 /// A request that wants its unit.
 #[derive(Clone, Copy, Debug)]
-pub struct Comer {
+pub struct QuotaRequest {
     /// Which.
-    pub request: Request,
+    pub id: RequestId,
     /// It waits for a block until then at most.
-    pub until: Millis,
+    pub deadline: Millis,
     /// An answer would come too late for its full worth: its client has been refused before and has waited.
-    pub late: bool,
+    pub is_late: bool,
 }
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
     /// It has its unit.
-    Taken,
+    Admitted,
     /// Block and count are spent; come back after so long.
-    Refused(Millis),
-    /// It waits for a block; it is told by [`Cache::grant`] or [`Cache::tick`].
-    Waits,
+    Rejected(Millis),
+    /// It waits for a block; it is told by [`LeaseCache::on_grant`] or [`LeaseCache::tick`].
+    Queued,
 }
 
 #[derive(Clone, Debug)]
 struct Tenant {
-    terms: Terms,
+    terms: Quota,
     block: Block,
     next: Option<Block>,
     /// Smoothed requests a ms, and those since the last look.
@@ -84,7 +84,7 @@
     /// All of the window at hand is spent until then.
     spent: Millis,
     next_spent: Millis,
-    waiting: VecDeque<(Request, Millis)>,
+    waiting: VecDeque<(RequestId, Millis)>,
     /// The slice at hand: what is left of it, and until when.
     slice: f64,
     slice_ends: Millis,
@@ -96,7 +96,7 @@
 
 /// The lease cache.
 #[derive(Clone, Debug)]
-pub struct Cache {
+pub struct LeaseCache {
     tenants: BTreeMap<String, Tenant>,
     gateways: f64,
     /// When this life began. What the one before it spent is not known: nothing is spent alone at first.
@@ -105,30 +105,30 @@
     seed: u64,
 }
 
-impl Cache {
-    /// An empty cache; how many proxies there are is told by [`Self::gateways`].
+impl LeaseCache {
+    /// An empty cache; how many proxies there are is told by [`Self::set_proxy_count`].
     pub fn new(now: Millis, seed: u64) -> Self {
         // As long as nobody says how many there are, an even part is nothing.
         Self { tenants: BTreeMap::new(), gateways: f64::INFINITY, born: now, seed }
     }
 
     /// There are so many proxies.
-    pub fn gateways(&mut self, gateways: f64) {
+    pub fn set_proxy_count(&mut self, gateways: f64) {
         self.gateways = gateways.max(1.0);
     }
 
     /// How many tenants are known.
-    pub fn tenants(&self) -> usize {
+    pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
     /// A request of a tenant wants its unit. While units are scarce those that are late have what the others leave: a unit of
     /// theirs is worth less, and each that they take makes another request late.
     pub fn admit(
-        &mut self, now: Millis, name: &str, terms: Terms, comer: Comer, out: &mut Vec<ProxyToRegistry>,
+        &mut self, now: Millis, name: &str, terms: Quota, comer: QuotaRequest, out: &mut Vec<ProxyToRegistry>,
     ) -> Admission {
         if terms.rate <= 0.0 {
-            return Admission::Taken;
+            return Admission::Admitted;
         }
         let gateways = self.gateways;
         if !self.tenants.contains_key(name) {
@@ -136,36 +136,36 @@
             let part = (part >> 11) as f64 / (1_u64 << 53) as f64;
             self.tenants.insert(name.to_owned(), Tenant::new(now, terms, self.born, part));
         }
-        let Some(tenant) = self.tenants.get_mut(name) else { return Admission::Taken };
+        let Some(tenant) = self.tenants.get_mut(name) else { return Admission::Admitted };
         tenant.terms = terms;
         tenant.roll(now);
         // Before this request counts: seen from the moment of one, the next is no nearer than from any other.
         tenant.look(now);
         tenant.came += 1.0;
-        tenant.timely_came += f64::from(u8::from(!comer.late));
+        tenant.timely_came += f64::from(u8::from(!comer.is_late));
         tenant.last = now;
-        let yields = comer.late && tenant.late_yields(now);
+        let yields = comer.is_late && tenant.late_yields(now);
         let admission = if tenant.block.units >= 1.0 && !yields {
             tenant.block.units -= 1.0;
-            Admission::Taken
+            Admission::Admitted
         } else if tenant.silent(now) {
             tenant.spend_slice(now, gateways)
         } else if yields || now < tenant.spent || tenant.waiting.len() >= WAITING {
             // The rest of the window, or until it is asked again, and a little apart from others.
             let wait = (tenant.block.ends - now).max(tenant.spent - now).clamp(20.0, 2000.0);
-            Admission::Refused(wait)
+            Admission::Rejected(wait)
         } else {
-            tenant.waiting.push_back((comer.request, comer.until));
-            Admission::Waits
+            tenant.waiting.push_back((comer.id, comer.deadline));
+            Admission::Queued
         };
         tenant.renew(now, name, gateways, out);
         admission
     }
 
     /// An answer of the count. Requests that waited and have their unit or are refused now are told.
-    pub fn grant(
+    pub fn on_grant(
         &mut self, now: Millis, grant: Grant, out: &mut Vec<ProxyToRegistry>,
-        told: &mut Vec<(Request, Admission)>,
+        told: &mut Vec<(RequestId, Admission)>,
     ) {
         let gateways = self.gateways;
         let name = grant.tenant;
@@ -189,7 +189,7 @@
         let (begins, ends) = (now + grant.begins_in, now + grant.ends_in);
         if grant.closed {
             // A new holder lets the window go by. It is a silence of known length, and treated as one.
-            tenant.unheard = Some(now - SILENT);
+            tenant.unheard = Some(now - ISOLATION_TIMEOUT);
             tenant.spent = 0.0;
             tenant.closed = now;
             // The answer to the next ask would be the same for a while, and there at once.
@@ -211,8 +211,8 @@
             }
             tenant.block.units += grant.units;
             if grant.units < 1.0 {
-                tenant.spent = (now + tenant.terms.window() * SPENT).min(ends);
-                tenant.scarce = now + tenant.terms.window() * SCARCE;
+                tenant.spent = (now + tenant.terms.window_length() * SPENT).min(ends);
+                tenant.scarce = now + tenant.terms.window_length() * SCARCE;
             }
         }
         tenant.serve(now, told);
@@ -222,7 +222,7 @@
     /// Time passes: windows end, blocks are asked for, who has waited long enough is told. Due every 20 ms or so while anybody
     /// waits, every 50 ms else.
     pub fn tick(
-        &mut self, now: Millis, out: &mut Vec<ProxyToRegistry>, told: &mut Vec<(Request, Admission)>,
+        &mut self, now: Millis, out: &mut Vec<ProxyToRegistry>, told: &mut Vec<(RequestId, Admission)>,
     ) {
         let gateways = self.gateways;
         for (name, tenant) in &mut self.tenants {
@@ -239,28 +239,29 @@
             tenant.renew(now, name, gateways, out);
         }
         self.tenants.retain(|_, tenant| {
-            let idle = now - tenant.last > tenant.terms.window() * IDLE;
+            let idle = now - tenant.last > tenant.terms.window_length() * IDLE;
             !(idle && tenant.waiting.is_empty())
         });
     }
 
     /// The keys of tenants whose requests are let in from slices since this proxy was told that nobody grants. One that waits for an
     /// answer is none of them: its units may be on their way.
-    pub fn alone(&self, now: Millis) -> u64 {
-        let told = |tenant: &Tenant| now - tenant.closed < TOLD && now - tenant.last < tenant.terms.window();
+    pub fn self_granted_shards(&self, now: Millis) -> u64 {
+        let told =
+            |tenant: &Tenant| now - tenant.closed < TOLD && now - tenant.last < tenant.terms.window_length();
         let alone = self.tenants.iter().filter(|(_, tenant)| told(tenant));
-        alone.fold(0, |keys, (name, _)| keys | bit_of(name))
+        alone.fold(0, |keys, (name, _)| keys | shard_bit(name))
     }
 
     /// A limit is no more, or a tenant: nothing of it is kept.
-    pub fn forget(&mut self, name: &str, told: &mut Vec<(Request, Admission)>) {
+    pub fn remove_tenant(&mut self, name: &str, told: &mut Vec<(RequestId, Admission)>) {
         if let Some(tenant) = self.tenants.remove(name) {
-            told.extend(tenant.waiting.into_iter().map(|(request, _)| (request, Admission::Refused(200.0))));
+            told.extend(tenant.waiting.into_iter().map(|(request, _)| (request, Admission::Rejected(200.0))));
         }
     }
 
     /// The proxy ends: what was not spent goes back.
-    pub fn hand_back(&mut self, now: Millis, out: &mut Vec<ProxyToRegistry>) {
+    pub fn return_units(&mut self, now: Millis, out: &mut Vec<ProxyToRegistry>) {
         for (name, tenant) in &mut self.tenants {
             tenant.roll(now);
             let units = std::mem::take(&mut tenant.block.units);
@@ -276,8 +277,8 @@
 }
 
 impl Tenant {
-    fn new(now: Millis, terms: Terms, born: Millis, part: f64) -> Self {
-        let alone_from = born + ALONE_AFTER * terms.window();
+    fn new(now: Millis, terms: Quota, born: Millis, part: f64) -> Self {
+        let alone_from = born + ALONE_AFTER * terms.window_length();
         Self {
             alone_from,
             terms,
@@ -336,47 +337,47 @@
     }
 
     fn silent(&self, now: Millis) -> bool {
-        self.unheard.is_some_and(|since| now - since >= SILENT)
+        self.unheard.is_some_and(|since| now - since >= ISOLATION_TIMEOUT)
     }
 
     /// The slice of a proxy on its own; none in a window of which it had a block.
     fn spend_slice(&mut self, now: Millis, gateways: f64) -> Admission {
         if now >= self.slice_ends && now >= self.alone_from {
-            let window = self.terms.window();
-            self.slice = self.slice.fract() + self.terms.grant() * SLICE / gateways;
+            let window = self.terms.window_length();
+            self.slice = self.slice.fract() + self.terms.units_per_window() * ISOLATED_SHARE / gateways;
             self.slice_ends = now + window;
         }
         if self.slice >= 1.0 {
             self.slice -= 1.0;
-            Admission::Taken
+            Admission::Admitted
         } else {
-            Admission::Refused((self.slice_ends.max(self.alone_from) - now).clamp(20.0, 2000.0))
+            Admission::Rejected((self.slice_ends.max(self.alone_from) - now).clamp(20.0, 2000.0))
         }
     }
 
-    fn serve(&mut self, now: Millis, told: &mut Vec<(Request, Admission)>) {
+    fn serve(&mut self, now: Millis, told: &mut Vec<(RequestId, Admission)>) {
         while self.block.units >= 1.0
             && let Some((request, _)) = self.waiting.pop_front()
         {
             self.block.units -= 1.0;
-            told.push((request, Admission::Taken));
+            told.push((request, Admission::Admitted));
         }
         if now < self.spent && !self.silent(now) {
             let wait = (self.block.ends - now).clamp(20.0, 2000.0);
-            told.extend(self.waiting.drain(..).map(|(request, _)| (request, Admission::Refused(wait))));
+            told.extend(self.waiting.drain(..).map(|(request, _)| (request, Admission::Rejected(wait))));
         }
     }
 
     /// Asks for more before the block runs dry, and for the next window before this one ends.
     fn renew(&mut self, now: Millis, name: &str, gateways: f64, out: &mut Vec<ProxyToRegistry>) {
-        let window = self.terms.window();
+        let window = self.terms.window_length();
         let first = self.heard <= 0.0 || self.block.ends <= 0.0;
         let wanted = |span: Millis| self.demand * span;
-        let target = wanted(window * BLOCK).min(self.terms.grant());
+        let target = wanted(window * BLOCK).min(self.terms.units_per_window());
         let left = (self.block.ends - now).max(0.0);
         // No more than what comes until the window ends; where none is at hand, for the one that will be.
         let span = if left > 0.0 { wanted(left) + 1.0 } else { f64::INFINITY };
-        let now_target = if first { self.terms.grant() / gateways } else { target.min(span) };
+        let now_target = if first { self.terms.units_per_window() / gateways } else { target.min(span) };
         let waiting = self.waiting.len() as f64;
         let dry = self.block.units < now_target * RENEW || waiting > 0.0;
         let used = now - self.last < window;
--- a/system/quota-lease/src/relay.rs
+++ b/system/quota-lease/src/relay.rs
@@ -6,7 +6,7 @@
 //! are, also when two take themselves for a region's.
 
 use crate::counts::AHEAD;
-use crate::{Block, Millis, Terms};
+use crate::{Block, Millis, Quota};
 use fennelscale_messages::Host;
 use fennelscale_messages::session::Grant;
 use std::collections::{BTreeMap, VecDeque};
@@ -34,11 +34,11 @@
 
 /// What follows.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Sent {
+pub enum RelayOutput {
     /// To a proxy.
-    Down(Host, Grant),
+    ToProxy(Host, Grant),
     /// To the holder: tenant, units, for the next window, demand a ms.
-    Up(String, f64, bool, f64),
+    ToHolder(String, f64, bool, f64),
 }
 
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Debug)]
 struct Tenant {
-    terms: Terms,
+    terms: Quota,
     block: Block,
     next: Option<Block>,
     demands: BTreeMap<Host, (f64, Millis)>,
@@ -71,9 +71,9 @@
 impl Relay {
     /// A proxy asks for units.
     #[expect(clippy::too_many_arguments, reason = "the fields of one word")]
-    pub fn ask(
-        &mut self, now: Millis, from: Host, tenant: &str, units: f64, next: bool, demand: f64, terms: Terms,
-        out: &mut Vec<Sent>,
+    pub fn request_units(
+        &mut self, now: Millis, from: Host, tenant: &str, units: f64, next: bool, demand: f64, terms: Quota,
+        out: &mut Vec<RelayOutput>,
     ) {
         if !self.tenants.contains_key(tenant) {
             self.tenants.insert(tenant.to_owned(), Tenant::new(now, terms));
@@ -88,7 +88,7 @@
     }
 
     /// The holder answers.
-    pub fn grant(&mut self, now: Millis, grant: Grant, out: &mut Vec<Sent>) {
+    pub fn on_grant(&mut self, now: Millis, grant: Grant, out: &mut Vec<RelayOutput>) {
         let Some(known) = self.tenants.get_mut(&grant.tenant) else { return };
         known.roll(now);
         known.asked[usize::from(grant.next_window)] = None;
@@ -111,28 +111,28 @@
             }
             known.block.units += grant.units;
             if grant.units < 1.0 {
-                known.spent[0] = (now + known.terms.window() * SPENT).min(ends);
+                known.spent[0] = (now + known.terms.window_length() * SPENT).min(ends);
             }
         }
         known.step(now, &grant.tenant, out);
     }
 
     /// Time passes; due every 50 ms or so.
-    pub fn tick(&mut self, now: Millis, out: &mut Vec<Sent>) {
+    pub fn tick(&mut self, now: Millis, out: &mut Vec<RelayOutput>) {
         for (name, tenant) in &mut self.tenants {
             tenant.step(now, name, out);
         }
-        self.tenants.retain(|_, tenant| now - tenant.last < tenant.terms.window() * IDLE);
+        self.tenants.retain(|_, tenant| now - tenant.last < tenant.terms.window_length() * IDLE);
     }
 
     /// How many tenants are known.
-    pub fn tenants(&self) -> usize {
+    pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 }
 
 impl Tenant {
-    fn new(now: Millis, terms: Terms) -> Self {
+    fn new(now: Millis, terms: Quota) -> Self {
         Self {
             terms,
             block: Block::default(),
@@ -165,7 +165,7 @@
     }
 
     /// Serves who waits, as far as there is something to say, and asks for more.
-    fn step(&mut self, now: Millis, name: &str, out: &mut Vec<Sent>) {
+    fn step(&mut self, now: Millis, name: &str, out: &mut Vec<RelayOutput>) {
         self.roll(now);
         let all = self.demand();
         for wait in std::mem::take(&mut self.waiting) {
@@ -173,7 +173,7 @@
                 continue;
             }
             match self.serve(now, name, &wait, all) {
-                Some(grant) => out.push(Sent::Down(wait.from, grant)),
+                Some(grant) => out.push(RelayOutput::ToProxy(wait.from, grant)),
                 None => self.waiting.push_back(wait),
             }
         }
@@ -192,7 +192,7 @@
             closed,
         };
         if now < self.closed {
-            let window = Block { ends: now + self.terms.window(), ..Block::default() };
+            let window = Block { ends: now + self.terms.window_length(), ..Block::default() };
             return Some(told(0.0, &window, true));
         }
         let spent = now < self.spent[usize::from(wait.next)];
@@ -209,13 +209,13 @@
         }
     }
 
-    fn renew(&mut self, now: Millis, name: &str, all: f64, out: &mut Vec<Sent>) {
-        let window = self.terms.window();
+    fn renew(&mut self, now: Millis, name: &str, all: f64, out: &mut Vec<RelayOutput>) {
+        let window = self.terms.window_length();
         let left = (self.block.ends - now).max(0.0);
         let owed = |next| self.waiting.iter().filter(|w| w.next == next).map(|w| w.units).sum::<f64>();
         let (owed_now, owed_next) = (owed(false), owed(true));
         let span = if self.block.ends > now { left.min(window * BLOCK) } else { window * BLOCK };
-        let target = (all * span).min(self.terms.grant());
+        let target = (all * span).min(self.terms.units_per_window());
         let wants = owed_now + (target - self.block.units).max(0.0);
         if (owed_now > 0.0 || self.block.units < target * RENEW) && now >= self.spent[0] && wants >= 0.5 {
             self.up(now, name, wants, false, all, out);
@@ -223,7 +223,7 @@
         // A little before the proxies ask for it.
         if left > 0.0 && left < window * AHEAD && now >= self.spent[1] {
             let have = self.next.as_ref().map_or(0.0, |next| next.units);
-            let target = (all * window * BLOCK).min(self.terms.grant());
+            let target = (all * window * BLOCK).min(self.terms.units_per_window());
             let wants = owed_next + (target - have).max(0.0);
             if (owed_next > 0.0 || have < target * RENEW) && wants >= 0.3 {
                 self.up(now, name, wants, true, all, out);
@@ -231,12 +231,14 @@
         }
     }
 
-    fn up(&mut self, now: Millis, name: &str, units: f64, next: bool, demand: f64, out: &mut Vec<Sent>) {
+    fn up(
+        &mut self, now: Millis, name: &str, units: f64, next: bool, demand: f64, out: &mut Vec<RelayOutput>,
+    ) {
         let asked = &mut self.asked[usize::from(next)];
         if asked.is_some_and(|at| now - at < AGAIN) || now < self.closed {
             return;
         }
         *asked = Some(now);
-        out.push(Sent::Up(name.to_owned(), units.max(1.0).ceil(), next, demand));
+        out.push(RelayOutput::ToHolder(name.to_owned(), units.max(1.0).ceil(), next, demand));
     }
 }
--- a/system/quota-lease/src/tests.rs
+++ b/system/quota-lease/src/tests.rs
@@ -11,7 +11,7 @@
 const STEP: f64 = 5.0;
 
 struct Proxy {
-    cache: Cache,
+    cache: LeaseCache,
     cut: bool,
 }
 
@@ -23,7 +23,7 @@
 enum Word {
     Up(usize, ProxyToRegistry),
     Down(usize, Grant),
-    Ask(usize, f64, bool, f64),
+    RequestUnits(usize, f64, bool, f64),
     Grant(usize, Grant),
 }
 
@@ -32,7 +32,7 @@
     seed: u64,
     proxies: Vec<Proxy>,
     relays: Vec<Relay>,
-    counts: Counts,
+    counts: QuotaCounter,
     since: f64,
     holder_up: bool,
     wire: VecDeque<(f64, Word)>,
@@ -56,8 +56,8 @@
 impl World {
     fn new(seed: u64, proxies: usize) -> Self {
         let proxy = |n: usize| {
-            let mut cache = Cache::new(0.0, n as u64);
-            cache.gateways(proxies as f64);
+            let mut cache = LeaseCache::new(0.0, n as u64);
+            cache.set_proxy_count(proxies as f64);
             Proxy { cache, cut: false }
         };
         Self {
@@ -65,7 +65,7 @@
             seed,
             proxies: (0..proxies).map(proxy).collect(),
             relays: vec![Relay::default(); REGIONS],
-            counts: Counts::default(),
+            counts: QuotaCounter::default(),
             since: 0.0,
             holder_up: true,
             wire: VecDeque::new(),
@@ -96,10 +96,10 @@
         self.next += 1;
         let (now, waited) = (self.now, self.now - begun);
         let late = waited > AIM * 0.6;
-        let comer = Comer { request: self.next, until: now + 150.0, late };
+        let comer = QuotaRequest { id: self.next, deadline: now + 150.0, is_late: late };
         let admission = self.proxies[n].cache.admit(now, "t", Self::terms(), comer, out);
-        self.timely += usize::from(admission == Admission::Taken && !late);
-        if let (Admission::Refused(wait), Some(again)) = (admission, &mut self.comes_again)
+        self.timely += usize::from(admission == Admission::Admitted && !late);
+        if let (Admission::Rejected(wait), Some(again)) = (admission, &mut self.comes_again)
             && tries < 2
         {
             again.push((now + wait.min((PATIENCE - waited) / 3.0), begun, tries + 1));
@@ -112,8 +112,8 @@
         (mix(self.seed) >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    fn terms() -> Terms {
-        Terms { rate: RATE, burst: RATE }
+    fn terms() -> Quota {
+        Quota { rate: RATE, burst: RATE }
     }
 
     fn up(&mut self, n: usize, out: Vec<ProxyToRegistry>) {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn told(&mut self, told: Vec<(Request, Admission)>) {
+    fn told(&mut self, told: Vec<(RequestId, Admission)>) {
         for (_, admission) in told {
             self.waiting -= 1;
             self.count(admission);
@@ -132,12 +132,12 @@
 
     fn count(&mut self, admission: Admission) {
         match admission {
-            Admission::Taken => self.taken.push(self.now),
-            Admission::Refused(wait) => {
+            Admission::Admitted => self.taken.push(self.now),
+            Admission::Rejected(wait) => {
                 assert!(wait > 0.0, "a refused client is told when to come back");
                 self.refused += 1;
             }
-            Admission::Waits => self.waiting += 1,
+            Admission::Queued => self.waiting += 1,
         }
     }
 
@@ -177,15 +177,15 @@
         }
     }
 
-    fn relayed(&mut self, r: usize, sent: Vec<Sent>) {
+    fn relayed(&mut self, r: usize, sent: Vec<RelayOutput>) {
         for sent in sent {
             match sent {
-                Sent::Down(Host(n), grant) => {
+                RelayOutput::ToProxy(Host(n), grant) => {
                     self.wire.push_back((self.now + NEAR, Word::Down(n as usize, grant)))
                 }
-                Sent::Up(_, units, next, demand) => {
+                RelayOutput::ToHolder(_, units, next, demand) => {
                     let way = if r == 0 { NEAR } else { FAR };
-                    self.wire.push_back((self.now + way, Word::Ask(r, units, next, demand)));
+                    self.wire.push_back((self.now + way, Word::RequestUnits(r, units, next, demand)));
                 }
             }
         }
@@ -196,22 +196,31 @@
             Word::Up(n, ProxyToRegistry::RequestUnits { tenant, units, next_window: next, demand }) => {
                 let (r, mut sent) = (n % REGIONS, Vec::new());
                 let from = Host(n as u32);
-                self.relays[r].ask(self.now, from, &tenant, units, next, demand, Self::terms(), &mut sent);
+                self.relays[r].request_units(
+                    self.now,
+                    from,
+                    &tenant,
+                    units,
+                    next,
+                    demand,
+                    Self::terms(),
+                    &mut sent,
+                );
                 self.relayed(r, sent);
             }
             Word::Up(..) => {}
-            Word::Ask(r, units, next, demand) if self.holder_up => {
+            Word::RequestUnits(r, units, next, demand) if self.holder_up => {
                 let silent = self.proxies.iter().filter(|p| p.cut).count() as f64;
                 let (all, proxy) = (self.proxies.len() as f64, Host(r as u32));
-                let ask = Ask { tenant: "t", proxy, units, next, demand };
-                let grant = self.counts.ask(self.now, ask, Self::terms(), self.since, silent / all);
+                let ask = UnitRequest { tenant: "t", proxy, units, next_window: next, demand };
+                let grant = self.counts.request_units(self.now, ask, Self::terms(), self.since, silent / all);
                 let way = if r == 0 { NEAR } else { FAR };
                 self.wire.push_back((self.now + way, Word::Grant(r, grant)));
             }
-            Word::Ask(..) => {}
+            Word::RequestUnits(..) => {}
             Word::Grant(r, grant) => {
                 let mut sent = Vec::new();
-                self.relays[r].grant(self.now, grant, &mut sent);
+                self.relays[r].on_grant(self.now, grant, &mut sent);
                 self.relayed(r, sent);
             }
             Word::Down(n, grant) => {
@@ -219,7 +228,7 @@
                     return;
                 }
                 let (mut out, mut told) = (Vec::new(), Vec::new());
-                self.proxies[n].cache.grant(self.now, grant, &mut out, &mut told);
+                self.proxies[n].cache.on_grant(self.now, grant, &mut out, &mut told);
                 self.up(n, out);
                 self.told(told);
             }
@@ -333,7 +342,7 @@
         // The holder dies; nobody answers until the next one has the duty, which knows nothing.
         world.holder_up = false;
         world.run(1500.0, 600.0);
-        (world.counts, world.since, world.holder_up) = (Counts::default(), world.now, true);
+        (world.counts, world.since, world.holder_up) = (QuotaCounter::default(), world.now, true);
         world.run(8000.0, 600.0);
         world.check();
     }
@@ -350,11 +359,11 @@
         world.run(seed as f64 % 5.0 * 120.0, 600.0);
         let now = world.now;
         for proxy in &mut world.proxies[..6] {
-            proxy.cache = Cache::new(now, seed);
-            proxy.cache.gateways(10.0);
+            proxy.cache = LeaseCache::new(now, seed);
+            proxy.cache.set_proxy_count(10.0);
         }
         world.run(1500.0, 600.0);
-        (world.counts, world.since, world.holder_up) = (Counts::default(), world.now, true);
+        (world.counts, world.since, world.holder_up) = (QuotaCounter::default(), world.now, true);
         world.run(8000.0, 600.0);
         world.check();
     }
@@ -377,21 +386,24 @@
 fn nothing_is_kept_of_tenants_that_rest() {
     let mut world = World::new(1, 4);
     world.run(3000.0, 60.0);
-    assert_eq!(world.counts.tenants(), 1);
+    assert_eq!(world.counts.tenant_count(), 1);
     world.run(20_000.0, 0.0);
-    world.counts.sweep(world.now);
-    assert_eq!((world.counts.tenants(), world.proxies[0].cache.tenants(), world.waiting), (0, 0, 0));
-    assert_eq!(world.relays.iter().map(Relay::tenants).sum::<usize>(), 0);
+    world.counts.remove_idle(world.now);
+    assert_eq!(
+        (world.counts.tenant_count(), world.proxies[0].cache.tenant_count(), world.waiting),
+        (0, 0, 0)
+    );
+    assert_eq!(world.relays.iter().map(Relay::tenant_count).sum::<usize>(), 0);
 }
 
-fn ask(counts: &mut Counts, now: f64, proxy: u32, since: f64, silent: f64) -> Grant {
-    let ask = Ask { tenant: "t", proxy: Host(proxy), units: 50.0, next: false, demand: 0.05 };
-    counts.ask(now, ask, World::terms(), since, silent / 10.0)
+fn ask(counts: &mut QuotaCounter, now: f64, proxy: u32, since: f64, silent: f64) -> Grant {
+    let ask = UnitRequest { tenant: "t", proxy: Host(proxy), units: 50.0, next_window: false, demand: 0.05 };
+    counts.request_units(now, ask, World::terms(), since, silent / 10.0)
 }
 
 #[test]
 fn a_new_holder_lets_two_windows_go_by() {
-    let (mut counts, since) = (Counts::default(), 5000.0);
+    let (mut counts, since) = (QuotaCounter::default(), 5000.0);
     for after in [10.0, 900.0, 1100.0, 1990.0] {
         let grant = ask(&mut counts, since + after, 1, since, 0.0);
         assert!(grant.closed && grant.units == 0.0, "after {after} ms");
@@ -402,23 +414,26 @@
 
 #[test]
 fn what_silent_proxies_may_spend_is_kept_back() {
-    let mut counts = Counts::default();
+    let mut counts = QuotaCounter::default();
     let granted: f64 = (0..200).map(|n| ask(&mut counts, 9000.0, n % 7, 0.0, 3.0).units).sum();
-    assert!(granted <= RATE * (1.0 - 0.3 * SLICE) + 1e-6, "{granted} of {RATE} with three of ten silent");
+    assert!(
+        granted <= RATE * (1.0 - 0.3 * ISOLATED_SHARE) + 1e-6,
+        "{granted} of {RATE} with three of ten silent"
+    );
 }
 
 #[test]
 fn a_proxy_on_its_own_asks_on_however_little_comes() {
-    let mut cache = Cache::new(0.0, 1);
-    cache.gateways(10.0);
+    let mut cache = LeaseCache::new(0.0, 1);
+    cache.set_proxy_count(10.0);
     let (mut now, mut asked) = (2000.0, Vec::new());
     // It had a block once; then nobody answers any more.
-    let comer = |now, request| Comer { request, until: now + 100.0, late: false };
+    let comer = |now, request| QuotaRequest { id: request, deadline: now + 100.0, is_late: false };
     cache.admit(now, "t", World::terms(), comer(now, 99), &mut Vec::new());
     let (tenant, units) = ("t".to_owned(), 1.0);
     let grant =
         Grant { tenant, units, window: 1, begins_in: 0.0, ends_in: 300.0, next_window: false, closed: false };
-    cache.grant(now + 5.0, grant, &mut Vec::new(), &mut Vec::new());
+    cache.on_grant(now + 5.0, grant, &mut Vec::new(), &mut Vec::new());
     for request in 0..40 {
         now += 700.0;
         let mut out = Vec::new();
@@ -436,12 +451,12 @@
 /// From a benchmark: the relay was near and said at once that nothing is granted yet, and the proxy asked again at once.
 #[test]
 fn a_closed_count_is_not_asked_again_at_once() {
-    let mut cache = Cache::new(0.0, 1);
-    cache.gateways(10.0);
+    let mut cache = LeaseCache::new(0.0, 1);
+    cache.set_proxy_count(10.0);
     let (mut asks, span) = (0, 3000);
     for now in (0..span).map(|ms| 1000.0 + f64::from(ms)) {
         let (mut out, mut told) = (Vec::new(), Vec::new());
-        let comer = Comer { request: now as u64, until: now + 100.0, late: false };
+        let comer = QuotaRequest { id: now as u64, deadline: now + 100.0, is_late: false };
         cache.admit(now, "t", World::terms(), comer, &mut out);
         cache.tick(now, &mut out, &mut told);
         while let Some(ProxyToRegistry::RequestUnits { next_window: next, .. }) = out.pop() {
@@ -457,7 +472,7 @@
                 next_window: next,
                 closed: true,
             };
-            cache.grant(now, grant, &mut out, &mut told);
+            cache.on_grant(now, grant, &mut out, &mut told);
         }
     }
     assert!(asks <= 2 * span / 150 + 2, "{asks} asks in {span} ms");
--- a/system/quota-lease/src/timely.rs
+++ b/system/quota-lease/src/timely.rs
@@ -17,11 +17,11 @@
 
 /// What clients told of their patience, by route.
 #[derive(Clone, Debug, Default)]
-pub struct Timely {
+pub struct LatenessDetector {
     routes: HashMap<String, (Millis, Millis)>,
 }
 
-impl Timely {
+impl LatenessDetector {
     /// Whether a request of a route has come too late for its aim: its client waits for `patience` more.
     pub fn is_late(&mut self, now: Millis, route: &str, patience: Millis, aim: Millis) -> bool {
         let Some((most, seen)) = self.routes.get_mut(route) else {
@@ -48,7 +48,7 @@
 
     #[test]
     fn a_try_is_late_by_what_first_tries_tell() {
-        let mut timely = Timely::default();
+        let mut timely = LatenessDetector::default();
         assert!(!timely.is_late(0.0, "a", 3000.0, 500.0));
         assert!(!timely.is_late(1.0, "a", 2750.0, 500.0), "half of the aim is left");
         assert!(timely.is_late(2.0, "a", 2600.0, 500.0));
@@ -67,7 +67,7 @@
 
     #[test]
     fn what_is_remembered_is_bounded() {
-        let mut timely = Timely::default();
+        let mut timely = LatenessDetector::default();
         (0..3 * MOST).for_each(|n| assert!(!timely.is_late(0.0, &n.to_string(), 10.0, 1.0)));
         assert_eq!(timely.routes.len(), MOST);
         assert!(!timely.is_late(FORGOTTEN, "new", 10.0, 1.0));
--- a/system/registry/src/api.rs
+++ b/system/registry/src/api.rs
@@ -188,7 +188,7 @@
 /// store keeps to those that stand there already.
 fn share_failures(registry: &Rc<Registry>, changes: &mut [Change]) -> Result<(), Failure> {
     for change in
-        changes.iter_mut().filter(|change| change.name.starts_with(fennelscale_fault_injection::FAILURE))
+        changes.iter_mut().filter(|change| change.name.starts_with(fennelscale_fault_injection::ORDER_PREFIX))
     {
         let fact = change
             .body
@@ -201,14 +201,14 @@
         let Some(limits) = &settings.failures else {
             return Err(invalid("the settings have no table failureOrders, so there are none".into()));
         };
-        limits.allow(&order).map_err(invalid)?;
+        limits.check(&order).map_err(invalid)?;
         let members = registry.round.borrow().members(registry.now());
-        if order.most < members.len() as u64 {
+        if order.max_requests < members.len() as u64 {
             let text = format!("most.inAll: one for each of {} proxies at least is wanted", members.len());
             return Err(invalid(text));
         }
         let lives: Vec<String> =
-            members.iter().map(|m| fennelscale_fault_injection::proxy(m.host, m.incarnation)).collect();
+            members.iter().map(|m| fennelscale_fault_injection::proxy_id(m.host, m.incarnation)).collect();
         change.host = lives.join(" ");
     }
     Ok(())
--- a/system/replication/src/calls.rs
+++ b/system/replication/src/calls.rs
@@ -250,7 +250,7 @@
     /// add up to more.
     fn host_of(&self, change: &Change) -> String {
         let stands = self.view(&change.name).filter(|known| known.body.is_some() && change.body.is_some());
-        match stands.filter(|_| change.name.starts_with(fennelscale_fault_injection::FAILURE)) {
+        match stands.filter(|_| change.name.starts_with(fennelscale_fault_injection::ORDER_PREFIX)) {
             Some(known) => known.host.clone(),
             None => change.host.clone(),
         }
--- a/system/replication/src/versions.rs
+++ b/system/replication/src/versions.rs
@@ -31,7 +31,7 @@
 
 /// The hash by which a change that arrives again is known. Who shares a failure order is the registry's to say, not the sender's.
 pub fn content_of(name: &str, host: &str, body: Option<&str>) -> u64 {
-    let host = if name.starts_with(fennelscale_fault_injection::FAILURE) { "" } else { host };
+    let host = if name.starts_with(fennelscale_fault_injection::ORDER_PREFIX) { "" } else { host };
     fennelscale_config::content_hash(host, body)
 }
 
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -7,7 +7,7 @@
 use fennelscale_messages::session::{ProxyInfo, ProxyToRegistry, RegistryToProxy};
 use fennelscale_proxy::registry_choice::RegistryChoice;
 use fennelscale_proxy::routing_state::{ProxyLocation, RoutingState};
-use fennelscale_quota_lease::{Admission, Cache, Comer, Terms};
+use fennelscale_quota_lease::{Admission, LeaseCache, Quota, QuotaRequest};
 use std::collections::BTreeMap;
 
 /// As the program has it: beats and silence.
@@ -27,7 +27,7 @@
     pub(crate) held: RoutingState,
     /// Where clients press: which backends get their requests.
     decisions: Option<Decisions>,
-    cache: Cache,
+    cache: LeaseCache,
     /// The core machine of the session, and its life.
     pub(crate) session: Option<(usize, u64)>,
     heard: Millis,
@@ -58,7 +58,7 @@
             life: 0,
             held: RoutingState::new(place),
             decisions,
-            cache: Cache::new(0.0, 0),
+            cache: LeaseCache::new(0.0, 0),
             session: None,
             heard: 0.0,
             beat_at: 0.0,
@@ -81,7 +81,8 @@
         self.held = RoutingState::new(place(self.host, &self.zone, &self.region, &self.zones));
         let pressed = self.decisions.is_some();
         self.decisions = pressed.then(|| Decisions::new(&self.zone, self.host, self.life));
-        self.cache = Cache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.life << 32));
+        self.cache =
+            LeaseCache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.life << 32));
         (self.session, self.beat_at) = (None, now);
         self.choice = RegistryChoice::default();
         self.seen.clear();
@@ -161,11 +162,11 @@
             RegistryToProxy::BackendList(listing) => drop(self.held.set_backend_list(now, listing.clone())),
             RegistryToProxy::Proxies(members, gateways) => {
                 self.held.set_proxies(now, members.clone(), *gateways);
-                self.cache.gateways(self.held.proxy_count);
+                self.cache.set_proxy_count(self.held.proxy_count);
             }
             RegistryToProxy::Grant(grant) => {
                 let mut told = Vec::new();
-                self.cache.grant(now, grant.clone(), out, &mut told);
+                self.cache.on_grant(now, grant.clone(), out, &mut told);
                 self.told(told);
             }
             RegistryToProxy::Heartbeat { contact_age } => {
@@ -214,7 +215,7 @@
             ready,
             items_hash: items,
             list_stamp: listing,
-            self_granted: self.cache.alone(now),
+            self_granted: self.cache.self_granted_shards(now),
         }
     }
 
@@ -227,8 +228,8 @@
 
     fn count(&mut self, tenant: String, admission: Admission) {
         match admission {
-            Admission::Taken => self.admitted.push(tenant),
-            Admission::Refused(_) | Admission::Waits => self.refused += 1,
+            Admission::Admitted => self.admitted.push(tenant),
+            Admission::Rejected(_) | Admission::Queued => self.refused += 1,
         }
     }
 
@@ -238,7 +239,7 @@
             return;
         }
         let Some(terms) =
-            self.held.table.tenant_by_name(tenant).map(|t| Terms { rate: t.rate_per_s, burst: t.burst })
+            self.held.table.tenant_by_name(tenant).map(|t| Quota { rate: t.rate_per_s, burst: t.burst })
         else {
             return;
         };
@@ -247,10 +248,10 @@
             now,
             tenant,
             terms,
-            Comer { request: self.next, until: now + WAITS, late: false },
+            QuotaRequest { id: self.next, deadline: now + WAITS, is_late: false },
             out,
         );
-        if admission == Admission::Waits {
+        if admission == Admission::Queued {
             self.waiting.insert(self.next, tenant.to_owned());
         } else {
             self.count(tenant.to_owned(), admission);
--- a/system/simulation/tests/hard.rs
+++ b/system/simulation/tests/hard.rs
@@ -1,6 +1,6 @@
 //! Hard cases by name: what is to be borne and is rarely drawn.
 
-use fennelscale_membership::duties::bit_of;
+use fennelscale_membership::duties::shard_bit;
 use fennelscale_simulation::{Chance, Config, Fault, World};
 
 fn regions(n: usize) -> [usize; 2] {
@@ -82,14 +82,14 @@
         let mut world = World::new(seed, Config { proxies: 6, tenants: 2, ..Config::default() });
         world.fault(Fault::Flood(0, 8.0));
         world.run(2000.0 + 90.0 * seed as f64);
-        let holder = world.holder(bit_of("t0")).expect("somebody holds the count");
+        let holder = world.holder(shard_bit("t0")).expect("somebody holds the count");
         let before = world.served;
         world.fault(Fault::KillCore(holder));
         world.run(4000.0);
         holds(&world, &format!("seed {seed}"));
         // Slices of nine tenths go on; the other tenant has no flood.
         assert!(world.served - before > 160, "seed {seed}: {} in four seconds", world.served - before);
-        assert!(world.holder(bit_of("t0")).is_some_and(|next| next != holder), "seed {seed}");
+        assert!(world.holder(shard_bit("t0")).is_some_and(|next| next != holder), "seed {seed}");
         world.fault(Fault::StartCore(holder));
         world.settle();
         holds(&world, &format!("seed {seed}"));
