--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,32 +1,37 @@
-//! Quotas while the shared counter is lost, spoilt or replaced.
+//! Quotas while the shared counter is lost, corrupt or replaced.
 //!
-//! The guarantee: however the counter fails, what all gateways together send on for an account under a ceiling stays
-//! within [`Bound::max_units`] in every span. Each piece here is one step of that argument:
+//! The guarantee: however the counter fails, the units that all gateways together send on for an account
+//! under a ceiling stay within [`Bound::max_units`] in every span of time. Each type is one step of that
+//! argument:
 //!
-//! - [`Ledger`] tells a total that grew from one that forgot what this gateway added, so that nothing is counted away;
-//! - [`UsageShare`] knows which part of an account's use came by this gateway, as long as totals were heard;
-//! - [`AccountQuota::local_share`] makes of it the part of the quota that the gateway may spend alone, whose sum over all gateways
-//!   the ceiling bears; [`LocalBucket`] spends it and says what of it is still to be told;
-//! - [`CounterHealth`] tells a counter that is silent from one that is slow, spoilt or forgetful, and says what a silence leaves;
-//! - [`Partition`] says which of several counters counts an account;
+//! - [`Ledger`] distinguishes a total that grew from one that lost units of this gateway, so that no use is
+//!   left out of the count.
+//! - [`UsageShare`] knows this gateway's share of an account's use, as long as totals arrive.
+//! - [`AccountQuota::local_share`] derives from it the share of the quota that the gateway may spend
+//!   without the counter; the ceiling covers the sum over all gateways. [`LocalBucket`] spends that share
+//!   and knows how much of it is still to be reported.
+//! - [`CounterHealth`] distinguishes a silent counter from one that is slow, corrupt or loses counts, and
+//!   knows how long it was silent.
+//! - [`Partition`] assigns accounts to counters.
 //! - [`Bound`] adds all that up.
 //!
-//! Units are those of requests, times are milliseconds of the caller's clock and never go back. Nothing here does I/O,
-//! reads a clock or draws by chance. The caller owes each piece the events in the order in which they came.
+//! Units are those of requests; times are milliseconds of the caller's clock, which never goes back.
+//! Nothing here does I/O, reads a clock or uses randomness. The caller passes events to each type in the
+//! order in which they occurred.
 
 mod bound;
-mod health;
+mod counter_health;
 mod ledger;
+mod local_bucket;
 mod partition;
-mod share;
-mod slice;
+mod usage_share;
 
 pub use bound::{AccountQuota, Bound, Loss};
-pub use health::{CounterHealth, MissedCall};
+pub use counter_health::{CounterHealth, MissedCall};
 pub use ledger::{Ledger, TotalChange};
+pub use local_bucket::LocalBucket;
 pub use partition::{Partition, PartitionError};
-pub use share::UsageShare;
-pub use slice::LocalBucket;
+pub use usage_share::UsageShare;
 
-/// A time or a span in milliseconds.
+/// A time or a duration in milliseconds.
 pub type Millis = f64;
--- a/crates/quota/src/partition.rs
+++ b/crates/quota/src/partition.rs
@@ -1,20 +1,20 @@
-//! Accounts over several counters.
+//! Assignment of accounts to counters.
 
 use crate::Millis;
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The most counters that were ever named to one gateway.
-const MOST: usize = 64;
+/// The most different counters that one gateway may use between its start and its end.
+const MAX_COUNTERS: usize = 64;
 
-/// A change that cannot be made.
+/// Why a list of counters is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PartitionError {
-    /// No counter is named.
+    /// The list is empty.
     Empty,
-    /// One is named twice.
+    /// An address is listed twice.
     Duplicate(String),
-    /// More than 64 have been named since the start.
+    /// More than 64 different counters were listed since the start.
     TooMany,
 }
 
@@ -23,43 +23,48 @@
         match self {
             Self::Empty => write!(f, "no counter is named: name one at least"),
             Self::Duplicate(address) => write!(f, "{address} is named twice: name each counter once"),
-            Self::TooMany => write!(f, "more than {MOST} counters since the start: restart the gateway"),
+            Self::TooMany => {
+                write!(f, "more than {MAX_COUNTERS} counters since the start: restart the gateway")
+            }
         }
     }
 }
 
 impl std::error::Error for PartitionError {}
 
-/// Which counter counts an account: the one whose address and the account hash highest (rendezvous hashing, by XXH3 with
-/// its stated output, so that all gateways agree). One counter more or less moves only the accounts that it wins or held.
+/// Assigns each account to the counter whose address hashes highest together with the account (rendezvous
+/// hashing by XXH3 with its specified output, so that all gateways agree). Adding or removing a counter
+/// moves only the accounts that it gains or loses.
 ///
-/// A change takes effect for windows that begin at a stated time or later. A window's count is then always whole on one counter,
-/// and no account is counted on two of them at once, as long as every gateway hears of the change before that time.
+/// A change applies to windows that begin at a given time or later. A window's count is then always
+/// complete on one counter, and no account is counted on two of them at once, as long as every gateway
+/// learns of the change before that time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Partition {
-    /// Every counter named so far; others speak of them by their place here.
+    /// Every counter listed so far; callers refer to them by their index here.
     addresses: Vec<String>,
-    old: Vec<usize>,
-    new: Vec<usize>,
+    previous: Vec<usize>,
+    latest: Vec<usize>,
     from: Millis,
 }
 
 impl Partition {
-    /// Accounts over these counters from the start.
+    /// Assigns accounts to these counters from the start.
     ///
     /// # Errors
-    /// When there is none, or one is named twice.
+    /// If the list is empty or has an address twice.
     pub fn new(addresses: &[String]) -> Result<Self, PartitionError> {
         let mut partition = Self::default();
         partition.replace_counters(addresses, f64::NEG_INFINITY)?;
         Ok(partition)
     }
 
-    /// Accounts over these counters in windows that begin at `from` or later; what was said of earlier ones stays, but a change
-    /// that has not begun by then is forgotten.
+    /// Assigns accounts to these counters in windows that begin at `from` or later. Earlier windows keep
+    /// their counters, but a change that has not begun by then is dropped.
     ///
     /// # Errors
-    /// When there is none, one is named twice, or too many were named since the start. Nothing has changed then.
+    /// If the list is empty, has an address twice, or too many counters were listed since the start.
+    /// Nothing has changed then.
     pub fn replace_counters(&mut self, addresses: &[String], from: Millis) -> Result<(), PartitionError> {
         if addresses.is_empty() {
             return Err(PartitionError::Empty);
@@ -67,53 +72,55 @@
         if self.uses_exactly(addresses) {
             return Ok(());
         }
-        let twice = addresses.iter().enumerate().find(|(n, address)| addresses[..*n].contains(address));
-        if let Some((_, address)) = twice {
+        let duplicate = addresses.iter().enumerate().find(|(n, address)| addresses[..*n].contains(address));
+        if let Some((_, address)) = duplicate {
             return Err(PartitionError::Duplicate(address.clone()));
         }
-        let fresh = addresses.iter().filter(|address| !self.addresses.contains(address)).count();
-        if self.addresses.len() + fresh > MOST {
+        let added = addresses.iter().filter(|address| !self.addresses.contains(address)).count();
+        if self.addresses.len() + added > MAX_COUNTERS {
             return Err(PartitionError::TooMany);
         }
-        let mut places = Vec::with_capacity(addresses.len());
+        let mut indexes = Vec::with_capacity(addresses.len());
         for address in addresses {
             let known = self.addresses.iter().position(|a| a == address);
-            places.push(known.unwrap_or_else(|| {
+            indexes.push(known.unwrap_or_else(|| {
                 self.addresses.push(address.clone());
                 self.addresses.len() - 1
             }));
         }
         if from >= self.from {
-            self.old = std::mem::take(&mut self.new);
+            self.previous = std::mem::take(&mut self.latest);
         }
-        (self.new, self.from) = (places, from);
+        (self.latest, self.from) = (indexes, from);
         Ok(())
     }
 
-    /// Whether accounts are, or are about to be, over just these counters: then there is nothing to change.
+    /// Whether the latest counters, in use or pending, are exactly these, so that there is nothing to change.
     #[must_use]
     pub fn uses_exactly(&self, addresses: &[String]) -> bool {
-        let named = |place: &usize| self.addresses.get(*place).is_some_and(|a| addresses.contains(a));
-        self.new.len() == addresses.len() && self.new.iter().all(named)
+        let is_listed = |index: &usize| self.addresses.get(*index).is_some_and(|a| addresses.contains(a));
+        self.latest.len() == addresses.len() && self.latest.iter().all(is_listed)
     }
 
-    /// The addresses, each in its place.
+    /// The addresses by index.
     #[must_use]
     pub fn addresses(&self) -> &[String] {
         &self.addresses
     }
 
-    /// The place of the counter for an account, by its hash, in a window that begins at `begins`. 0 where none was ever named.
+    /// The index of the counter for an account, by its hash, in a window that begins at `begins`; 0 if no
+    /// counter was ever listed.
     #[must_use]
     pub fn owner(&self, account: u64, begins: Millis) -> usize {
-        let places = if begins >= self.from || self.old.is_empty() { &self.new } else { &self.old };
-        if let [] | [_] = places.as_slice() {
-            return places.first().copied().unwrap_or(0);
+        let indexes =
+            if begins >= self.from || self.previous.is_empty() { &self.latest } else { &self.previous };
+        if let [] | [_] = indexes.as_slice() {
+            return indexes.first().copied().unwrap_or(0);
         }
-        let weight = |place: &usize| {
-            let address = self.addresses.get(*place).map_or("", String::as_str);
+        let weight = |index: &usize| {
+            let address = self.addresses.get(*index).map_or("", String::as_str);
             xxh3_64_with_seed(address.as_bytes(), account)
         };
-        places.iter().copied().max_by_key(weight).unwrap_or(0)
+        indexes.iter().copied().max_by_key(weight).unwrap_or(0)
     }
 }
--- a/crates/quota/tests/pieces.rs
+++ b/crates/quota/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! Each piece of the argument by itself.
+//! Tests of each type of the package by itself.
 
 use fennelscale_quota::{
     AccountQuota, Bound, CounterHealth, Ledger, LocalBucket, Loss, Partition, PartitionError, TotalChange,
@@ -18,17 +18,17 @@
 }
 
 #[test]
-fn what_a_count_forgot_is_missing_once() {
+fn lost_units_are_reported_missing_once() {
     let mut ledger = Ledger::default();
     assert_eq!(ledger.record_total(5.0, 7.0, true), TotalChange::Grew { growth: 7.0, confirmed: 0.0 });
     assert_eq!(ledger.record_total(2.0, 2.0, true), TotalChange::Forgot { missing: 5.0 });
-    // The five are told again with the next call, others have added one.
+    // The five are added again with the next call; others have added one.
     assert_eq!(ledger.record_total(5.0, 8.0, true), TotalChange::Grew { growth: 6.0, confirmed: 0.0 });
     assert_eq!(ledger.added, 7.0);
 }
 
 #[test]
-fn a_block_in_doubt_is_found_if_the_count_grew_by_it_and_never_under_a_ceiling() {
+fn an_uncertain_lease_is_confirmed_if_the_count_grew_by_it_and_never_under_a_ceiling() {
     for (total, lenient, expected) in [(9.0, true, 6.0), (8.0, true, 0.0), (9.0, false, 0.0)] {
         let mut ledger = Ledger::default();
         ledger.record_total(2.0, 2.0, lenient);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn units_given_back_by_a_call_in_doubt_are_not_forgotten_ones() {
+fn units_returned_by_an_uncertain_call_do_not_count_as_lost() {
     let mut ledger = Ledger::default();
     ledger.record_total(10.0, 10.0, false);
     ledger.record_unknown(0.0, -4.0);
@@ -52,44 +52,41 @@
 }
 
 #[test]
-fn a_share_is_unknown_until_enough_was_heard_and_follows_the_newest() {
+fn a_share_is_unknown_until_enough_use_is_recorded_and_follows_recent_use() {
     let mut share = UsageShare::default();
     assert_eq!(share.fraction(), None);
     share.record(0.0, 1.0, 1.0, 1000.0);
-    assert_eq!(share.fraction(), None, "one unit says nothing");
+    assert_eq!(share.fraction(), None, "one unit is too little");
     share.record(0.0, 9.0, 39.0, 1000.0);
     assert_eq!(share.fraction(), Some(0.25));
     share.record(10_000.0, 30.0, 40.0, 1000.0);
     assert!((share.fraction().expect("known") - 0.75).abs() < 0.01);
-    // Others gave back more than was added: the share is a share all the same.
+    // Others returned more than was added; the share still does not exceed one.
     share.record(10_000.0, 5.0, -90.0, 1000.0);
     assert!(share.fraction().is_none_or(|part| part <= 1.0));
 }
 
 #[test]
-fn a_slice_used_evenly_owes_no_more_than_it_lacks() {
-    let mut slice = LocalBucket::new(0.0, 24.0, &terms(0.0, 4.0), 0.25, [0.0, 1e6], 1.0);
+fn an_evenly_used_bucket_reports_no_more_than_it_lacks() {
+    let mut bucket = LocalBucket::new(0.0, 24.0, &terms(0.0, 4.0), 0.25, [0.0, 1e6], 1.0);
     let mut used = 0.0;
     for second in 1..=60 {
         for _ in 0..4 {
-            used += if slice.try_spend(f64::from(second) * 1000.0, 1.0) { 1.0 } else { 0.0 };
+            used += if bucket.try_spend(f64::from(second) * 1000.0, 1.0) { 1.0 } else { 0.0 };
         }
     }
-    assert_eq!(used, 240.0, "four units a second come in and are used");
-    assert!(slice.unreported(60_000.0, used) <= 6.0);
-    assert_eq!(slice.unreported(90_000.0, used), 0.0);
+    assert_eq!(used, 240.0, "the refill of four units a second is used");
+    assert!(bucket.unreported(60_000.0, used) <= 6.0);
+    assert_eq!(bucket.unreported(90_000.0, used), 0.0);
 }
 
 #[test]
-fn under_a_ceiling_a_slice_starts_with_what_surely_nobody_else_spent() {
-    let slice =
+fn under_a_ceiling_a_bucket_starts_with_units_that_nobody_else_can_have_spent() {
+    let bucket =
         |running, lost| LocalBucket::new(0.0, 24.0, &terms(1.6, 4.0), 0.4, [lost, running], 1.0).units;
-    assert!((slice(1e6, 0.0) - 0.6 * 24.0 / 4.0).abs() < 1e-9);
-    assert_eq!(slice(0.0, 0.0), 0.0, "just started, in place of one that may have spent it");
-    assert!(
-        (slice(1e6, 60_000.0) - 0.4 * 24.0).abs() < 1e-9,
-        "what came in since and was not spent, up to its most"
-    );
+    assert!((bucket(1e6, 0.0) - 0.6 * 24.0 / 4.0).abs() < 1e-9);
+    assert_eq!(bucket(0.0, 0.0), 0.0, "just started, and may replace a gateway that has spent it");
+    assert!((bucket(1e6, 60_000.0) - 0.4 * 24.0).abs() < 1e-9, "the unspent refill, up to the capacity");
     assert_eq!(LocalBucket::new(0.0, 0.0, &terms(0.0, 64.0), 1.0 / 64.0, [0.0; 2], 1.0).units, 1.0);
 }
 
@@ -110,7 +107,7 @@
             );
         }
     }
-    // Two counters that each hold the whole count grant one more quota for as long as nobody knows.
+    // Two counters that each hold the whole count grant one more quota until that is noticed.
     let split = Bound {
         quota: terms(1.6, 4.0),
         loss: Loss::Whole,
@@ -128,37 +125,37 @@
 }
 
 #[test]
-fn a_change_of_counters_holds_from_its_time_on_and_moves_only_whom_it_must() {
+fn a_counter_change_applies_from_its_start_time_and_moves_the_fewest_accounts() {
     let mut partition = Partition::new(&addresses(4)).expect("usable");
     let before: Vec<usize> = (0..10_000).map(|account| partition.owner(account, 0.0)).collect();
     partition.replace_counters(&addresses(5), 1000.0).expect("usable");
-    let place = |account: u64, at| partition.owner(account, at);
-    assert!((0..10_000).all(|a| place(a, 999.9) == before[a as usize]), "windows of before stay");
-    let moved: Vec<u64> = (0..10_000).filter(|a| place(*a, 1000.0) != before[*a as usize]).collect();
-    assert!(moved.iter().all(|a| place(*a, 1000.0) == 4), "to the new one only");
+    let owner = |account: u64, at| partition.owner(account, at);
+    assert!((0..10_000).all(|a| owner(a, 999.9) == before[a as usize]), "earlier windows keep their counter");
+    let moved: Vec<u64> = (0..10_000).filter(|a| owner(*a, 1000.0) != before[*a as usize]).collect();
+    assert!(moved.iter().all(|a| owner(*a, 1000.0) == 4), "accounts move only to the new counter");
     assert!((1800..2200).contains(&moved.len()), "a fifth: {}", moved.len());
-    // Another gateway that names them in another order agrees.
+    // A gateway that lists them in a different order agrees.
     let mut order = addresses(5);
     order.reverse();
     let other = Partition::new(&order).expect("usable");
-    let same = |a| partition.addresses()[place(a, 1000.0)] == other.addresses()[other.owner(a, 0.0)];
+    let same = |a| partition.addresses()[owner(a, 1000.0)] == other.addresses()[other.owner(a, 0.0)];
     assert!((0..10_000).all(same));
 }
 
 #[test]
-fn unusable_counters_change_nothing() {
+fn invalid_counters_change_nothing() {
     let mut partition = Partition::new(&addresses(2)).expect("usable");
     let before = partition.clone();
     let twice = [addresses(1), addresses(1)].concat();
     assert_eq!(partition.replace_counters(&[], 0.0), Err(PartitionError::Empty));
     assert_eq!(partition.replace_counters(&twice, 0.0), Err(PartitionError::Duplicate(twice[0].clone())));
     assert_eq!(partition.replace_counters(&addresses(65), 0.0), Err(PartitionError::TooMany));
-    assert_eq!(partition.replace_counters(&addresses(2), 5.0), Ok(()), "the same is no change");
+    assert_eq!(partition.replace_counters(&addresses(2), 5.0), Ok(()), "the same counters are no change");
     assert_eq!(partition, before);
 }
 
 #[test]
-fn a_counter_is_silent_after_time_outs_sooner_than_after_spoilt_answers() {
+fn a_counter_is_silent_sooner_after_timeouts_than_after_corrupt_responses() {
     for (latency, calls) in [(50.0, 2), (1.0, 5)] {
         let mut health = CounterHealth::default();
         health.on_answer(1000.0, 1.0, 50.0);
@@ -166,14 +163,14 @@
             .map(|n| health.on_missed(1200.0 + f64::from(n), latency, 50.0, true).fell_silent)
             .collect();
         assert_eq!(fell.iter().position(|fell| *fell), Some(calls - 1), "{latency} ms");
-        assert!(health.on_answer(3000.0, 1.0, 50.0), "and back");
+        assert!(health.on_answer(3000.0, 1.0, 50.0), "the silence ends");
         assert_eq!(health.last_outage(9000.0), (3000.0 - 1200.0 - (calls - 1) as f64, 3000.0));
     }
 }
 
 proptest! {
     #[test]
-    fn all_parts_together_stay_within_what_the_ceiling_bears(
+    fn all_local_shares_together_stay_within_the_ceiling(
         times in 1.0f64..4.0, shares in proptest::collection::vec(0.0f64..=1.0, 1..64),
     ) {
         let terms = terms(times, shares.len() as f64);
@@ -189,14 +186,14 @@
     }
 
     #[test]
-    fn a_slice_never_gives_more_than_it_held_and_what_came_in(
+    fn a_bucket_never_gives_more_than_its_content_and_refill(
         gaps in proptest::collection::vec(0.0f64..500.0, 1..200), units in 0.1f64..3.0, part in 0.01f64..1.0,
     ) {
-        let mut slice = LocalBucket::new(0.0, 24.0, &terms(1.6, 4.0), part, [0.0, 1e6], units);
-        let (mut now, mut given, start) = (0.0, 0.0, slice.units);
+        let mut bucket = LocalBucket::new(0.0, 24.0, &terms(1.6, 4.0), part, [0.0, 1e6], units);
+        let (mut now, mut given, start) = (0.0, 0.0, bucket.units);
         for gap in gaps {
             now += gap;
-            given += if slice.try_spend(now, units) { units } else { 0.0 };
+            given += if bucket.try_spend(now, units) { units } else { 0.0 };
             prop_assert!(given <= start + 16.0 * part * now / 1000.0 + 1e-6);
         }
     }
--- a/system/fault-injection/src/lib.rs
+++ b/system/fault-injection/src/lib.rs
@@ -1,28 +1,32 @@
-//! Fault injection (the post's mislaid mail): failure orders, whom they name, and what one proxy does about a request.
+//! Fault injection: failure orders, the requests that they select, and what one proxy does about a request.
 //!
-//! # What holds
+//! # Guarantees
 //!
-//! - A request that no running order names is told nothing here and changes nothing here but a count ([`FaultInjector::meet`]).
-//! - Nothing is failed outside of the order's time, by a time of day that a majority of the core vouches for; a proxy that is cut off
-//!   carries the last one on, so each order ends by itself everywhere.
-//! - All proxies together fail no more than the order's `most` in all: the order names the proxies' lives that share it, once for all
-//!   its versions, and each has an even part, rounded down. Any other has none, and a part that a life takes with it is gone.
-//! - No order may do more than the operators' settings allow ([`Limits`]); without these none is heeded.
+//! - A request that no running order selects is not affected; it only changes a count
+//!   ([`FaultInjector::decide`]).
+//! - No request fails outside of the order's time, which is checked against a time of day that a majority
+//!   of the core confirms. A proxy that is cut off keeps its last confirmed time running, so each order
+//!   ends everywhere without communication.
+//! - All proxies together fail at most the order's `max_requests`. The order lists the proxy incarnations
+//!   that share it, fixed for all its versions, and each has an equal share, rounded down. Other proxies
+//!   have no share, and the share of an incarnation that ended is lost.
+//! - No order exceeds the operators' settings ([`Limits`]); without these no order applies.
 //!
-//! # What the caller owes
+//! # Requirements on the caller
 //!
-//! Tells [`FaultInjector::over`] when a request that is held is done. No I/O, no clock.
+//! Calls [`FaultInjector::release`] when a held request is done. This package does no I/O and reads no
+//! clock.
 
-mod desk;
+mod injector;
 mod order;
 
-pub use desk::{FaultInjector, InjectedFault, OrderCounts, OutcomeCounts, Verdict};
+pub use injector::{FaultInjector, InjectedFault, OrderCounts, OutcomeCounts, Verdict};
 pub use order::{Caller, FailureKind, Limits, Order, RequestSelector, State, fingerprint, proxy_id};
 
-/// Milliseconds.
+/// A time or a duration in milliseconds.
 pub type Millis = f64;
 
-/// Names of failure orders begin so.
+/// Prefix of the names of failure orders.
 pub const ORDER_PREFIX: &str = "f:";
-/// The most failure orders that stand.
+/// The highest number of failure orders that may exist.
 pub const MAX_ORDERS: usize = 16;
--- a/system/fault-injection/src/order.rs
+++ b/system/fault-injection/src/order.rs
@@ -1,72 +1,73 @@
-//! Failure orders: whom, what, how long, how many.
+//! Failure orders: which requests they select, how these fail, when, and how many.
 
 use crate::Millis;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Who asks for what, as the proxy has read it from the head of a request.
+/// The properties of a request that orders select by, as the proxy has read them from its head.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Caller<'a> {
     /// The request's id.
     pub id: &'a str,
-    /// The tenant that holds its key.
+    /// The tenant that holds its API key.
     pub tenant: &'a str,
-    /// Its key.
+    /// Its API key.
     pub key: &'a str,
     /// Its route.
     pub route: &'a str,
-    /// Its host, in small letters.
+    /// Its host in lower case.
     pub host: &'a str,
-    /// What repeating may do, as routes write it.
+    /// Whether it may be retried, as routes write it.
     pub route_kind: &'a str,
-    /// The region of the proxy that it came to.
+    /// The region of the proxy that received it.
     pub region: &'a str,
 }
 
-/// Whom an order names: all that it says must hold; an empty list says nothing.
+/// Selects requests: all criteria must match; an empty list matches every request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestSelector {
     /// Tenants by name.
     pub tenants: BTreeSet<String>,
-    /// Keys by their fingerprints ([`fingerprint`]): an order shows no key.
+    /// API keys by their fingerprints ([`fingerprint`]), so that an order reveals no key.
     pub keys: BTreeSet<String>,
     /// Routes by name.
     pub routes: BTreeSet<String>,
-    /// Hosts, in small letters.
+    /// Hosts in lower case.
     pub hosts: BTreeSet<String>,
-    /// What repeating may do.
+    /// Whether requests may be retried, as routes write it.
     pub route_kinds: BTreeSet<String>,
-    /// Regions of entry.
+    /// Regions of the proxies that receive the requests.
     pub regions: BTreeSet<String>,
-    /// So many of these, chosen by the requests' ids.
+    /// Share of the matching requests, sampled by request id.
     pub share: f64,
 }
 
-/// A key as orders name it.
+/// The fingerprint of an API key, as orders name it.
 pub fn fingerprint(key: &str) -> String {
     format!("{:016x}", fennelscale_messages::hash(key.as_bytes()))
 }
 
 impl RequestSelector {
-    /// Whether a request is named.
+    /// Whether a request is selected.
     pub fn matches(&self, order: &str, caller: &Caller<'_>) -> bool {
-        let one_of = |set: &BTreeSet<String>, what: &str| set.is_empty() || set.contains(what);
+        let one_of = |set: &BTreeSet<String>, value: &str| set.is_empty() || set.contains(value);
         one_of(&self.tenants, caller.tenant)
             && one_of(&self.routes, caller.route)
             && one_of(&self.hosts, caller.host)
             && one_of(&self.route_kinds, caller.route_kind)
             && one_of(&self.regions, caller.region)
             && (self.keys.is_empty() || self.keys.contains(&fingerprint(caller.key)))
-            && self.is_drawn(order, caller.id)
+            && self.is_sampled(order, caller.id)
     }
 
-    /// Whether everybody is named, or everybody of a region, a host or a kind: that asks for a second word.
+    /// Whether the order selects no particular tenant, key or route; such an order needs an explicit
+    /// confirmation.
     pub fn is_broad(&self) -> bool {
         self.tenants.is_empty() && self.keys.is_empty() && self.routes.is_empty()
     }
 
-    /// The same requests at every proxy and in every build.
-    fn is_drawn(&self, order: &str, id: &str) -> bool {
+    /// Samples the same requests at every proxy and in every build.
+    fn is_sampled(&self, order: &str, id: &str) -> bool {
         let draw = fennelscale_messages::mix(
             fennelscale_messages::hash(order.as_bytes()) ^ fennelscale_messages::hash(id.as_bytes()),
         );
@@ -74,29 +75,29 @@
     }
 }
 
-/// What happens to a request that is named.
+/// How a selected request fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailureKind {
-    /// It is refused before it is sent on: it has not run and will not.
+    /// Rejected before it is forwarded: it has not run and will not.
     Refuse,
-    /// It is held for so long, then goes its way.
+    /// Held for this long, then processed as usual.
     Delay(Millis),
-    /// Its connection is closed once so much of its body was read; it is not sent on.
+    /// Its connection is closed once this share of its body was read; it is not forwarded.
     CutRequest(f64),
-    /// It goes its way, and its answer is lost with the connection.
+    /// Processed as usual, but the connection is closed instead of sending the response.
     LoseAnswer,
-    /// Its answer ends after so much of its body.
+    /// The response ends after this share of its body.
     CutAnswer(f64),
-    /// Its answer's body takes so long.
+    /// The response body is sent over this long.
     SlowAnswer(Millis),
 }
 
 impl FailureKind {
-    /// The kinds' names, as orders and settings write them.
+    /// The names of the kinds, as orders and settings write them.
     pub const NAMES: [&'static str; 6] =
         ["refuse", "delay", "cut-request", "lose-answer", "cut-answer", "slow-answer"];
 
-    /// Its name.
+    /// The name of this kind.
     pub fn name(self) -> &'static str {
         match self {
             Self::Refuse => "refuse",
@@ -108,29 +109,29 @@
         }
     }
 
-    /// Whether it takes up room for as long as it lasts.
+    /// Whether it occupies a slot for as long as it lasts.
     pub fn holds(self) -> bool {
         matches!(self, Self::Delay(_) | Self::SlowAnswer(_))
     }
 }
 
-/// What is wanted of an order.
+/// The requested state of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Who would be met is counted; nobody is failed.
+    /// Selected requests are counted and none fails.
     Dry,
-    /// In its time it fails whom it names.
+    /// Selected requests fail within the order's time.
     Running,
-    /// It does nothing more.
+    /// The order has no effect.
     Stopped,
 }
 
 impl State {
-    /// All, with their names.
+    /// All states with their names.
     pub const ALL: [(&'static str, Self); 3] =
         [("dry", Self::Dry), ("running", Self::Running), ("stopped", Self::Stopped)];
 
-    /// Its name.
+    /// The name of this state.
     pub fn name(self) -> &'static str {
         Self::ALL.iter().find(|(_, state)| *state == self).map_or("", |(name, _)| name)
     }
@@ -141,48 +142,48 @@
 pub struct Order {
     /// Its name.
     pub name: String,
-    /// Whom.
+    /// Which requests fail.
     pub selector: RequestSelector,
-    /// What.
+    /// How they fail.
     pub kind: FailureKind,
-    /// From when, in ms since 1970.
+    /// Start, in ms since 1970.
     pub from: Millis,
-    /// Until when, in ms since 1970.
+    /// End, in ms since 1970.
     pub until: Millis,
-    /// How many at most, over all proxies.
+    /// The most requests to fail, over all proxies.
     pub max_requests: u64,
-    /// How many a second at most, over all proxies.
+    /// The most requests to fail each second, over all proxies.
     pub max_per_s: f64,
-    /// What is wanted of it.
+    /// Its requested state.
     pub state: State,
-    /// The lives of proxies that share `most` and `per_s`, as [`proxy_id`] names them. Said once, by the registry that took the order
-    /// first; the same for all its versions.
+    /// The proxy incarnations that share `max_requests` and `max_per_s`, as [`proxy_id`] names them. Set by
+    /// the registry that first accepted the order and the same for all its versions.
     pub sharing_proxies: BTreeSet<String>,
 }
 
-/// A proxy's life as orders name it.
+/// The name of a proxy's incarnation in orders.
 pub fn proxy_id(host: impl std::fmt::Display, life: u64) -> String {
     format!("{host}/{life:x}")
 }
 
-/// What the operators' settings allow any order to do. Without them none is heeded.
+/// What the operators' settings allow any order to do. Without them no order applies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Requests that one order may fail.
+    /// The most requests that one order may fail.
     pub max_requests: u64,
-    /// Requests a second that one order may fail.
+    /// The most requests that one order may fail each second.
     pub max_per_s: f64,
-    /// How long one may last.
+    /// The longest duration of an order.
     pub max_duration: Duration,
-    /// What one may do; the names of [`FailureKind`].
+    /// Allowed kinds, by the names of [`FailureKind`].
     pub kinds: BTreeSet<String>,
 }
 
 impl Limits {
-    /// Why an order is more than is allowed.
+    /// Checks an order against these limits.
     ///
     /// # Errors
-    /// Which limit it is over.
+    /// Names the limit that it exceeds.
     pub fn check(&self, order: &Order) -> Result<(), String> {
         let longest = self.max_duration.as_secs_f64() * 1000.0;
         if !self.kinds.contains(order.kind.name()) {
--- a/system/quota-lease/src/lib.rs
+++ b/system/quota-lease/src/lib.rs
@@ -1,53 +1,56 @@
-//! Quotas over all proxies: the lease cache of each ([`LeaseCache`]), the window count that is leased from ([`QuotaCounter`]), and between
-//! them a relay for each region ([`Relay`]).
+//! Quotas over all proxies: the lease cache of each proxy ([`LeaseCache`]), the window count that it leases
+//! from ([`QuotaCounter`]), and a relay for each region between them ([`Relay`]).
 //!
-//! # The sum
+//! # Bound
 //!
-//! A tenant's window is burst over rate long, at least [`MIN_WINDOW`]. In each window the count grants `rate x window` units at
-//! most, whoever asks; a block ends with its window. A span of time T touches at most `T / window + 1` windows, so all proxies
-//! together send on at most `rate x T + rate x window` in it, which is `rate x T + burst`, or less than the rule's overage more
-//! where the window was lengthened. Beside that:
+//! A tenant's window lasts burst / rate, but at least [`MIN_WINDOW`]. In each window the count grants at
+//! most `rate x window` units in all; a lease ends with its window. A span of time T touches at most `T /
+//! window + 1` windows, so all proxies together send on at most `rate x T + rate x window` in it. That is
+//! `rate x T + burst`, or, where the window was lengthened, more by less than the overage that the rule
+//! allows. In addition:
 //!
-//! - *Ways*: a proxy's window begins and ends later than the holder's by the way of the grant. That shifts a proxy's windows, and
-//!   makes none longer.
-//! - *Silence*: while a proxy hears nothing from the count for more than [`ISOLATION_TIMEOUT`], it spends `ISOLATED_SHARE` of an even part each
-//!   window, and only in windows of which it has no block. The holder keeps that much back for each proxy that is silent.
-//! - *Another holder*: it takes the window at hand as spent whole, and what the one before may have granted of the next: nothing
-//!   is granted for [`QuotaCounter::TAKEOVER_WINDOWS`] windows.
+//! - *Latency*: a proxy's window begins and ends later than the holder's by the latency of the grant. That
+//!   shifts a proxy's windows and makes none longer.
+//! - *Isolation*: a proxy that hears nothing from the count for more than [`ISOLATION_TIMEOUT`] spends
+//!   [`ISOLATED_SHARE`] of an equal part each window, and only in windows of which it has no lease. The
+//!   holder reserves that much for each isolated proxy.
+//! - *Takeover*: a new holder treats the current window as spent, and also what the former holder may have
+//!   granted of the next: it grants nothing for [`QuotaCounter::TAKEOVER_WINDOWS`] windows.
 //!
-//! Times are milliseconds of the caller's steady clock. No I/O, no clock, no chance.
+//! Times are milliseconds of the caller's monotonic clock. This package does no I/O, reads no clock and
+//! uses no randomness.
 
 mod cache;
-mod counts;
+mod counter;
+mod lateness;
 mod relay;
-mod timely;
 
 pub use cache::{Admission, LeaseCache, QuotaRequest, RequestId};
-pub use counts::{QuotaCounter, UnitRequest};
+pub use counter::{QuotaCounter, UnitRequest};
+pub use lateness::LatenessDetector;
 pub use relay::{Relay, RelayOutput};
-pub use timely::LatenessDetector;
 
-/// The keys that tenants are cut into.
+/// The number of shards that tenants are divided into.
 pub const SHARDS: u64 = 32;
 
-/// The key that a tenant's count is under.
+/// The shard of a tenant's count, as a bit mask.
 pub fn shard_bit(tenant: &str) -> u64 {
     1 << (fennelscale_messages::hash(tenant.as_bytes()) % SHARDS)
 }
 
-/// A time or a span in milliseconds.
+/// A time or a duration in milliseconds.
 pub type Millis = f64;
 
-/// No window is shorter: it would be over before a block has come from another region.
+/// The shortest window: a shorter one would end before a lease arrives from another region.
 pub const MIN_WINDOW: Millis = 500.0;
-/// A proxy that heard nothing for this long, though it asked, is on its own.
+/// A proxy whose requests go unanswered for this long is isolated.
 pub const ISOLATION_TIMEOUT: Millis = 700.0;
-/// Of an even part a proxy on its own spends so much: how many there are may just have changed.
+/// The share of an equal part that an isolated proxy spends: the number of proxies may just have changed.
 pub const ISOLATED_SHARE: f64 = 0.9;
 
-/// Units of one window that are at hand, at a proxy or a relay.
+/// Units of one window that a proxy or a relay holds.
 #[derive(Clone, Debug, Default)]
-struct Block {
+struct Lease {
     units: f64,
     window: u64,
     begins: Millis,
@@ -59,19 +62,19 @@
 pub struct Quota {
     /// Requests a second; 0 for no limit.
     pub rate: f64,
-    /// Requests on top.
+    /// Additional requests at once.
     pub burst: f64,
 }
 
 impl Quota {
-    /// How long a window is.
+    /// The length of a window.
     pub fn window_length(&self) -> Millis {
         (self.burst / self.rate.max(1e-9) * 1000.0).max(MIN_WINDOW)
     }
 
-    /// What one window grants.
+    /// The units that one window grants.
     pub fn units_per_window(&self) -> f64 {
-        // A tenant without a burst of its own may still send one by one.
+        // A tenant without a burst may still send one request at a time.
         (self.rate * self.window_length() / 1000.0).max(1.0)
     }
 }
--- a/system/quota-lease/src/relay.rs
+++ b/system/quota-lease/src/relay.rs
@@ -1,48 +1,48 @@
-//! Between the proxies of a region and the holder of a tenant's count: blocks are leased for the region and handed on in
-//! parts, so that a request never waits for a way between regions, and a small quota is not stranded at proxies that see a
-//! request now and then.
+//! Relays between the proxies of a region and the holder of a tenant's count. Units are leased for the
+//! region and passed on in parts, so that no request waits for a round trip between regions, and a small
+//! quota is not stranded at proxies that rarely see a request.
 //!
-//! The relay hands on no more than it was granted, and with the same windows: the sum of the holder stands whatever relays there
-//! are, also when two take themselves for a region's.
+//! A relay passes on no more than it was granted, for the same windows. The holder's limit therefore holds
+//! for any set of relays, also when two act for one region.
 
-use crate::counts::AHEAD;
-use crate::{Block, Millis, Quota};
+use crate::counter::AHEAD_SHARE;
+use crate::{Lease, Millis, Quota};
 use fennelscale_messages::Host;
 use fennelscale_messages::session::Grant;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A block holds the demand of this part of a window, as far as the window lasts.
-const BLOCK: f64 = 0.5;
-/// It is renewed when less than this part of that is left.
-const RENEW: f64 = 0.6;
-/// An ask without answer is sent again after this.
-const AGAIN: Millis = 300.0;
-/// Who waits longer is told nothing more: the proxy has gone on by itself.
-const WAITS: Millis = 450.0;
-/// After the holder said that all is spent it is asked again after this part of a window.
-const SPENT: f64 = 0.1;
-/// After it said that it grants nothing yet, after this.
-const CLOSED: Millis = 150.0;
-/// A proxy's demand counts for this long.
-const DEMAND: Millis = 1500.0;
-/// A proxy is handed at most so many times its part of what is there, one at least.
-const PART: f64 = 1.5;
-/// A tenant that nobody asks for is forgotten after so many windows.
-const IDLE: f64 = 6.0;
-/// The most asks of a tenant that wait.
-const MOST: usize = 4096;
-
-/// What follows.
+/// A lease covers the demand of this share of a window, as far as the window lasts.
+const LEASE_SHARE: f64 = 0.5;
+/// A lease is renewed when less than this share of that is left.
+const RENEW_BELOW: f64 = 0.6;
+/// A request without an answer is sent again after this.
+const RETRY_AFTER: Millis = 300.0;
+/// A request that waits longer gets no answer: the proxy has decided without it.
+const MAX_WAIT: Millis = 450.0;
+/// After the holder answered that a window is spent, it is asked again after this share of a window.
+const SPENT_RETRY_SHARE: f64 = 0.1;
+/// After the holder answered that it grants nothing yet, it is asked again after this.
+const CLOSED_RETRY: Millis = 150.0;
+/// How long the demand that a proxy reported counts.
+const DEMAND_LIFETIME: Millis = 1500.0;
+/// A proxy gets at most this multiple of its share of the available units, but at least one unit.
+const MAX_SHARE_FACTOR: f64 = 1.5;
+/// A tenant is removed after this many windows without a request.
+const IDLE_WINDOWS: f64 = 6.0;
+/// The most requests of a tenant that request.
+const MAX_WAITING: usize = 4096;
+
+/// A message to send.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayOutput {
     /// To a proxy.
     ToProxy(Host, Grant),
-    /// To the holder: tenant, units, for the next window, demand a ms.
+    /// To the holder: tenant, units, whether for the next window, demand a ms.
     ToHolder(String, f64, bool, f64),
 }
 
 #[derive(Clone, Debug)]
-struct Wait {
+struct WaitingRequest {
     from: Host,
     units: f64,
     next: bool,
@@ -51,15 +51,15 @@
 
 #[derive(Clone, Debug)]
 struct Tenant {
-    terms: Quota,
-    block: Block,
-    next: Option<Block>,
+    quota: Quota,
+    lease: Lease,
+    next_lease: Option<Lease>,
     demands: BTreeMap<Host, (f64, Millis)>,
-    waiting: VecDeque<Wait>,
-    asked: [Option<Millis>; 2],
-    spent: [Millis; 2],
-    closed: Millis,
-    last: Millis,
+    waiting: VecDeque<WaitingRequest>,
+    requested_at: [Option<Millis>; 2],
+    spent_until: [Millis; 2],
+    closed_until: Millis,
+    last_request: Millis,
 }
 
 /// The relay of one registry.
@@ -69,176 +69,182 @@
 }
 
 impl Relay {
-    /// A proxy asks for units.
-    #[expect(clippy::too_many_arguments, reason = "the fields of one word")]
+    /// Handles a proxy's request for units.
+    #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
     pub fn request_units(
-        &mut self, now: Millis, from: Host, tenant: &str, units: f64, next: bool, demand: f64, terms: Quota,
+        &mut self, now: Millis, from: Host, tenant: &str, units: f64, next: bool, demand: f64, quota: Quota,
         out: &mut Vec<RelayOutput>,
     ) {
         if !self.tenants.contains_key(tenant) {
-            self.tenants.insert(tenant.to_owned(), Tenant::new(now, terms));
+            self.tenants.insert(tenant.to_owned(), Tenant::new(now, quota));
         }
         let Some(known) = self.tenants.get_mut(tenant) else { return };
-        (known.terms, known.last) = (terms, now);
+        (known.quota, known.last_request) = (quota, now);
         known.demands.insert(from, (if demand.is_finite() { demand.max(0.0) } else { 0.0 }, now));
-        if known.waiting.len() < MOST {
-            known.waiting.push_back(Wait { from, units: units.max(1.0), next, since: now });
+        if known.waiting.len() < MAX_WAITING {
+            known.waiting.push_back(WaitingRequest { from, units: units.max(1.0), next, since: now });
         }
         known.step(now, tenant, out);
     }
 
-    /// The holder answers.
+    /// Handles an answer of the holder.
     pub fn on_grant(&mut self, now: Millis, grant: Grant, out: &mut Vec<RelayOutput>) {
         let Some(known) = self.tenants.get_mut(&grant.tenant) else { return };
-        known.roll(now);
-        known.asked[usize::from(grant.next_window)] = None;
+        known.advance_window(now);
+        known.requested_at[usize::from(grant.next_window)] = None;
         if grant.closed {
-            known.closed = now + CLOSED;
+            known.closed_until = now + CLOSED_RETRY;
         } else if grant.begins_in > 0.0 {
             let (begins, ends) = (now + grant.begins_in, now + grant.ends_in);
-            let next = known.next.get_or_insert_default();
+            let next = known.next_lease.get_or_insert_default();
             if next.window != grant.window || next.ends == 0.0 {
-                *next = Block { units: 0.0, window: grant.window, begins, ends };
+                *next = Lease { units: 0.0, window: grant.window, begins, ends };
             }
             next.units += grant.units;
             if grant.units < 1.0 {
-                known.spent[1] = begins;
+                known.spent_until[1] = begins;
             }
         } else {
             let ends = now + grant.ends_in;
-            if known.block.window != grant.window || now >= known.block.ends {
-                known.block = Block { units: 0.0, window: grant.window, begins: now, ends };
+            if known.lease.window != grant.window || now >= known.lease.ends {
+                known.lease = Lease { units: 0.0, window: grant.window, begins: now, ends };
             }
-            known.block.units += grant.units;
+            known.lease.units += grant.units;
             if grant.units < 1.0 {
-                known.spent[0] = (now + known.terms.window_length() * SPENT).min(ends);
+                known.spent_until[0] = (now + known.quota.window_length() * SPENT_RETRY_SHARE).min(ends);
             }
         }
         known.step(now, &grant.tenant, out);
     }
 
-    /// Time passes; due every 50 ms or so.
+    /// Advances time; call every 50 ms or so.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<RelayOutput>) {
         for (name, tenant) in &mut self.tenants {
             tenant.step(now, name, out);
         }
-        self.tenants.retain(|_, tenant| now - tenant.last < tenant.terms.window_length() * IDLE);
+        self.tenants
+            .retain(|_, tenant| now - tenant.last_request < tenant.quota.window_length() * IDLE_WINDOWS);
     }
 
-    /// How many tenants are known.
+    /// The number of known tenants.
     pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 }
 
 impl Tenant {
-    fn new(now: Millis, terms: Quota) -> Self {
+    fn new(now: Millis, quota: Quota) -> Self {
         Self {
-            terms,
-            block: Block::default(),
-            next: None,
+            quota,
+            lease: Lease::default(),
+            next_lease: None,
             demands: BTreeMap::new(),
             waiting: VecDeque::new(),
-            asked: [None; 2],
-            spent: [0.0; 2],
-            closed: 0.0,
-            last: now,
+            requested_at: [None; 2],
+            spent_until: [0.0; 2],
+            closed_until: 0.0,
+            last_request: now,
         }
     }
 
-    fn roll(&mut self, now: Millis) {
-        if let Some(next) = self.next.take_if(|next| now >= next.begins) {
+    fn advance_window(&mut self, now: Millis) {
+        if let Some(next) = self.next_lease.take_if(|next| now >= next.begins) {
             if now < next.ends {
-                self.block = next;
-                self.spent = [0.0; 2];
+                self.lease = next;
+                self.spent_until = [0.0; 2];
             }
-            self.asked = [None; 2];
+            self.requested_at = [None; 2];
         }
-        if now >= self.block.ends {
-            self.block.units = 0.0;
+        if now >= self.lease.ends {
+            self.lease.units = 0.0;
         }
-        self.demands.retain(|_, (_, at)| now - *at < DEMAND);
+        self.demands.retain(|_, (_, at)| now - *at < DEMAND_LIFETIME);
     }
 
     fn demand(&self) -> f64 {
         self.demands.values().map(|(demand, _)| demand).sum()
     }
 
-    /// Serves who waits, as far as there is something to say, and asks for more.
+    /// Answers the waiting requests that can be answered, and requests more units.
     fn step(&mut self, now: Millis, name: &str, out: &mut Vec<RelayOutput>) {
-        self.roll(now);
-        let all = self.demand();
-        for wait in std::mem::take(&mut self.waiting) {
-            if now - wait.since > WAITS {
+        self.advance_window(now);
+        let total_demand = self.demand();
+        for request in std::mem::take(&mut self.waiting) {
+            if now - request.since > MAX_WAIT {
                 continue;
             }
-            match self.serve(now, name, &wait, all) {
-                Some(grant) => out.push(RelayOutput::ToProxy(wait.from, grant)),
-                None => self.waiting.push_back(wait),
+            match self.serve(now, name, &request, total_demand) {
+                Some(grant) => out.push(RelayOutput::ToProxy(request.from, grant)),
+                None => self.waiting.push_back(request),
             }
         }
-        self.renew(now, name, all, out);
+        self.renew(now, name, total_demand, out);
     }
 
-    fn serve(&mut self, now: Millis, name: &str, wait: &Wait, all: f64) -> Option<Grant> {
-        let own = self.demands.get(&wait.from).map_or(0.0, |(demand, _)| *demand);
-        let told = |units, block: &Block, closed| Grant {
+    fn serve(
+        &mut self, now: Millis, name: &str, request: &WaitingRequest, total_demand: f64,
+    ) -> Option<Grant> {
+        let own_demand = self.demands.get(&request.from).map_or(0.0, |(demand, _)| *demand);
+        let answer = |units, lease: &Lease, closed| Grant {
             tenant: name.to_owned(),
             units,
-            window: block.window,
-            begins_in: (block.begins - now).max(0.0),
-            ends_in: (block.ends - now).max(0.0),
-            next_window: wait.next,
+            window: lease.window,
+            begins_in: (lease.begins - now).max(0.0),
+            ends_in: (lease.ends - now).max(0.0),
+            next_window: request.next,
             closed,
         };
-        if now < self.closed {
-            let window = Block { ends: now + self.terms.window_length(), ..Block::default() };
-            return Some(told(0.0, &window, true));
+        if now < self.closed_until {
+            let window = Lease { ends: now + self.quota.window_length(), ..Lease::default() };
+            return Some(answer(0.0, &window, true));
         }
-        let spent = now < self.spent[usize::from(wait.next)];
-        let block = if wait.next { self.next.as_mut() } else { Some(&mut self.block) };
-        match block.filter(|block| now < block.ends) {
-            Some(block) if block.units >= 1.0 => {
-                let part = (block.units * PART * own / all.max(1e-12)).max(1.0);
-                let units = wait.units.min(part).min(block.units).floor();
-                block.units -= units;
-                Some(told(units, block, false))
+        let is_spent = now < self.spent_until[usize::from(request.next)];
+        let lease = if request.next { self.next_lease.as_mut() } else { Some(&mut self.lease) };
+        match lease.filter(|lease| now < lease.ends) {
+            Some(lease) if lease.units >= 1.0 => {
+                let share = (lease.units * MAX_SHARE_FACTOR * own_demand / total_demand.max(1e-12)).max(1.0);
+                let units = request.units.min(share).min(lease.units).floor();
+                lease.units -= units;
+                Some(answer(units, lease, false))
             }
-            Some(block) if spent => Some(told(0.0, block, false)),
+            Some(lease) if is_spent => Some(answer(0.0, lease, false)),
             _ => None,
         }
     }
 
-    fn renew(&mut self, now: Millis, name: &str, all: f64, out: &mut Vec<RelayOutput>) {
-        let window = self.terms.window_length();
-        let left = (self.block.ends - now).max(0.0);
+    fn renew(&mut self, now: Millis, name: &str, total_demand: f64, out: &mut Vec<RelayOutput>) {
+        let window = self.quota.window_length();
+        let left = (self.lease.ends - now).max(0.0);
         let owed = |next| self.waiting.iter().filter(|w| w.next == next).map(|w| w.units).sum::<f64>();
         let (owed_now, owed_next) = (owed(false), owed(true));
-        let span = if self.block.ends > now { left.min(window * BLOCK) } else { window * BLOCK };
-        let target = (all * span).min(self.terms.units_per_window());
-        let wants = owed_now + (target - self.block.units).max(0.0);
-        if (owed_now > 0.0 || self.block.units < target * RENEW) && now >= self.spent[0] && wants >= 0.5 {
-            self.up(now, name, wants, false, all, out);
+        let span = if self.lease.ends > now { left.min(window * LEASE_SHARE) } else { window * LEASE_SHARE };
+        let target = (total_demand * span).min(self.quota.units_per_window());
+        let wants = owed_now + (target - self.lease.units).max(0.0);
+        if (owed_now > 0.0 || self.lease.units < target * RENEW_BELOW)
+            && now >= self.spent_until[0]
+            && wants >= 0.5
+        {
+            self.request_from_holder(now, name, wants, false, total_demand, out);
         }
-        // A little before the proxies ask for it.
-        if left > 0.0 && left < window * AHEAD && now >= self.spent[1] {
-            let have = self.next.as_ref().map_or(0.0, |next| next.units);
-            let target = (all * window * BLOCK).min(self.terms.units_per_window());
+        // A little before the proxies request units of that window.
+        if left > 0.0 && left < window * AHEAD_SHARE && now >= self.spent_until[1] {
+            let have = self.next_lease.as_ref().map_or(0.0, |next| next.units);
+            let target = (total_demand * window * LEASE_SHARE).min(self.quota.units_per_window());
             let wants = owed_next + (target - have).max(0.0);
-            if (owed_next > 0.0 || have < target * RENEW) && wants >= 0.3 {
-                self.up(now, name, wants, true, all, out);
+            if (owed_next > 0.0 || have < target * RENEW_BELOW) && wants >= 0.3 {
+                self.request_from_holder(now, name, wants, true, total_demand, out);
             }
         }
     }
 
-    fn up(
+    fn request_from_holder(
         &mut self, now: Millis, name: &str, units: f64, next: bool, demand: f64, out: &mut Vec<RelayOutput>,
     ) {
-        let asked = &mut self.asked[usize::from(next)];
-        if asked.is_some_and(|at| now - at < AGAIN) || now < self.closed {
+        let requested_at = &mut self.requested_at[usize::from(next)];
+        if requested_at.is_some_and(|at| now - at < RETRY_AFTER) || now < self.closed_until {
             return;
         }
-        *asked = Some(now);
+        *requested_at = Some(now);
         out.push(RelayOutput::ToHolder(name.to_owned(), units.max(1.0).ceil(), next, demand));
     }
 }
