--- a/system/proxy/src/backend_protocol.rs
+++ b/system/proxy/src/backend_protocol.rs
@@ -1,6 +1,7 @@
-//! What backends speak beyond HTTP.
+//! The protocol between proxy and backends on top of HTTP: headers, verdicts on answers, and the health
+//! probe.
 
-use crate::request_trace::Trail;
+use crate::request_trace::RequestTrace;
 use doorcourse::Name;
 use fennelscale_dataplane::back::backends::{Message, Speech, Verdict};
 use hyper::header::{CONTENT_ENCODING, HOST, HeaderName};
@@ -12,44 +13,48 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Names a request, in it and in its answer.
+/// The id of a request, in the request and in its answer.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("fennelscale-request-id");
 /// How long the client waits.
 pub const DEADLINE: HeaderName = HeaderName::from_static("fennelscale-deadline-ms");
-/// The backend that a request is for.
-pub const EXPECTED: HeaderName = HeaderName::from_static("fennelscale-expected-instance");
-/// The tenant whose key came with a request.
+/// The backend that a request is meant for.
+pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("fennelscale-expected-instance");
+/// The tenant of a request's API key.
 pub const TENANT: HeaderName = HeaderName::from_static("fennelscale-tenant-name");
-/// The stamp of a backend's answer.
+/// The signature of a backend's answer.
 pub const SIGNATURE: HeaderName = HeaderName::from_static("fennelscale-response-signature");
-/// The word of a backend that did not run a request.
+/// Set by a backend that did not execute a request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("fennelscale-not-executed");
 
-/// What backends of the system speak.
-pub struct Mesh {
-    /// Where they tell how they are.
+/// The protocol of one service.
+pub struct BackendProtocol {
+    /// The path of the health check.
     pub health: String,
-    /// What becomes of requests is noted there.
-    pub trail: Rc<RefCell<Trail>>,
-    /// The trail's clock began then.
-    pub born: Instant,
+    /// The record of what happens to requests.
+    pub trace: Rc<RefCell<RequestTrace>>,
+    /// Zero of the clock of the trace.
+    pub started_at: Instant,
 }
 
-impl Speech for Mesh {
+impl Speech for BackendProtocol {
     fn request(&self, message: &Message, backend: &Name, dial: SocketAddr, left: Duration) -> Builder {
         let mut builder = Request::builder().method(message.method.clone()).uri(message.target.clone());
         if let Some(headers) = builder.headers_mut() {
             headers.clone_from(&message.headers);
         }
-        let now = self.born.elapsed().as_secs_f64() * 1000.0;
-        self.trail.borrow_mut().attempt(now, fennelscale_messages::hash(message.id.as_bytes()), backend);
+        let now = self.started_at.elapsed().as_secs_f64() * 1000.0;
+        self.trace.borrow_mut().record_attempt(
+            now,
+            fennelscale_messages::hash(message.id.as_bytes()),
+            backend,
+        );
         if !message.headers.contains_key(HOST) {
             builder = builder.header(HOST, dial.to_string());
         }
         builder
             .header(REQUEST_ID, message.id.clone())
             .header(DEADLINE, left.as_millis().to_string())
-            .header(EXPECTED, &**backend)
+            .header(EXPECTED_INSTANCE, &**backend)
     }
 
     fn verdict(&self, head: &response::Parts, repeatable: bool) -> Verdict {
@@ -62,7 +67,7 @@
                 _ => "served",
             };
             let status = head.status.as_u16();
-            self.trail.borrow_mut().answered(fennelscale_messages::hash(id.as_bytes()), status, what);
+            self.trace.borrow_mut().record_answer(fennelscale_messages::hash(id.as_bytes()), status, what);
         }
         verdict
     }
@@ -79,10 +84,10 @@
     if head.headers.contains_key(NOT_EXECUTED) {
         return Verdict::Full;
     }
-    let whole = head.headers.contains_key(SIGNATURE) && !head.headers.contains_key(CONTENT_ENCODING);
+    let is_valid = head.headers.contains_key(SIGNATURE) && !head.headers.contains_key(CONTENT_ENCODING);
     match head.status {
-        status if status.is_success() && !whole => Verdict::Error,
-        // It has run and failed: what may run again is better tried elsewhere.
+        status if status.is_success() && !is_valid => Verdict::Error,
+        // The request was executed and failed. A repeatable one is retried on another backend.
         status if status.is_server_error() && repeatable => Verdict::Error,
         _ => Verdict::Served,
     }
@@ -93,21 +98,21 @@
     use super::*;
     use hyper::Response;
 
-    fn said(status: u16, headers: &[(&str, &str)], repeatable: bool) -> Verdict {
+    fn verdict_of(status: u16, headers: &[(&str, &str)], repeatable: bool) -> Verdict {
         let answer = headers.iter().fold(Response::builder().status(status), |a, (k, v)| a.header(*k, *v));
         verdict(&answer.body(()).unwrap().into_parts().0, repeatable)
     }
 
     #[test]
-    fn only_a_stamped_answer_is_a_success_and_only_a_word_or_421_means_not_run() {
+    fn a_success_must_be_signed_and_only_421_or_the_header_means_not_executed() {
         let signed = ("fennelscale-response-signature", "s");
-        assert_eq!(said(200, &[signed], false), Verdict::Served);
-        assert_eq!(said(200, &[], false), Verdict::Error);
-        assert_eq!(said(200, &[signed, ("content-encoding", "gzip")], false), Verdict::Error);
-        assert_eq!(said(503, &[("fennelscale-not-executed", "1")], true), Verdict::Full);
-        assert_eq!(said(421, &[], false), Verdict::Elsewhere);
-        assert_eq!(said(500, &[], false), Verdict::Served);
-        assert_eq!(said(500, &[], true), Verdict::Error);
-        assert_eq!(said(404, &[signed], true), Verdict::Served);
+        assert_eq!(verdict_of(200, &[signed], false), Verdict::Served);
+        assert_eq!(verdict_of(200, &[], false), Verdict::Error);
+        assert_eq!(verdict_of(200, &[signed, ("content-encoding", "gzip")], false), Verdict::Error);
+        assert_eq!(verdict_of(503, &[("fennelscale-not-executed", "1")], true), Verdict::Full);
+        assert_eq!(verdict_of(421, &[], false), Verdict::Elsewhere);
+        assert_eq!(verdict_of(500, &[], false), Verdict::Served);
+        assert_eq!(verdict_of(500, &[], true), Verdict::Error);
+        assert_eq!(verdict_of(404, &[signed], true), Verdict::Served);
     }
 }
--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -1,9 +1,9 @@
-//! The clients' side: connections, their requests, and their answers.
+//! The client side of the proxy: connections, requests and answers.
 
 use crate::backend_protocol::{REQUEST_ID, TENANT};
 use crate::decision_input::PLAN;
-use crate::failure_injection::{self, Cut, Fate, Told};
-use crate::headers::{KEY, passed, patience, single};
+use crate::failure_injection::{self, ConnectionCut, InjectedFailure, ResponseBody};
+use crate::headers::{API_KEY, client_timeout, forwarded_headers, single};
 use crate::proxy::Proxy;
 use bytes::Bytes;
 use doorcourse::{Arrival, RequestBound, RequestId};
@@ -38,33 +38,37 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// The last byte of an answer must be out before the client's patience ends: decisions are told of this much less.
-const MARGIN: Duration = Duration::from_millis(30);
-/// What has no answer this long after the decisions' time is over gets one all the same.
-const BACKSTOP: Duration = Duration::from_millis(15);
-/// A request waits for a block at most this share of its aim.
-const UNIT_WAIT: f64 = 0.3;
-/// After SIGTERM new connections and requests are taken for this share of the grace period: directories' answers are as old.
-const STILL_TAKES: f64 = 0.45;
-/// What was taken has until this share of it.
-const STILL_ANSWERS: f64 = 0.93;
-/// A proxy that is not ready tells clients to come back after this many ms.
-const NOT_READY: f64 = 300.0;
-/// Bodies longer than this are refused whatever the configuration says: they are held in memory.
-const LARGEST: usize = 64 << 20;
-/// All bodies together take at most this share of the memory.
-const BODIES: f64 = 0.4;
+/// The last byte of an answer must be sent before the client times out, so the decision module gets this much
+/// less time.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(30);
+/// A request without an answer this long after the deadline of the decision module is answered anyway.
+const REPLY_GRACE: Duration = Duration::from_millis(15);
+/// A request waits for quota units at most this share of its target latency.
+const MAX_UNIT_WAIT: f64 = 0.3;
+/// After SIGTERM, new connections and requests are accepted for this share of the grace period: clients may
+/// hold discovery answers of that age.
+const ACCEPT_SHARE: f64 = 0.45;
+/// Accepted requests must be answered within this share of the grace period.
+const ANSWER_SHARE: f64 = 0.93;
+/// A proxy that is not ready tells clients to retry after this many ms.
+const NOT_READY_RETRY_AFTER: f64 = 300.0;
+/// Longer bodies are refused whatever the configuration allows, since bodies are held in memory.
+const MAX_BODY: usize = 64 << 20;
+/// Maximum share of the memory limit for all bodies together.
+const BODY_MEMORY_SHARE: f64 = 0.4;
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// The front side.
-pub struct Front {
+/// The client side of the proxy.
+pub struct Frontend {
     proxy: Rc<Proxy>,
     door: Rc<Door>,
     refusing: Cell<bool>,
-    bodies: Cell<usize>,
+    /// Bytes of request bodies that are being read.
+    body_bytes: Cell<usize>,
 }
 
-/// Whether the platform may send clients here.
+/// The answer to a readiness check: whether the platform may send clients to this proxy. None for another
+/// path.
 pub fn readiness(asked: &Asked, ready: bool) -> Option<Response<Full<Bytes>>> {
     if asked.path != "/fennelscale/readiness" {
         return None;
@@ -76,62 +80,62 @@
     Some(response)
 }
 
-/// A request that is answered here: why, and when to come back where that is a promise.
+/// A request that the proxy answers itself: the reason, and when to retry if the request was not executed.
 struct Refusal {
     failure: Failure,
-    wait: Option<f64>,
+    retry_after: Option<f64>,
 }
 
 impl Refusal {
     fn new(kind: Kind, text: &str) -> Self {
-        Self { failure: Failure::new(kind, text), wait: None }
+        Self { failure: Failure::new(kind, text), retry_after: None }
     }
 
-    /// It has not run and will not; best tried again after so many ms.
-    fn later(kind: Kind, text: &str, wait: f64) -> Self {
-        Self { failure: Failure::new(kind, text), wait: Some(wait) }
+    /// The request was not executed and will not be; it is best retried after this many ms.
+    fn with_retry_after(kind: Kind, text: &str, retry_after: f64) -> Self {
+        Self { failure: Failure::new(kind, text), retry_after: Some(retry_after) }
     }
 
-    fn answer(&self) -> Response<Full<Bytes>> {
+    fn to_response(&self) -> Response<Full<Bytes>> {
         let mut response = failed(&self.failure);
-        let wait = self.wait.map(|wait| format!("{:.3}", wait.max(0.0) / 1000.0));
-        if let Some(wait) = wait.and_then(|wait| HeaderValue::from_str(&wait).ok()) {
-            response.headers_mut().insert(RETRY_AFTER, wait);
+        let seconds = self.retry_after.map(|ms| format!("{:.3}", ms.max(0.0) / 1000.0));
+        if let Some(value) = seconds.and_then(|seconds| HeaderValue::from_str(&seconds).ok()) {
+            response.headers_mut().insert(RETRY_AFTER, value);
         }
         response
     }
 }
 
-/// What is decided of a request before it goes on.
-struct Ticket {
+/// A request that was read and routed, before a backend is chosen.
+struct AcceptedRequest {
     route: Rc<Route>,
     tenant: Option<Rc<Tenant>>,
     message: Message,
-    patience: Duration,
-    /// Its client was refused before, and no answer can have its full worth any more.
+    client_timeout: Duration,
+    /// The request was refused before, and an answer can no longer meet its target latency.
     late: bool,
 }
 
-impl Front {
-    /// A front side with its part of the descriptors.
+impl Frontend {
+    /// A client side with its share of the file descriptors.
     pub fn new(proxy: Rc<Proxy>, budget: Budget) -> Rc<Self> {
         let mut admission = Admission::neutral();
         let idle = fennelscale_config::Limits::default().idle;
         admission.pace.request = Quantity::of(idle);
         admission.pace.head = Quantity::of(idle);
         let door = Door::new(admission, budget);
-        proxy.has_door(door.clone());
-        Rc::new(Self { proxy, door, refusing: Cell::new(false), bodies: Cell::new(0) })
+        proxy.set_door(door.clone());
+        Rc::new(Self { proxy, door, refusing: Cell::new(false), body_bytes: Cell::new(0) })
     }
 
-    /// Serves clients until `end`, then lets those finish that are there, within `grace`.
+    /// Serves clients until `end`, then lets connected clients finish within `grace`.
     pub async fn serve(
         self: &Rc<Self>, listener: TcpListener, end: impl Future<Output = ()>, grace: Duration,
     ) {
         let (close, closing) = watch::channel(false);
-        let front = self.clone();
-        self.door.open(Rc::new(move |stream, ahead, guest| {
-            front.clone().welcome(stream, ahead, guest, closing.clone());
+        let frontend = self.clone();
+        self.door.open(Rc::new(move |stream, buffered, client| {
+            frontend.clone().serve_connection(stream, buffered, client, closing.clone());
         }));
         let mut end = pin!(end);
         loop {
@@ -140,14 +144,14 @@
                 () = self.door.accept(&listener) => {}
             }
         }
-        // Out of the directory first; clients that were told before still come for a while.
+        // Leaves service discovery first; clients that looked the proxy up before still arrive for a while.
         self.proxy.leave();
         tracing::info!(event = "leaving", waiting = self.proxy.services.waiting());
-        let begun = Instant::now();
-        let still = begun + grace.mul_f64(STILL_TAKES);
-        while Instant::now() < still {
+        let shutdown_start = Instant::now();
+        let accept_until = shutdown_start + grace.mul_f64(ACCEPT_SHARE);
+        while Instant::now() < accept_until {
             tokio::select! {
-                () = tokio::time::sleep_until(still) => {}
+                () = tokio::time::sleep_until(accept_until) => {}
                 () = self.door.accept(&listener) => {}
             }
         }
@@ -155,102 +159,108 @@
         self.door.accept_the_last(&listener, Instant::now() + Duration::from_millis(100)).await;
         drop(listener);
         close.send_replace(true);
-        let last = begun + grace.mul_f64(STILL_ANSWERS);
-        while !self.door.is_empty() && Instant::now() < last {
+        let answer_until = shutdown_start + grace.mul_f64(ANSWER_SHARE);
+        while !self.door.is_empty() && Instant::now() < answer_until {
             let _ = timeout(Duration::from_millis(50), self.door.left.notified()).await;
         }
     }
 
-    fn welcome(
-        self: Rc<Self>, stream: TcpStream, ahead: Vec<u8>, guest: Rc<Guest>,
+    fn serve_connection(
+        self: Rc<Self>, stream: TcpStream, buffered: Vec<u8>, client: Rc<Guest>,
         mut closing: watch::Receiver<bool>,
     ) {
         fennelscale_dataplane::task::spawn(async move {
             let _ = stream.set_nodelay(true);
             let service = service_fn(|request| {
-                let (front, guest) = (self.clone(), guest.clone());
+                let (frontend, client) = (self.clone(), client.clone());
                 async move {
-                    let response = front.answer(request, &guest).await;
+                    let response = frontend.handle(request, &client).await;
                     let served = response.as_ref().is_ok_and(|response| response.status().is_success());
-                    guest.done(served.then_some(1.0));
+                    client.done(served.then_some(1.0));
                     response
                 }
             });
             let connection = http1::Builder::new()
                 .header_read_timeout(None)
                 .max_buf_size(BUFFER + 8 * 1024)
-                .serve_connection(TokioIo::new(Tap::new(stream, ahead, guest.clone())), service);
+                .serve_connection(TokioIo::new(Tap::new(stream, buffered, client.clone())), service);
             let mut connection = pin!(connection);
             let mut closing = pin!(async { drop(closing.wait_for(|closing| *closing).await) });
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => {}
-                () = guest.over() => guest.life.step(Event::TimeUp),
+                () = client.over() => client.life.step(Event::TimeUp),
                 () = closing.as_mut() => {
                     connection.as_mut().graceful_shutdown();
                     let _ = connection.await;
                 }
-                () = guest.leave.notified() => {
+                () = client.leave.notified() => {
                     connection.as_mut().graceful_shutdown();
                     let _ = connection.await;
                 }
             }
-            guest.life.step(Event::Closed);
-            self.door.gone(&guest);
+            client.life.step(Event::Closed);
+            self.door.gone(&client);
         });
     }
 
-    async fn answer(&self, request: Request<Incoming>, guest: &Guest) -> Result<Response<Told>, Cut> {
-        let fate = match self.verdict(&request) {
-            Verdict::Met(met) => Fate::new(&self.proxy, &met),
+    async fn handle(
+        &self, request: Request<Incoming>, client: &Guest,
+    ) -> Result<Response<ResponseBody>, ConnectionCut> {
+        let injected = match self.failure_verdict(&request) {
+            Verdict::Met(met) => InjectedFailure::new(&self.proxy, &met),
             verdict => {
-                let response = self.true_answer(request, guest).await;
+                let response = self.process(request, client).await;
                 if verdict == Verdict::Unnamed {
-                    self.proxy.unnamed(response.status().as_u16());
+                    self.proxy.record_unaffected(response.status().as_u16());
                 }
-                return Ok(response.map(Told::Whole));
+                return Ok(response.map(ResponseBody::Complete));
             }
         };
         let has_body = !request.body().is_end_stream();
-        match fate.what {
+        match injected.what {
             What::CutRequest(share) => {
                 failure_injection::read_part(request.into_body(), share).await;
-                return Err(Cut);
+                return Err(ConnectionCut);
             }
             What::Refuse => {
-                let refusal = Refusal::later(Kind::NoRoom, "this proxy takes no requests now", NOT_READY);
-                let mut response = refusal.answer();
+                let refusal = Refusal::with_retry_after(
+                    Kind::NoRoom,
+                    "this proxy takes no requests now",
+                    NOT_READY_RETRY_AFTER,
+                );
+                let mut response = refusal.to_response();
                 if has_body {
                     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                return Ok(response.map(Told::Whole));
+                return Ok(response.map(ResponseBody::Complete));
             }
             What::Delay(ms) => tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await,
             What::LoseAnswer | What::CutAnswer(_) | What::SlowAnswer(_) => {}
         }
-        let response = self.true_answer(request, guest).await;
-        failure_injection::fail(fate, response).await
+        let response = self.process(request, client).await;
+        failure_injection::apply(injected, response).await
     }
 
-    /// What failure orders do to a request, by what its head says.
-    fn verdict(&self, request: &Request<Incoming>) -> Verdict {
-        if self.proxy.desk.borrow().is_empty() {
+    /// What failure orders do to a request, by its head.
+    fn failure_verdict(&self, request: &Request<Incoming>) -> Verdict {
+        if self.proxy.failure_orders.borrow().is_empty() {
             return Verdict::Unnamed;
         }
         let headers = request.headers();
         let text =
             |value: Option<&HeaderValue>| value.and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
-        let (id, key) = (text(single(headers, &REQUEST_ID)), text(single(headers, &KEY)));
+        let (id, key) = (text(single(headers, &REQUEST_ID)), text(single(headers, &API_KEY)));
         let host = text(single(headers, &HOST));
         let authority = request.uri().authority().map(|authority| authority.as_str());
         let host = authority.unwrap_or(&host).to_ascii_lowercase();
-        let held = self.proxy.held.borrow();
-        let Some(route) = held.table.route(&host, request.uri().path()).cloned() else {
+        let state = self.proxy.routing_state.borrow();
+        let Some(route) = state.table.route(&host, request.uri().path()).cloned() else {
             return Verdict::Unnamed;
         };
-        let tenant = held.table.tenant(&key).cloned();
-        drop(held);
-        self.proxy.meet(&Caller {
+        let tenant = state.table.tenant(&key).cloned();
+        drop(state);
+        self.proxy.select_failure(&Caller {
             id: &id,
             tenant: tenant.as_ref().map_or("", |t| t.name.as_str()),
             key: &key,
@@ -265,45 +275,46 @@
         })
     }
 
-    async fn true_answer(&self, request: Request<Incoming>, guest: &Guest) -> Response<Full<Bytes>> {
-        let mut last = request.headers().contains_key(TRANSFER_ENCODING) && !request.body().is_end_stream();
+    async fn process(&self, request: Request<Incoming>, client: &Guest) -> Response<Full<Bytes>> {
+        let mut must_close =
+            request.headers().contains_key(TRANSFER_ENCODING) && !request.body().is_end_stream();
         let has_body = !request.body().is_end_stream();
         let id = single(request.headers(), &REQUEST_ID).map(|id| fennelscale_messages::hash(id.as_bytes()));
-        let mut response = match self.take(request, guest).await {
-            Ok(ticket) => {
-                guest.taken();
-                last = false;
-                // One without an id has been refused.
-                let open = Open::new(&self.proxy, id.unwrap_or_default(), &ticket);
-                match self.decide(ticket).await {
-                    Ok(response) => open.end(response.status(), "served", response),
+        let mut response = match self.accept(request, client).await {
+            Ok(accepted) => {
+                client.taken();
+                must_close = false;
+                // A request without an id has been refused.
+                let trace = TraceGuard::new(&self.proxy, id.unwrap_or_default(), &accepted);
+                match self.dispatch(accepted).await {
+                    Ok(response) => trace.finish(response.status(), "served", response),
                     Err(refusal) => {
-                        let response = refusal.answer();
-                        open.end(response.status(), &refusal.failure.text, response)
+                        let response = refusal.to_response();
+                        trace.finish(response.status(), &refusal.failure.text, response)
                     }
                 }
             }
             Err(refusal) => {
                 if let Some(id) = id {
                     let (now, status) = (self.proxy.now(), refusal.failure.kind.status().as_u16());
-                    self.proxy.trail.borrow_mut().refused(now, id, status, &refusal.failure.text);
+                    self.proxy.trace.borrow_mut().record_refusal(now, id, status, &refusal.failure.text);
                 }
-                // What follows on the connection may have been meant as something else.
-                last |= has_body || refusal.failure.kind == Kind::Malformed;
-                refusal.answer()
+                // The following bytes on the connection may not be the start of a request.
+                must_close |= has_body || refusal.failure.kind == Kind::Malformed;
+                refusal.to_response()
             }
         };
-        if last || self.proxy.sends_away() {
+        if must_close || self.proxy.must_close_connections() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    /// Reads a request whole and looks up what is to become of it.
-    async fn take(&self, request: Request<Incoming>, guest: &Guest) -> Result<Ticket, Refusal> {
+    /// Reads a request completely, checks it, and looks up its route and tenant.
+    async fn accept(&self, request: Request<Incoming>, client: &Guest) -> Result<AcceptedRequest, Refusal> {
         let refuse = |kind, text: &str| Err(Refusal::new(kind, text));
-        // Guards against requests hidden in the body of another.
-        if request.headers().contains_key(TRANSFER_ENCODING) && !guest.is_plainly_chunked(&request) {
+        // Guards against request smuggling.
+        if request.headers().contains_key(TRANSFER_ENCODING) && !client.is_plainly_chunked(&request) {
             return refuse(Kind::Malformed, "Transfer-Encoding");
         }
         let (head, body) = request.into_parts();
@@ -321,53 +332,61 @@
             (None, Some(host)) => host.to_owned(),
             (None, None) => return refuse(Kind::Malformed, "Host must be given once"),
         };
-        // A proxy without a table knows of nothing that it is not there.
-        if !self.proxy.held.borrow().is_ready() || self.refusing.get() {
-            return Err(Refusal::later(Kind::NoRoom, "this proxy takes no requests now", NOT_READY));
+        // A proxy without a routing table cannot tell that a route does not exist.
+        if !self.proxy.routing_state.borrow().is_ready() || self.refusing.get() {
+            return Err(Refusal::with_retry_after(
+                Kind::NoRoom,
+                "this proxy takes no requests now",
+                NOT_READY_RETRY_AFTER,
+            ));
         }
-        let most = self.proxy.held.borrow().table.limits.body.min(LARGEST);
-        if body.size_hint().lower() > most as u64 {
+        let max_body = self.proxy.routing_state.borrow().table.limits.body.min(MAX_BODY);
+        if body.size_hint().lower() > max_body as u64 {
             return refuse(Kind::TooLarge, "the body is too large");
         }
-        let bytes = if body.is_end_stream() { Bytes::new() } else { self.read(body, most).await? };
-        // By the table as it is now that the request is here whole.
-        let held = self.proxy.held.borrow();
-        let Some(route) = held.table.route(&host, target.path()).cloned() else {
+        let bytes = if body.is_end_stream() { Bytes::new() } else { self.read_body(body, max_body).await? };
+        // Uses the routing table as of now, after the request was read completely.
+        let state = self.proxy.routing_state.borrow();
+        let Some(route) = state.table.route(&host, target.path()).cloned() else {
             return refuse(Kind::NotFound, "no route");
         };
-        let key = head.headers.get_all(&KEY).iter().count();
+        let key_count = head.headers.get_all(&API_KEY).iter().count();
         let tenant =
-            single(&head.headers, &KEY).and_then(|k| k.to_str().ok()).and_then(|k| held.table.tenant(k));
-        if held.table.has_tenants() && !route.public && (key != 1 || tenant.is_none()) {
+            single(&head.headers, &API_KEY).and_then(|k| k.to_str().ok()).and_then(|k| state.table.tenant(k));
+        if state.table.has_tenants() && !route.public && (key_count != 1 || tenant.is_none()) {
             return refuse(Kind::NoKey, "X-Api-Key");
         }
         let tenant = tenant.cloned();
-        let mut headers = passed(&head.headers);
+        let mut headers = forwarded_headers(&head.headers);
         if let Some(name) = tenant.as_ref().and_then(|t| HeaderValue::from_str(&t.name).ok()) {
             headers.insert(TENANT, name);
         }
         let timeout = Duration::from_secs_f64(route.timeout / 1000.0);
-        let told = patience(&head.headers);
-        let late = tenant.as_ref().filter(|tenant| tenant.rate > 0.0).and(told).is_some_and(|told| {
-            let (now, told) = (self.proxy.now(), told.as_secs_f64() * 1000.0);
-            self.proxy.timely.borrow_mut().is_late(now, &route.name, told, route.aim)
+        let stated = client_timeout(&head.headers);
+        let late = tenant.as_ref().filter(|tenant| tenant.rate > 0.0).and(stated).is_some_and(|stated| {
+            let (now, stated) = (self.proxy.now(), stated.as_secs_f64() * 1000.0);
+            self.proxy.timely.borrow_mut().is_late(now, &route.name, stated, route.aim)
         });
-        let patience = told.map_or(timeout, |told| told.min(timeout));
+        let client_timeout = stated.map_or(timeout, |stated| stated.min(timeout));
         let repeatable = route.kind == RouteKind::Idempotent;
         let message = Message { method: head.method, target, id, repeatable, headers, body: bytes };
-        drop(held);
-        Ok(Ticket { route, tenant, message, patience, late })
+        drop(state);
+        Ok(AcceptedRequest { route, tenant, message, client_timeout, late })
     }
 
-    async fn read(&self, body: Incoming, most: usize) -> Result<Bytes, Refusal> {
+    async fn read_body(&self, body: Incoming, max_body: usize) -> Result<Bytes, Refusal> {
         let expected = body.size_hint().exact().unwrap_or(0) as usize;
-        let all = (self.proxy.settings.limits.memory as f64 * BODIES) as usize;
-        if self.bodies.get() + expected > all {
-            return Err(Refusal::later(Kind::NoRoom, "no memory for this body now", NOT_READY));
+        let max_bytes = (self.proxy.settings.limits.memory as f64 * BODY_MEMORY_SHARE) as usize;
+        if self.body_bytes.get() + expected > max_bytes {
+            return Err(Refusal::with_retry_after(
+                Kind::NoRoom,
+                "no memory for this body now",
+                NOT_READY_RETRY_AFTER,
+            ));
         }
-        self.bodies.set(self.bodies.get() + expected);
-        let read = Limited::new(body, most).collect().await;
-        self.bodies.set(self.bodies.get() - expected);
+        self.body_bytes.set(self.body_bytes.get() + expected);
+        let read = Limited::new(body, max_body).collect().await;
+        self.body_bytes.set(self.body_bytes.get() - expected);
         match read {
             Ok(body) => Ok(body.to_bytes()),
             Err(error) if error.is::<LengthLimitError>() => {
@@ -377,33 +396,37 @@
         }
     }
 
-    /// The final answer.
-    async fn decide(&self, ticket: Ticket) -> Result<Response<Full<Bytes>>, Refusal> {
-        let Ticket { route, tenant, message, patience, late } = ticket;
-        let begun = Instant::now();
-        let until = begun + patience.saturating_sub(MARGIN.min(patience / 4));
+    /// Admits a request by its quota, has a backend chosen, and returns the final answer.
+    async fn dispatch(&self, accepted: AcceptedRequest) -> Result<Response<Full<Bytes>>, Refusal> {
+        let AcceptedRequest { route, tenant, message, client_timeout, late } = accepted;
+        let started_at = Instant::now();
+        let until = started_at + client_timeout.saturating_sub(RESPONSE_MARGIN.min(client_timeout / 4));
         if let Some(tenant) = &tenant {
-            let wait = Duration::from_secs_f64(route.aim * UNIT_WAIT / 1000.0).min(patience / 4);
+            let wait = Duration::from_secs_f64(route.aim * MAX_UNIT_WAIT / 1000.0).min(client_timeout / 4);
             if let Err(wait) = self.proxy.admit(tenant, wait, late).await {
-                return Err(Refusal::later(Kind::OverQuota, "the quota is spent", wait));
+                return Err(Refusal::with_retry_after(Kind::OverQuota, "the quota is spent", wait));
             }
         }
-        let bound = match self.bound(&route, tenant.as_deref(), message.body.len()) {
+        let bound = match self.constraints(&route, tenant.as_deref(), message.body.len()) {
             Ok(bound) => bound,
             Err(()) => {
                 let regions = (&route.regions, tenant.as_ref().map(|t| &t.regions));
                 tracing::debug!(event = "no-region", route = route.name, regions = ?regions);
-                return Err(Refusal::later(Kind::NoRoom, "no region may serve this", 1000.0));
+                return Err(Refusal::with_retry_after(Kind::NoRoom, "no region may serve this", 1000.0));
             }
         };
-        let service = pick(&route.services, &message.id);
+        let service = pick_service(&route.services, &message.id);
         let Some(service) = self.proxy.services.get(service) else {
-            return Err(Refusal::later(Kind::NoRoom, "the service has no backends yet", NOT_READY));
+            return Err(Refusal::with_retry_after(
+                Kind::NoRoom,
+                "the service has no backends yet",
+                NOT_READY_RETRY_AFTER,
+            ));
         };
         let priority = tenant.as_ref().and_then(|t| t.priority).unwrap_or(route.priority);
         let class = service.class(&route, priority);
-        let left = until.saturating_duration_since(Instant::now());
-        let patience = left.as_secs_f64() * 1000.0;
+        let remaining = until.saturating_duration_since(Instant::now());
+        let patience = remaining.as_secs_f64() * 1000.0;
         let customer = tenant.as_ref().map_or("", |t| t.name.as_str()).into();
         let (id, reply) = service.engine.open(
             |id| Arrival {
@@ -421,37 +444,42 @@
             message,
             until,
         );
-        let waiting = Waiting { engine: &service.engine, id };
-        let reply = timeout_at(until + BACKSTOP, reply).await;
-        drop(waiting);
+        let reply_wait = ReplyWait { engine: &service.engine, id };
+        let reply = timeout_at(until + REPLY_GRACE, reply).await;
+        drop(reply_wait);
         match reply {
             Ok(Ok(Reply::Served(answer))) => {
                 let mut response = Response::new(Full::new(answer.body));
                 *response.status_mut() = answer.status;
-                *response.headers_mut() = kept(answer.headers);
+                *response.headers_mut() = response_headers(answer.headers);
                 Ok(response)
             }
-            Ok(Ok(Reply::Refused(wait))) => Err(Refusal::later(Kind::NoRoom, "no backend has room", wait)),
+            Ok(Ok(Reply::Refused(wait))) => {
+                Err(Refusal::with_retry_after(Kind::NoRoom, "no backend has room", wait))
+            }
             Ok(Ok(Reply::Failed(false)) | Err(_)) => Err(Refusal::new(Kind::BadAnswer, "no usable answer")),
             Ok(Ok(Reply::Failed(true))) | Err(_) => Err(Refusal::new(Kind::NoAnswer, "no answer in time")),
         }
     }
 
-    /// Where a request may go: the regions that its route and its tenant both allow.
-    fn bound(&self, route: &Route, tenant: Option<&Tenant>, bytes: usize) -> Result<Arc<RequestBound>, ()> {
-        let held = self.proxy.held.borrow();
-        let of_tenant = tenant.map_or(&[][..], |t| &t.regions);
-        let regions: Vec<&String> = match (route.regions.as_slice(), of_tenant) {
+    /// The limits of a request's attempts: their number, and the regions that both its route and its tenant
+    /// allow.
+    fn constraints(
+        &self, route: &Route, tenant: Option<&Tenant>, bytes: usize,
+    ) -> Result<Arc<RequestBound>, ()> {
+        let state = self.proxy.routing_state.borrow();
+        let tenant_regions = tenant.map_or(&[][..], |t| &t.regions);
+        let regions: Vec<&String> = match (route.regions.as_slice(), tenant_regions) {
             ([], regions) | (regions, []) => regions.iter().collect(),
-            (one, other) => {
-                let both: Vec<_> = one.iter().filter(|r| other.contains(r)).collect();
+            (by_route, by_tenant) => {
+                let both: Vec<_> = by_route.iter().filter(|r| by_tenant.contains(r)).collect();
                 if both.is_empty() {
                     return Err(());
                 }
                 both
             }
         };
-        let cells = regions.into_iter().map(|region| held.region_index(region)).collect();
+        let cells = regions.into_iter().map(|region| state.region_index(region)).collect();
         Ok(Arc::new(RequestBound {
             cells,
             most_attempts: route.attempts,
@@ -460,65 +488,66 @@
     }
 }
 
-/// A service by weight; the same for the same request, so that nothing depends on which proxy it came to.
-fn pick<'a>(services: &'a [(String, f64)], id: &HeaderValue) -> &'a str {
+/// Picks a service by weight. A request id always picks the same one, so the choice does not depend on the
+/// proxy.
+fn pick_service<'a>(services: &'a [(String, f64)], id: &HeaderValue) -> &'a str {
     let sum: f64 = services.iter().map(|(_, weight)| weight).sum();
     let draw = (fennelscale_messages::hash(id.as_bytes()) >> 11) as f64 / (1_u64 << 53) as f64;
-    let mut left = draw * sum;
+    let mut remaining = draw * sum;
     for (service, weight) in services.iter().filter(|(_, weight)| *weight > 0.0) {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return service;
         }
     }
     services.last().map_or("", |(service, _)| service)
 }
 
-/// The headers of a backend's answer that are the client's.
-fn kept(mut headers: HeaderMap) -> HeaderMap {
+/// The headers of a backend's answer that are forwarded_headers to the client.
+fn response_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in [CONNECTION, KEEP_ALIVE, TRANSFER_ENCODING, CONTENT_LENGTH, TRAILER, UPGRADE] {
         headers.remove(name);
     }
     headers
 }
 
-/// A request on its way, as the trail has it. Dropped before its answer, as when its connection closes, it tells that the client
-/// has left.
-struct Open<'a> {
+/// Keeps the trace of a request in progress. If it is dropped before the answer, as when the connection
+/// closes, it records that the client disconnected.
+struct TraceGuard<'a> {
     proxy: &'a Proxy,
     id: u64,
-    ended: bool,
+    finished: bool,
 }
 
-impl<'a> Open<'a> {
-    fn new(proxy: &'a Proxy, id: u64, ticket: &Ticket) -> Self {
-        proxy.trail.borrow_mut().begin(proxy.now(), id, ticket.route.clone(), ticket.tenant.clone());
-        Self { proxy, id, ended: false }
+impl<'a> TraceGuard<'a> {
+    fn new(proxy: &'a Proxy, id: u64, accepted: &AcceptedRequest) -> Self {
+        proxy.trace.borrow_mut().begin(proxy.now(), id, accepted.route.clone(), accepted.tenant.clone());
+        Self { proxy, id, finished: false }
     }
 
-    fn end<T>(mut self, status: StatusCode, why: &str, answer: T) -> T {
-        self.ended = true;
-        self.proxy.trail.borrow_mut().end(self.proxy.now(), self.id, status.as_u16(), why);
+    fn finish<T>(mut self, status: StatusCode, why: &str, answer: T) -> T {
+        self.finished = true;
+        self.proxy.trace.borrow_mut().finish(self.proxy.now(), self.id, status.as_u16(), why);
         answer
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for TraceGuard<'_> {
     fn drop(&mut self) {
-        if !self.ended {
-            self.proxy.trail.borrow_mut().end(self.proxy.now(), self.id, 0, "its client left");
+        if !self.finished {
+            self.proxy.trace.borrow_mut().finish(self.proxy.now(), self.id, 0, "its client left");
         }
     }
 }
 
-/// A request whose client waits. Dropped without an answer, as when its connection closes, it tells that the client has
-/// left; after an answer that finds nothing.
-struct Waiting<'a> {
+/// A request whose client waits for the reply. When dropped, it reports to the engine that the client
+/// disconnected, as when the connection closes; after a reply, this has no effect.
+struct ReplyWait<'a> {
     engine: &'a Engine,
     id: RequestId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for ReplyWait<'_> {
     fn drop(&mut self) {
         self.engine.client_left(self.id);
     }
--- a/system/proxy/src/headers.rs
+++ b/system/proxy/src/headers.rs
@@ -1,20 +1,20 @@
-//! Heads of requests: what of them goes on, and what they say of themselves.
+//! Request headers: which of them are forwarded, and the values that the proxy reads.
 
-use crate::backend_protocol::{DEADLINE, EXPECTED, REQUEST_ID, TENANT};
+use crate::backend_protocol::{DEADLINE, EXPECTED_INSTANCE, REQUEST_ID, TENANT};
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, HeaderValue, TE, TRAILER, TRANSFER_ENCODING,
     UPGRADE,
 };
 use std::time::Duration;
 
-/// The key of a client.
-pub const KEY: HeaderName = HeaderName::from_static("x-api-key");
+/// The API key of a client.
+pub const API_KEY: HeaderName = HeaderName::from_static("x-api-key");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const PROXY_AUTHORIZATION: HeaderName = HeaderName::from_static("proxy-authorization");
 
-/// Headers of one connection, those that only this proxy sets, and the key.
-fn stays(name: &HeaderName) -> bool {
+/// Whether a header is not forwarded: hop-by-hop headers, headers that only this proxy sets, and the API key.
+fn is_not_forwarded(name: &HeaderName) -> bool {
     [
         CONNECTION,
         CONTENT_LENGTH,
@@ -26,20 +26,20 @@
         KEEP_ALIVE,
         PROXY_CONNECTION,
         PROXY_AUTHORIZATION,
-        KEY,
+        API_KEY,
         REQUEST_ID,
         DEADLINE,
-        EXPECTED,
+        EXPECTED_INSTANCE,
         TENANT,
     ]
     .contains(name)
 }
 
-/// The headers that go on with a request.
-pub fn passed(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len() + 4);
-    // Headers that the connection's own header names stay too.
-    let named: Vec<String> = headers
+/// The headers that are forwarded with a request.
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + 4);
+    // Headers that the Connection header lists are hop-by-hop too.
+    let hop_by_hop: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
@@ -47,22 +47,23 @@
         .filter(|name| !name.is_empty() && name != "close" && name != "keep-alive")
         .collect();
     for (name, value) in headers {
-        if !stays(name) && !named.iter().any(|n| n == name.as_str()) {
-            passed.append(name, value.clone());
+        if !is_not_forwarded(name) && !hop_by_hop.iter().any(|n| n == name.as_str()) {
+            forwarded.append(name, value.clone());
         }
     }
-    passed
+    forwarded
 }
 
-/// The only value of a header. One given twice may be read differently by others: it is none.
+/// The value of a header that is given exactly once. Other programs may read a repeated header differently,
+/// so it counts as none.
 pub fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     values.next().is_none().then_some(value)
 }
 
-/// How long the client waits, by what it says.
-pub fn patience(headers: &HeaderMap) -> Option<Duration> {
+/// How long the client waits, by its deadline header.
+pub fn client_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = single(headers, &DEADLINE)?.to_str().ok()?;
     let millis = text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse::<u64>().ok())??;
     Some(Duration::from_millis(millis.min(600_000)))
@@ -73,7 +74,7 @@
     use super::*;
 
     #[test]
-    fn what_belongs_to_a_connection_or_to_this_proxy_does_not_go_on() {
+    fn hop_by_hop_headers_and_those_of_the_proxy_are_not_forwarded() {
         let mut headers = HeaderMap::new();
         for (name, value) in [
             ("accept", "a"),
@@ -87,25 +88,25 @@
         ] {
             headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
         }
-        let passed = passed(&headers);
-        let mut names: Vec<&str> = passed.keys().map(HeaderName::as_str).collect();
+        let forwarded = forwarded_headers(&headers);
+        let mut names: Vec<&str> = forwarded.keys().map(HeaderName::as_str).collect();
         names.sort_unstable();
         assert_eq!(names, ["accept", "cookie"]);
     }
 
     #[test]
     fn a_deadline_is_digits_given_once() {
-        let of = |values: &[&'static str]| {
+        let parse = |values: &[&'static str]| {
             let mut headers = HeaderMap::new();
             for value in values {
                 headers.append(DEADLINE, HeaderValue::from_static(value));
             }
-            patience(&headers)
+            client_timeout(&headers)
         };
-        assert_eq!(of(&["3000"]), Some(Duration::from_secs(3)));
-        assert_eq!(of(&["3000", "1"]), None);
-        assert_eq!(of(&["-3"]), None);
-        assert_eq!(of(&["+3"]), None);
-        assert_eq!(of(&[]), None);
+        assert_eq!(parse(&["3000"]), Some(Duration::from_secs(3)));
+        assert_eq!(parse(&["3000", "1"]), None);
+        assert_eq!(parse(&["-3"]), None);
+        assert_eq!(parse(&["+3"]), None);
+        assert_eq!(parse(&[]), None);
     }
 }
--- a/system/proxy/src/lib.rs
+++ b/system/proxy/src/lib.rs
@@ -1,5 +1,6 @@
-//! `fennelscale-proxy`: the proxy (the field's term: reverse proxy, the data plane). Every machine that clients reach runs one. It looks up
-//! the route, checks the key, takes a unit of the tenant's lease, and has the decision module choose a backend.
+//! `fennelscale-proxy`: the reverse proxy, which forms the data plane. Every machine that clients reach runs
+//! one. It looks up the route, checks the API key, takes a unit of the tenant's quota lease, and has the
+//! decision module choose a backend.
 
 mod backend_protocol;
 pub mod cold_owners;
@@ -21,7 +22,7 @@
 use fennelscale_host::start;
 use std::process::ExitCode;
 
-/// The name by which the program speaks of itself.
+/// The name of the program.
 const NAME: &str = "fennelscale-proxy";
 
 /// The proxy. FENNELSCALE_CONFIG names the settings file.
@@ -37,14 +38,15 @@
     metrics_port: Option<u16>,
 }
 
-/// Runs the program by its arguments.
+/// Runs the program with the arguments of the command line.
 pub fn main() -> ExitCode {
     let arguments = <Arguments as gumdrop::Options>::parse_args_default_or_exit();
     let Arguments { check, verbose, metrics_port, .. } = arguments;
     start::run_or_check(NAME, check, verbose, |settings, signals| proxy::run(settings, signals, metrics_port))
 }
 
-/// Runs the program with a settings file and usual arguments, for programs that are several in one.
+/// Runs the program with a settings file and default arguments, for executables that contain several
+/// programs.
 pub fn run_plain() -> ExitCode {
     start::run(NAME, false, |settings, signals| proxy::run(settings, signals, None))
 }
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -1,9 +1,10 @@
-//! The proxy's own figures in the text format of OpenMetrics, at `/metrics` of the port that the command line names.
+//! The metrics of the proxy in the OpenMetrics text format, at `/metrics` of the port given on the command
+//! line.
 //!
-//! Counters are read from where they are counted at the moment of a scrape; nothing is counted here.
+//! A scrape reads the counters from where they are kept; nothing is counted here.
 
 use crate::proxy::Proxy;
-use crate::service_engines::Service;
+use crate::service_engines::ServiceEngine;
 use bytes::Bytes;
 use doorcourse::Outcome;
 use fennelscale_host::call::Asked;
@@ -18,8 +19,8 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::Ordering;
 
-/// Where figures are asked for.
-const PATH: &str = "/metrics";
+/// The path of the metrics.
+const METRICS_PATH: &str = "/metrics";
 /// The media type of OpenMetrics text.
 const OPEN_METRICS: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
@@ -46,7 +47,7 @@
     what: &'static str,
 }
 
-/// All figures of one proxy.
+/// All metrics of one proxy.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -55,7 +56,7 @@
     held: Family<ServiceLabel, Gauge>,
     listing: Gauge,
     members: Gauge,
-    /// How old the core's word is, in ms; -1 before the first.
+    /// Time since a majority of the core confirmed the state, in ms; -1 before the first heartbeat.
     contact_age: Gauge,
     contested: Gauge,
     copies: Family<CopyLabel, Counter>,
@@ -99,24 +100,24 @@
 }
 
 impl Metrics {
-    /// All figures as of now.
+    /// All metrics as of now.
     pub fn render(&self, proxy: &Proxy) -> String {
-        let held = proxy.held.borrow();
-        proxy.services.each(|name, service| self.read_service(name, service));
+        let state = proxy.routing_state.borrow();
+        proxy.services.for_each(|name, service| self.read_service(name, service));
         self.contact_age.set(proxy.contact_age().map_or(-1, |age| age as i64));
-        self.contested.set(held.table.contested() as i64);
+        self.contested.set(state.table.contested() as i64);
         let copies = proxy.copies();
-        let figures = [
-            ("whole", copies.whole),
+        let counts = [
+            ("whole", copies.complete),
             ("entries", copies.entries),
-            ("news", copies.news),
+            ("news", copies.changed),
             ("compared", copies.compared),
         ];
-        for (what, count) in figures {
+        for (what, count) in counts {
             self.copies.get_or_create(&CopyLabel { what }).inner().store(count, Ordering::Relaxed);
         }
-        self.listing.set(i64::try_from(held.backend_list.stamp.0).unwrap_or(i64::MAX));
-        self.members.set(held.proxies.iter().filter(|member| member.ready).count() as i64);
+        self.listing.set(i64::try_from(state.backend_list.stamp.0).unwrap_or(i64::MAX));
+        self.members.set(state.proxies.iter().filter(|member| member.ready).count() as i64);
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
@@ -127,7 +128,7 @@
         }
     }
 
-    fn read_service(&self, name: &str, service: &Service) {
+    fn read_service(&self, name: &str, service: &ServiceEngine) {
         let label = ServiceLabel { service: name.to_owned() };
         let sends = service.figures().sends;
         for (backend_state, count) in
@@ -158,9 +159,9 @@
     }
 }
 
-/// The answer to whoever asks for figures; none for another path.
+/// The answer to a scrape; none for another path.
 pub fn answer(asked: &Asked, text: impl FnOnce() -> String) -> Option<Response<Full<Bytes>>> {
-    if asked.path != PATH {
+    if asked.path != METRICS_PATH {
         return None;
     }
     let mut response = Response::new(Full::from(text()));
--- a/system/proxy/src/peer_sync.rs
+++ b/system/proxy/src/peer_sync.rs
@@ -1,8 +1,9 @@
-//! News from other proxies. One whose session is down asks a few others, compares by digests, and takes what it lacks: cut off
-//! from all registries it still hears of drains and evacuations. Who has a session asks nobody: that costs nothing in calm.
+//! Synchronisation with other proxies. A proxy without a session asks a few others, compares digests and
+//! takes the entries that it lacks, so that it learns of drains and evacuations even when cut off from all
+//! registries. A proxy with a session asks none, so this costs nothing in normal operation.
 //!
-//! What comes so is chosen, as all news is; but it does not make a proxy ready: only a registry vouches that nothing is
-//! missing.
+//! The entries received this way are chosen by a quorum, as all are; but they do not make a proxy ready: only
+//! a registry confirms that nothing is missing.
 
 use crate::proxy::Proxy;
 use fennelscale_host::link::{self, Reader, Writer, split};
@@ -14,33 +15,33 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Without a session others are asked this often, ...
-const ASK: Duration = Duration::from_millis(500);
-/// ... so many at a time.
-const FEW: usize = 2;
-/// They have so long to answer.
-const PATIENCE: Duration = Duration::from_millis(1200);
+/// Interval of requests to other proxies while there is no session.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of proxies asked at a time.
+const PEERS_AT_ONCE: usize = 2;
+/// Time limit of one exchange.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Answers others and asks them, for as long as the program runs.
+/// Answers other proxies and asks them, for as long as the program runs.
 pub fn run(proxy: Rc<Proxy>, listener: TcpListener) {
-    let of = proxy.clone();
-    link::accept(listener, move |stream| answer(of.clone(), stream));
+    let answering = proxy.clone();
+    link::accept(listener, move |stream| answer(answering.clone(), stream));
     spawn(async move {
-        let mut turn = 0;
+        let mut round = 0;
         loop {
-            sleep(ASK).await;
+            sleep(REQUEST_INTERVAL).await;
             if proxy.has_session() || proxy.ended() {
                 continue;
             }
             let others = proxy.others();
-            for n in 0..FEW.min(others.len()) {
-                turn += 1;
-                let (proxy, to) = (proxy.clone(), others[(turn + n) % others.len()]);
+            for n in 0..PEERS_AT_ONCE.min(others.len()) {
+                round += 1;
+                let (proxy, to) = (proxy.clone(), others[(round + n) % others.len()]);
                 spawn(async move {
                     let at = proxy.settings.at(to.ip(), Port::Courier);
                     if let Ok(stream) = link::dial(at).await {
-                        // A few others are asked: one that says nothing is passed over.
-                        let _ = timeout(PATIENCE, ask(&proxy, stream)).await;
+                        // Several proxies are asked, so one that does not answer is skipped.
+                        let _ = timeout(PEER_TIMEOUT, ask(&proxy, stream)).await;
                     }
                 });
             }
@@ -50,27 +51,27 @@
 
 async fn ask(proxy: &Proxy, stream: TcpStream) {
     let (mut reader, writer): (Reader, Writer) = split(stream);
-    writer.send(&proxy.have());
+    writer.send(&proxy.digest());
     if let Ok(Beside::News { entries, listing, members: (members, gateways) }) = reader.next().await
         && !proxy.has_session()
     {
         if !entries.is_empty() || listing.is_some() {
             tracing::info!(event = "news-beside", items = entries.len(), listing = listing.is_some());
         }
-        // As in a session: the members first, the list last.
-        proxy.news(Down::Members(members, gateways));
-        proxy.news(Down::Items { whole: false, fresh: false, entries });
+        // In the order of a session: the proxies first, the list of backends last.
+        proxy.receive(Down::Members(members, gateways));
+        proxy.receive(Down::Items { whole: false, fresh: false, entries });
         if let Some(listing) = listing {
-            proxy.news(Down::Listing(listing));
+            proxy.receive(Down::Listing(listing));
         }
     }
 }
 
 async fn answer(proxy: Rc<Proxy>, stream: TcpStream) {
     let (mut reader, writer): (Reader, Writer) = split(stream);
-    if let Ok(Ok(Beside::Have { items, listing })) = timeout(PATIENCE, reader.next()).await {
-        writer.send(&proxy.news_for(&items, listing));
-        // Until it has been read, or nobody reads it.
-        let _ = timeout(PATIENCE, reader.next::<Beside>()).await;
+    if let Ok(Ok(Beside::Have { items, listing })) = timeout(PEER_TIMEOUT, reader.next()).await {
+        writer.send(&proxy.update_for(&items, listing));
+        // Keeps the connection open until the peer has read the answer, at most until the timeout.
+        let _ = timeout(PEER_TIMEOUT, reader.next::<Beside>()).await;
     }
 }
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -1,11 +1,12 @@
-//! The proxy's host: joins news, lease cache, services and clients.
+//! The proxy process: connects the routing state, the lease cache, the service engines, the session and the
+//! clients.
 
-use crate::frontend::Front;
+use crate::frontend::Frontend;
 use crate::metrics::{self, Metrics};
 use crate::peer_sync;
-use crate::request_trace::Trail;
+use crate::request_trace::RequestTrace;
 use crate::routing_state::{ProxyLocation, RoutingState, UPDATE_INTERVAL};
-use crate::service_engines::Services;
+use crate::service_engines::ServiceEngines;
 use crate::session;
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::Tenant;
@@ -27,67 +28,68 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-/// Time passes for the lease cache this often.
-const TICK: Duration = Duration::from_millis(40);
-/// Sends that are out of the ordinary are logged this often, while there are any.
-const REPORT: Duration = Duration::from_secs(1);
-/// What was counted of failure orders is told this often, in ms.
-const TELL: f64 = 1000.0;
-/// Descriptors for all but clients and backends: sessions, readiness, logs.
-const OTHERS: usize = 280;
+/// Interval at which the lease cache advances its time.
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval at which unusual sends are logged, while there are any.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which the counts of failure orders are sent to the registry, in ms.
+const COUNT_INTERVAL: f64 = 1000.0;
+/// File descriptors reserved for everything but clients and backends: sessions, readiness checks, logs.
+const RESERVED_DESCRIPTORS: usize = 280;
 
-/// What was counted of one failure order, as it is told.
-type Count = (String, [u64; 3], [[u64; 3]; 2]);
+/// The counts of one failure order, as they are sent.
+type OrderCount = (String, [u64; 3], [[u64; 3]; 2]);
 
-/// What sessions have brought of items.
+/// Counts of the items that sessions have delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CopyFigures {
-    /// Copies of all items.
-    pub whole: u64,
-    /// Entries that came, and those of them that were news.
+    /// Complete copies of all items.
+    pub complete: u64,
+    /// Entries received.
     pub entries: u64,
-    pub news: u64,
-    /// Times that the registry asked for what is held, part by part.
+    /// Entries received that were newer than the known ones.
+    pub changed: u64,
+    /// Requests of the registry for the digest of the items.
     pub compared: u64,
 }
 
-/// The proxy.
+/// The state of the proxy process.
 pub struct Proxy {
     pub settings: Settings,
     pub host: Host,
-    life: u64,
-    pub held: RefCell<RoutingState>,
-    pub services: Services,
+    incarnation: u64,
+    pub routing_state: RefCell<RoutingState>,
+    pub services: ServiceEngines,
     cache: RefCell<Cache>,
-    /// Which tries come too late for their aim.
+    /// Decides which retries come too late for their target latency.
     pub timely: RefCell<Timely>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
-    next: Cell<u64>,
+    next_request: Cell<u64>,
     session: RefCell<Option<Writer>>,
     registries: RefCell<Vec<RegistryPlace>>,
-    /// When the core's majority last stood behind what this proxy was told, by its own clock.
-    contact: Cell<Option<f64>>,
-    /// What sessions have brought of items.
+    /// When a majority of the core last confirmed the state of this proxy, by the local clock.
+    last_contact: Cell<Option<f64>>,
+    /// Counts of the items that sessions have delivered.
     copies: Cell<CopyFigures>,
-    /// Control addresses by the settings as they were read last.
+    /// Control addresses from the settings as read last.
     seeds: RefCell<Vec<SocketAddr>>,
-    /// Drained nodes where nothing is at work, as the registry was told.
-    quiet: RefCell<Vec<String>>,
+    /// Idle drained nodes, as last sent to the registry.
+    idle_nodes: RefCell<Vec<String>>,
     door: RefCell<Option<Rc<Door>>>,
-    /// Failure orders, and what was told of them.
-    pub desk: RefCell<Desk>,
-    tell_at: Cell<f64>,
+    /// Failure orders and their counts.
+    pub failure_orders: RefCell<Desk>,
+    next_count_at: Cell<f64>,
     leaving: Cell<bool>,
     ended: Cell<bool>,
-    /// What became of the last requests.
-    pub trail: Rc<RefCell<Trail>>,
-    born: Instant,
+    /// The trace of the most recent requests.
+    pub trace: Rc<RefCell<RequestTrace>>,
+    started_at: Instant,
 }
 
-/// Runs the proxy until it is told to end. Its own figures are told at `metrics_port`, if one is given.
+/// Runs the proxy until it is terminated. Serves its metrics at `metrics_port`, if one is given.
 ///
 /// # Errors
-/// When a setting that proxies need is missing or an address cannot be listened at.
+/// If a required setting is missing, or if an address cannot be bound.
 pub async fn run(settings: Settings, mut signals: Signals, metrics_port: Option<u16>) -> miette::Result<()> {
     let missing = |field: &str| {
         miette::miette!(help = "the proxy runs on machines that have it", "settings field {field} is missing")
@@ -97,126 +99,133 @@
     let readiness = settings.listen.readiness.ok_or_else(|| missing("listenAddresses.readiness"))?;
     let clients = start::listen(frontend).await?;
     let readiness = start::listen(readiness).await?;
-    let besides = start::listen(settings.own(Port::Courier)).await?;
+    let peers = start::listen(settings.own(Port::Courier)).await?;
     let scrapes = match metrics_port {
         Some(port) => Some(start::listen(SocketAddr::new(settings.ip, port)).await?),
         None => None,
     };
-    let budget = Budget::divide(settings.limits.descriptors.saturating_sub(OTHERS), 0, 0, 0);
-    let place = ProxyLocation {
+    let budget = Budget::divide(settings.limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS), 0, 0, 0);
+    let location = ProxyLocation {
         host,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         zone_regions: settings.zones.clone(),
         max_list_age: settings.cloud.lag.as_secs_f64() * 1000.0,
     };
-    let life = start::life();
+    let incarnation = start::life();
     let retry = (settings.bounds.retry_ratio, settings.bounds.retry_slack);
-    let (trail, born) = (Rc::<RefCell<Trail>>::default(), Instant::now());
-    let services = Services::new(&settings.zone, budget.backends, retry, life, trail.clone(), born);
+    let (trace, started_at) = (Rc::<RefCell<RequestTrace>>::default(), Instant::now());
+    let services =
+        ServiceEngines::new(&settings.zone, budget.backends, retry, incarnation, trace.clone(), started_at);
     let grace = settings.bounds.grace;
-    let desk = Desk::new(settings.failures.clone(), fennelscale_fault_injection::proxy(host, life));
+    let failure_orders =
+        Desk::new(settings.failures.clone(), fennelscale_fault_injection::proxy(host, incarnation));
     let proxy = Rc::new(Proxy {
         seeds: RefCell::new(settings.seeds.clone()),
         settings,
         host,
-        life,
-        held: RefCell::new(RoutingState::new(place)),
+        incarnation,
+        routing_state: RefCell::new(RoutingState::new(location)),
         services,
-        cache: RefCell::new(Cache::new(0.0, life)),
+        cache: RefCell::new(Cache::new(0.0, incarnation)),
         timely: RefCell::default(),
         waiting: RefCell::default(),
-        next: Cell::new(0),
+        next_request: Cell::new(0),
         session: RefCell::default(),
         registries: RefCell::default(),
-        contact: Cell::default(),
+        last_contact: Cell::default(),
         copies: Cell::default(),
-        quiet: RefCell::default(),
+        idle_nodes: RefCell::default(),
         door: RefCell::default(),
-        desk: RefCell::new(desk),
-        tell_at: Cell::new(0.0),
+        failure_orders: RefCell::new(failure_orders),
+        next_count_at: Cell::new(0.0),
         leaving: Cell::new(false),
         ended: Cell::new(false),
-        trail,
-        born,
+        trace,
+        started_at,
     });
-    spawn(session::keep(proxy.clone()));
-    peer_sync::run(proxy.clone(), besides);
-    let of = proxy.clone();
+    spawn(session::run(proxy.clone()));
+    peer_sync::run(proxy.clone(), peers);
+    let answering = proxy.clone();
     call::listen(readiness, move |asked| {
-        let ready = of.is_ready();
+        let ready = answering.is_ready();
         async move { crate::frontend::readiness(&asked, ready) }
     });
     if let Some(listener) = scrapes {
-        let (of, metrics) = (proxy.clone(), Rc::new(Metrics::default()));
+        let (scraped, metrics) = (proxy.clone(), Rc::new(Metrics::default()));
         call::listen(listener, move |asked| {
-            let answer = metrics::answer(&asked, || metrics.render(&of));
+            let answer = metrics::answer(&asked, || metrics.render(&scraped));
             async move { answer }
         });
     }
     let ticking = proxy.clone();
     spawn(async move {
-        let (mut updated, mut reported) = (Instant::now(), Instant::now());
-        let update = Duration::from_secs_f64(UPDATE_INTERVAL / 1000.0);
+        let (mut updated_at, mut reported_at) = (Instant::now(), Instant::now());
+        let update_interval = Duration::from_secs_f64(UPDATE_INTERVAL / 1000.0);
         loop {
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
             ticking.tick();
-            ticking.keep_hours();
-            ticking.tell_met();
-            if reported.elapsed() >= REPORT {
-                reported = Instant::now();
+            ticking.update_drains();
+            ticking.send_failure_counts();
+            if reported_at.elapsed() >= REPORT_INTERVAL {
+                reported_at = Instant::now();
                 ticking.services.report_unusual_sends();
             }
-            if updated.elapsed() >= update && ticking.held.borrow().needs_update(ticking.now()) {
-                updated = Instant::now();
+            if updated_at.elapsed() >= update_interval
+                && ticking.routing_state.borrow().needs_update(ticking.now())
+            {
+                updated_at = Instant::now();
                 ticking.update();
             }
         }
     });
-    let of = proxy.clone();
+    let reloading = proxy.clone();
     spawn(async move {
         while signals.hangup.recv().await.is_some() {
             if let Some(settings) = start::again() {
                 tracing::info!(event = "settings-read", seeds = settings.seeds.len());
-                *of.seeds.borrow_mut() = settings.seeds;
+                *reloading.seeds.borrow_mut() = settings.seeds;
             }
         }
     });
-    let front = Front::new(proxy.clone(), budget);
+    let frontend = Frontend::new(proxy.clone(), budget);
     let end = async move {
         signals.terminate.recv().await;
     };
-    front.serve(clients, end, grace).await;
-    proxy.hand_back();
+    frontend.serve(clients, end, grace).await;
+    proxy.return_units();
     proxy.ended.set(true);
     sleep(Duration::from_millis(50)).await;
     Ok(())
 }
 
 impl Proxy {
+    /// Milliseconds since the start of the process.
     pub fn now(&self) -> f64 {
-        self.born.elapsed().as_secs_f64() * 1000.0
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
+    /// Whether clients may be sent to this proxy.
     pub fn is_ready(&self) -> bool {
-        let held = self.held.borrow();
-        !self.leaving.get() && held.is_ready() && !held.is_drained()
+        let state = self.routing_state.borrow();
+        !self.leaving.get() && state.is_ready() && !state.is_drained()
     }
 
-    /// Whether clients are to go elsewhere: it ends, or a work order has drained it.
-    pub fn sends_away(&self) -> bool {
-        self.leaving.get() || self.held.borrow().is_drained()
+    /// Whether answers must close their connections so that clients go elsewhere: this proxy is shutting down
+    /// or drained.
+    pub fn must_close_connections(&self) -> bool {
+        self.leaving.get() || self.routing_state.borrow().is_drained()
     }
 
-    /// The front side's door, to see whether clients are connected.
-    pub fn has_door(&self, door: Rc<Door>) {
+    /// Sets the acceptor of client connections, which tells whether clients are connected.
+    pub fn set_door(&self, door: Rc<Door>) {
         *self.door.borrow_mut() = Some(door);
     }
 
-    /// What becomes of a request by failure orders: nearly all are not named.
-    pub fn meet(&self, caller: &Caller<'_>) -> Verdict {
-        let (now, held) = (self.now(), self.held.borrow());
-        let verdict = self.desk.borrow_mut().meet(now, held.true_time(now), caller);
+    /// What failure orders do to a request: they select hardly any.
+    pub fn select_failure(&self, caller: &Caller<'_>) -> Verdict {
+        let (now, state) = (self.now(), self.routing_state.borrow());
+        let verdict = self.failure_orders.borrow_mut().meet(now, state.true_time(now), caller);
         if let Verdict::Met(met) = &verdict {
             let what = met.what.name();
             tracing::info!(event = "failure-injected", order = met.order, what, request = caller.id);
@@ -224,137 +233,140 @@
         verdict
     }
 
-    /// A request that no failure order names has ended.
-    pub fn unnamed(&self, status: u16) {
-        if !self.desk.borrow().is_empty() {
-            self.desk.borrow_mut().ended(self.held.borrow().true_time(self.now()), status);
+    /// Counts a finished request that no failure order selected.
+    pub fn record_unaffected(&self, status: u16) {
+        if !self.failure_orders.borrow().is_empty() {
+            self.failure_orders.borrow_mut().ended(self.routing_state.borrow().true_time(self.now()), status);
         }
     }
 
-    /// Registries hear what was counted of failure orders, now and then.
-    fn tell_met(&self) {
-        if self.desk.borrow().is_empty() || self.now() < self.tell_at.get() {
+    /// Sends the counts of failure orders to the registry at intervals.
+    fn send_failure_counts(&self) {
+        if self.failure_orders.borrow().is_empty() || self.now() < self.next_count_at.get() {
             return;
         }
-        self.tell_at.set(self.now() + TELL);
+        self.next_count_at.set(self.now() + COUNT_INTERVAL);
         let sums = |s: Sums| [s.served, s.refused, s.failed];
-        let counts = self.desk.borrow().counts().into_iter();
-        let counts: Vec<Count> =
+        let counts = self.failure_orders.borrow().counts().into_iter();
+        let counts: Vec<OrderCount> =
             counts.map(|(order, c, o)| (order, [c.named, c.failed, c.over], o.map(sums))).collect();
-        // Also unchanged: another registry may have the session by now.
+        // Sent even if unchanged: the session may be with another registry by now.
         self.send(&Up::Met(counts));
     }
 
-    /// Drained nodes where this proxy has nothing at work.
-    fn quiet(&self) -> Vec<String> {
-        let held = self.held.borrow();
-        if held.drained_nodes().is_empty() {
+    /// Drained nodes on which this proxy has no work in progress.
+    fn idle_nodes(&self) -> Vec<String> {
+        let state = self.routing_state.borrow();
+        if state.drained_nodes().is_empty() {
             return Vec::new();
         }
-        let clients = self.door.borrow().as_ref().is_some_and(|door| !door.is_empty());
-        held.idle_nodes(&self.services.working(), clients)
-    }
-
-    /// Drains begin and end; registries hear where nothing is at work any more.
-    fn keep_hours(&self) {
-        let (was, settled) = {
-            let mut held = self.held.borrow_mut();
-            if held.table.drains.is_empty()
-                && held.drained_nodes().is_empty()
-                && self.quiet.borrow().is_empty()
+        let has_clients = self.door.borrow().as_ref().is_some_and(|door| !door.is_empty());
+        state.idle_nodes(&self.services.working(), has_clients)
+    }
+
+    /// Starts and ends drains by the time, and sends changes of the idle nodes and of the readiness to the
+    /// registry.
+    fn update_drains(&self) {
+        let (was_drained, changed) = {
+            let mut state = self.routing_state.borrow_mut();
+            if state.table.drains.is_empty()
+                && state.drained_nodes().is_empty()
+                && self.idle_nodes.borrow().is_empty()
             {
                 return;
             }
-            (held.is_drained(), held.update_drains(self.now()))
+            (state.is_drained(), state.update_drains(self.now()))
         };
-        if settled {
-            tracing::info!(event = "drains", out = ?self.held.borrow().drained_nodes());
+        if changed {
+            tracing::info!(event = "drains", out = ?self.routing_state.borrow().drained_nodes());
             self.update();
         }
-        let quiet = self.quiet();
-        if *self.quiet.borrow() != quiet {
-            self.quiet.borrow_mut().clone_from(&quiet);
-            self.send(&Up::Quiet(quiet));
+        let idle_nodes = self.idle_nodes();
+        if *self.idle_nodes.borrow() != idle_nodes {
+            self.idle_nodes.borrow_mut().clone_from(&idle_nodes);
+            self.send(&Up::Quiet(idle_nodes));
         }
-        if was != self.held.borrow().is_drained() {
-            self.send(&self.beat());
+        if was_drained != self.routing_state.borrow().is_drained() {
+            self.send(&self.heartbeat());
         }
     }
 
-    /// Clients are to go elsewhere from now on.
+    /// Starts the shutdown: clients are sent elsewhere from now on.
     pub fn leave(&self) {
         self.leaving.set(true);
-        self.send(&self.beat());
+        self.send(&self.heartbeat());
     }
 
+    /// Whether the shutdown is complete.
     pub fn ended(&self) -> bool {
         self.ended.get()
     }
 
-    /// This proxy, as others know it.
+    /// The description of this proxy that others receive.
     pub fn member(&self) -> Member {
         Member {
             host: self.host,
-            life: self.life,
+            life: self.incarnation,
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
             port: self.settings.listen.frontend.map_or(0, |at| at.port()),
             ready: self.is_ready(),
-            quiet: self.quiet.borrow().clone(),
+            quiet: self.idle_nodes.borrow().clone(),
         }
     }
 
-    /// When the core's majority last stood behind what this proxy was told.
-    pub fn contact(&self, contact: Option<f64>) {
-        self.contact.set(contact);
+    /// Sets when a majority of the core last confirmed the state of this proxy.
+    pub fn set_last_contact(&self, contact: Option<f64>) {
+        self.last_contact.set(contact);
     }
 
-    /// How long ago that was, in ms; none before a session's first beat.
+    /// Time in ms since a majority last confirmed the state; none before the first heartbeat of a session.
     pub fn contact_age(&self) -> Option<f64> {
-        self.contact.get().map(|at| self.now() - at)
+        self.last_contact.get().map(|at| self.now() - at)
     }
 
-    /// What sessions have brought of items.
+    /// Counts of the items that sessions have delivered.
     pub fn copies(&self) -> CopyFigures {
         self.copies.get()
     }
 
-    fn count_items(&self, whole: bool, entries: usize, news: usize) {
+    fn count_items(&self, complete: bool, entries: usize, changed: usize) {
         let known = self.copies.get();
         self.copies.set(CopyFigures {
-            whole: known.whole + u64::from(whole),
+            complete: known.complete + u64::from(complete),
             entries: known.entries + entries as u64,
-            news: known.news + news as u64,
+            changed: known.changed + changed as u64,
             ..known
         });
     }
 
-    /// Tells what is held, part by part: the registry found a difference.
-    fn tell_parts(&self) {
+    /// Sends the digest of the items, for which the registry asked because it found a difference.
+    fn send_digest(&self) {
         let known = self.copies.get();
         self.copies.set(CopyFigures { compared: known.compared + 1, ..known });
-        self.send(&Up::Have(self.held.borrow().digest()));
+        self.send(&Up::Have(self.routing_state.borrow().digest()));
     }
 
-    /// The first word of a session: one that holds a copy is sent only what it lacks.
-    pub fn greeting(&self) -> Up {
-        let held = self.held.borrow();
-        if held.items_hash() == 0 {
-            drop(held);
+    /// The first message of a session: a proxy that has a copy of the items is sent only what it lacks.
+    pub fn first_message(&self) -> Up {
+        let state = self.routing_state.borrow();
+        if state.items_hash() == 0 {
+            drop(state);
             return Up::Hello(self.member());
         }
-        let parts = held.digest();
-        drop(held);
-        Up::Resume(self.member(), parts)
+        let digest = state.digest();
+        drop(state);
+        Up::Resume(self.member(), digest)
     }
 
-    pub fn beat(&self) -> Up {
-        let held = self.held.borrow();
-        let (items, listing) = (held.items_hash(), held.backend_list.stamp);
+    /// The heartbeat of a session.
+    pub fn heartbeat(&self) -> Up {
+        let state = self.routing_state.borrow();
+        let (items, listing) = (state.items_hash(), state.backend_list.stamp);
         Up::Beat { ready: self.is_ready(), items, listing, alone: self.cache.borrow().alone(self.now()) }
     }
 
-    fn far(&self, zone: &str, region: &str) -> u8 {
+    fn distance(&self, zone: &str, region: &str) -> u8 {
         if zone == self.settings.zone {
             0
         } else if region == self.settings.region {
@@ -364,25 +376,25 @@
         }
     }
 
-    /// Whether a registry nearer than this one is known, besides those that are not thought of now. One that this one does not hear
-    /// is cut off, or gone: it has nothing newer to tell.
-    pub fn nearer(&self, than: Host, besides: impl Fn(Host) -> bool) -> bool {
+    /// Whether a registry nearer than `current` is known and not `excluded`. A registry that the current one
+    /// cannot reach is cut off or gone, and has nothing newer.
+    pub fn has_nearer_registry(&self, current: Host, excluded: impl Fn(Host) -> bool) -> bool {
         let known = self.registries.borrow();
-        let far = |place: &RegistryPlace| self.far(&place.zone, &place.region);
-        // One that is not on the list may be anywhere.
-        let own = known.iter().find(|place| place.host == than).map_or(3, far);
-        known.iter().any(|place| place.heard && far(place) < own && !besides(place.host))
+        let distance = |place: &RegistryPlace| self.distance(&place.zone, &place.region);
+        // A registry that is not on the list may be anywhere.
+        let current_distance = known.iter().find(|place| place.host == current).map_or(3, distance);
+        known.iter().any(|place| place.heard && distance(place) < current_distance && !excluded(place.host))
     }
 
-    /// Registries to have a session with, the nearest first.
+    /// Candidate registries for a session, the nearest first.
     pub fn registries(&self) -> Vec<Host> {
         let known = self.registries.borrow();
         let mut all: Vec<(u8, u64, Host)> = known
             .iter()
             .map(|place| {
-                let far = self.far(&place.zone, &place.region);
-                // Proxies of a region do not all go to the same one.
-                (far, fennelscale_messages::mix(u64::from(place.host.0) ^ self.life), place.host)
+                let distance = self.distance(&place.zone, &place.region);
+                // Spreads the proxies of a region over its registries.
+                (distance, fennelscale_messages::mix(u64::from(place.host.0) ^ self.incarnation), place.host)
             })
             .collect();
         all.sort_unstable();
@@ -395,14 +407,15 @@
         hosts
     }
 
+    /// Whether there is a session with a registry.
     pub fn has_session(&self) -> bool {
         self.session.borrow().is_some()
     }
 
-    /// Other proxies, those of this region first.
+    /// The other proxies, those of this region first.
     pub fn others(&self) -> Vec<Host> {
-        let held = self.held.borrow();
-        let mut others: Vec<(bool, Host)> = held
+        let state = self.routing_state.borrow();
+        let mut others: Vec<(bool, Host)> = state
             .proxies
             .iter()
             .filter(|m| m.host != self.host)
@@ -412,19 +425,22 @@
         others.into_iter().map(|(_, host)| host).collect()
     }
 
-    pub fn have(&self) -> Beside {
-        let held = self.held.borrow();
-        Beside::Have { items: held.digest(), listing: held.backend_list.stamp }
+    /// The digest that another proxy compares with its own.
+    pub fn digest(&self) -> Beside {
+        let state = self.routing_state.borrow();
+        Beside::Have { items: state.digest(), listing: state.backend_list.stamp }
     }
 
-    pub fn news_for(&self, items: &[u64], listing: (u64, Host)) -> Beside {
-        let held = self.held.borrow();
-        let newer = (held.backend_list.stamp > listing).then(|| held.backend_list.clone());
-        let members = (held.proxies.clone(), held.known_proxy_count());
-        Beside::News { entries: held.entries_in_differing_parts(items), listing: newer, members }
+    /// What another proxy lacks, by its digest and the stamp of its backend list.
+    pub fn update_for(&self, items: &[u64], listing: (u64, Host)) -> Beside {
+        let state = self.routing_state.borrow();
+        let newer = (state.backend_list.stamp > listing).then(|| state.backend_list.clone());
+        let members = (state.proxies.clone(), state.known_proxy_count());
+        Beside::News { entries: state.entries_in_differing_parts(items), listing: newer, members }
     }
 
-    pub fn session(&self, writer: Option<Writer>) {
+    /// Sets or clears the session.
+    pub fn set_session(&self, writer: Option<Writer>) {
         *self.session.borrow_mut() = writer;
     }
 
@@ -434,122 +450,127 @@
         }
     }
 
-    /// News from the registry.
-    pub fn news(&self, word: Down) {
-        match word {
+    /// Handles a message of the registry.
+    pub fn receive(&self, message: Down) {
+        match message {
             Down::Items { whole, fresh, entries } => {
                 let (now, count) = (self.now(), entries.len());
-                let (news, was) = {
-                    let mut held = self.held.borrow_mut();
-                    let was = held.is_ready();
-                    let news = held.merge(now, entries);
-                    held.up_to_date |= fresh;
-                    (news, was)
+                let (changed, was_ready) = {
+                    let mut state = self.routing_state.borrow_mut();
+                    let was_ready = state.is_ready();
+                    let changed = state.merge(now, entries);
+                    state.up_to_date |= fresh;
+                    (changed, was_ready)
                 };
-                self.count_items(whole, count, news.len());
-                if news.iter().any(|name| name.starts_with(FAILURE)) {
-                    self.desk.borrow_mut().set(self.held.borrow().table.failures.values());
+                self.count_items(whole, count, changed.len());
+                if changed.iter().any(|name| name.starts_with(FAILURE)) {
+                    self.failure_orders.borrow_mut().set(self.routing_state.borrow().table.failures.values());
                 }
-                self.drop_limits(&news);
-                if !news.is_empty() {
-                    tracing::debug!(event = "items", whole, news = news.len());
+                self.forget_removed_limits(&changed);
+                if !changed.is_empty() {
+                    tracing::debug!(event = "items", whole, news = changed.len());
                     self.update();
                 }
-                self.tell_ready(was);
+                self.announce_if_ready(was_ready);
             }
             Down::Listing(listing) => {
-                let was = self.held.borrow().is_ready();
+                let was_ready = self.routing_state.borrow().is_ready();
                 let now = self.now();
-                if self.held.borrow_mut().set_backend_list(now, listing) {
+                if self.routing_state.borrow_mut().set_backend_list(now, listing) {
                     self.update();
                 }
-                self.tell_ready(was);
+                self.announce_if_ready(was_ready);
             }
             Down::Members(members, gateways) => {
                 {
-                    let mut held = self.held.borrow_mut();
-                    held.set_proxies(self.now(), members, gateways);
-                    self.cache.borrow_mut().gateways(held.proxy_count);
+                    let mut state = self.routing_state.borrow_mut();
+                    state.set_proxies(self.now(), members, gateways);
+                    self.cache.borrow_mut().gateways(state.proxy_count);
                 }
                 self.update();
             }
             Down::Registries(registries) => *self.registries.borrow_mut() = registries,
             Down::Grant(grant) => {
-                let (mut out, mut told) = (Vec::new(), Vec::new());
-                self.cache.borrow_mut().grant(self.now(), grant, &mut out, &mut told);
-                self.carry_out(out, told);
+                let (mut messages, mut admissions) = (Vec::new(), Vec::new());
+                self.cache.borrow_mut().grant(self.now(), grant, &mut messages, &mut admissions);
+                self.perform(messages, admissions);
             }
             Down::Time(earliest, latest) => {
-                self.held.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
+                self.routing_state.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
             }
             Down::Recall(question, id) => {
-                let known = self.trail.borrow().recall(self.now(), id);
-                self.send(&Up::Recalled(question, known));
+                let record = self.trace.borrow().to_json(self.now(), id);
+                self.send(&Up::Recalled(question, record));
             }
-            Down::Compare => self.tell_parts(),
+            Down::Compare => self.send_digest(),
             Down::Beat { .. } => {}
         }
     }
 
-    /// Limits that were dropped or changed to none.
-    fn drop_limits(&self, news: &[String]) {
-        let mut told = Vec::new();
-        for tenant in news.iter().filter_map(|name| name.strip_prefix("t:")) {
-            let limited = self.held.borrow().table.tenant_named(tenant).is_some_and(|t| t.rate > 0.0);
+    /// Drops the leases of tenants whose limit was removed.
+    fn forget_removed_limits(&self, changed: &[String]) {
+        let mut admissions = Vec::new();
+        for tenant in changed.iter().filter_map(|name| name.strip_prefix("t:")) {
+            let limited =
+                self.routing_state.borrow().table.tenant_named(tenant).is_some_and(|t| t.rate > 0.0);
             if !limited {
-                self.cache.borrow_mut().forget(tenant, &mut told);
+                self.cache.borrow_mut().forget(tenant, &mut admissions);
             }
         }
-        self.carry_out(Vec::new(), told);
+        self.perform(Vec::new(), admissions);
     }
 
-    fn tell_ready(&self, was: bool) {
-        if !was && self.is_ready() {
+    /// Logs and sends that this proxy has become ready, if it has.
+    fn announce_if_ready(&self, was_ready: bool) {
+        if !was_ready && self.is_ready() {
             tracing::info!(event = "ready");
-            self.send(&self.beat());
+            self.send(&self.heartbeat());
         }
     }
 
     fn update(&self) {
-        self.services.tell(self.now(), &mut self.held.borrow_mut());
+        self.services.update(self.now(), &mut self.routing_state.borrow_mut());
     }
 
     fn tick(&self) {
-        let (mut out, mut told) = (Vec::new(), Vec::new());
-        self.cache.borrow_mut().tick(self.now(), &mut out, &mut told);
-        self.carry_out(out, told);
+        let (mut messages, mut admissions) = (Vec::new(), Vec::new());
+        self.cache.borrow_mut().tick(self.now(), &mut messages, &mut admissions);
+        self.perform(messages, admissions);
     }
 
-    fn carry_out(&self, out: Vec<Up>, told: Vec<(u64, Admission)>) {
-        out.iter().for_each(|up| self.send(up));
-        for (request, admission) in told {
+    /// Sends the messages of the lease cache, and passes its admissions to the waiting requests.
+    fn perform(&self, messages: Vec<Up>, admissions: Vec<(u64, Admission)>) {
+        messages.iter().for_each(|message| self.send(message));
+        for (request, admission) in admissions {
             if let Some(answer) = self.waiting.borrow_mut().remove(&request) {
                 let _ = answer.send(admission);
             }
         }
     }
 
-    /// Takes a unit of a tenant's lease, waiting for a block no longer than `wait`. How long the client should stay away
-    /// where there is none. One that is `late` for its aim goes last while units are scarce.
+    /// Takes a unit of a tenant's lease, waiting for a grant no longer than `wait`. Fails with the time in ms
+    /// after which the client should retry. While units are scarce, requests that are too `late` for their
+    /// target latency go last.
     pub async fn admit(&self, tenant: &Tenant, wait: Duration, late: bool) -> Result<(), f64> {
         let terms = Terms { rate: tenant.rate, burst: tenant.burst };
         if terms.rate <= 0.0 {
             return Ok(());
         }
-        let (now, request) = (self.now(), self.next.get());
-        self.next.set(request + 1);
-        let mut out = Vec::new();
+        let (now, request) = (self.now(), self.next_request.get());
+        self.next_request.set(request + 1);
+        let mut messages = Vec::new();
         let until = now + wait.as_secs_f64() * 1000.0;
         let comer = Comer { request, until, late };
-        let admission = self.cache.borrow_mut().admit(now, &tenant.name, terms, comer, &mut out);
+        let admission = self.cache.borrow_mut().admit(now, &tenant.name, terms, comer, &mut messages);
         let receiver = (admission == Admission::Waits).then(|| {
             let (sender, receiver) = oneshot::channel();
             self.waiting.borrow_mut().insert(request, sender);
             receiver
         });
-        self.carry_out(out, Vec::new());
+        self.perform(messages, Vec::new());
         let admission = match receiver {
-            // Dropped with its request when the client leaves; the unit is then lost to this window.
+            // The receiver is dropped with the request when the client disconnects; the unit is then lost for
+            // this window.
             Some(receiver) => receiver.await.unwrap_or(Admission::Refused(0.0)),
             None => admission,
         };
@@ -560,9 +581,10 @@
         }
     }
 
-    fn hand_back(&self) {
-        let mut out = Vec::new();
-        self.cache.borrow_mut().hand_back(self.now(), &mut out);
-        self.carry_out(out, Vec::new());
+    /// Returns the unspent units to the registry.
+    fn return_units(&self) {
+        let mut messages = Vec::new();
+        self.cache.borrow_mut().hand_back(self.now(), &mut messages);
+        self.perform(messages, Vec::new());
     }
 }
--- a/system/proxy/src/request_trace.rs
+++ b/system/proxy/src/request_trace.rs
@@ -1,7 +1,9 @@
-//! What became of the last requests here, for operators that ask why. No I/O and no clock of its own.
+//! A trace of the most recent requests, for operators who ask what happened to one. Performs no I/O and reads
+//! no clock.
 //!
-//! A request is known by the hash of its id. What is told of it: the route and its version, the tenant, each backend that it was
-//! sent to and what that said, and how it ended. The last [`KEPT`] that ended are remembered.
+//! A request is identified by the hash of its id. Its record holds the route and its revision, the tenant,
+//! each backend that it was sent to with that backend's answer, and how it ended. The last [`MAX_FINISHED`]
+//! finished requests are kept.
 
 use doorcourse::Name;
 use fennelscale_config::{Route, Tenant};
@@ -9,108 +11,117 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// Requests that are remembered after their end: some 20 s of a proxy's share on the busiest day that was seen.
-const KEPT: usize = 2048;
-/// Attempts that are told of one request.
-const ATTEMPTS: usize = 8;
+/// Finished requests that are kept: about 20 s of the load of one proxy on the busiest day so far.
+const MAX_FINISHED: usize = 2048;
+/// Maximum number of attempts kept for one request.
+const MAX_ATTEMPTS: usize = 8;
 
 #[derive(Clone, Debug)]
 struct Attempt {
     at: f64,
     backend: Name,
-    /// The answer's status, and what it was taken for.
+    /// The status of the answer, and the verdict on it.
     answer: Option<(u16, &'static str)>,
 }
 
 #[derive(Clone, Debug)]
-struct Course {
-    begun: f64,
+struct RequestRecord {
+    started_at: f64,
     route: Option<Rc<Route>>,
     tenant: Option<Rc<Tenant>>,
     attempts: Vec<Attempt>,
-    /// When and how it ended: the status (0: its client left), and why.
+    /// When and how it ended: the status (0 if the client disconnected), and the reason.
     end: Option<(f64, u16, String)>,
 }
 
-/// The requests that are here and those that were last.
+/// The requests in progress and the last finished ones.
 #[derive(Debug, Default)]
-pub struct Trail {
-    open: HashMap<u64, Course>,
-    past: VecDeque<(u64, Course)>,
+pub struct RequestTrace {
+    active: HashMap<u64, RequestRecord>,
+    finished: VecDeque<(u64, RequestRecord)>,
 }
 
-impl Trail {
-    /// A request was read whole and goes by a route, and by the tenant whose key came with it.
+impl RequestTrace {
+    /// Records a request that was read completely, with its route and the tenant of its API key.
     pub fn begin(&mut self, now: f64, id: u64, route: Rc<Route>, tenant: Option<Rc<Tenant>>) {
-        let course = Course { begun: now, route: Some(route), tenant, attempts: Vec::new(), end: None };
-        self.open.insert(id, course);
+        let record =
+            RequestRecord { started_at: now, route: Some(route), tenant, attempts: Vec::new(), end: None };
+        self.active.insert(id, record);
     }
 
-    /// It goes on to a backend.
-    pub fn attempt(&mut self, now: f64, id: u64, backend: &Name) {
-        if let Some(course) = self.open.get_mut(&id).filter(|course| course.attempts.len() < ATTEMPTS) {
-            course.attempts.push(Attempt { at: now, backend: backend.clone(), answer: None });
+    /// Records that a request is sent to a backend.
+    pub fn record_attempt(&mut self, now: f64, id: u64, backend: &Name) {
+        if let Some(record) = self.active.get_mut(&id).filter(|record| record.attempts.len() < MAX_ATTEMPTS) {
+            record.attempts.push(Attempt { at: now, backend: backend.clone(), answer: None });
         }
     }
 
-    /// A backend has answered; of several under way the one sent last that has no answer yet.
-    pub fn answered(&mut self, id: u64, status: u16, verdict: &'static str) {
-        let Some(course) = self.open.get_mut(&id) else { return };
-        if let Some(attempt) = course.attempts.iter_mut().rev().find(|attempt| attempt.answer.is_none()) {
+    /// Records the answer of a backend, for the latest attempt without one.
+    pub fn record_answer(&mut self, id: u64, status: u16, verdict: &'static str) {
+        let Some(record) = self.active.get_mut(&id) else { return };
+        if let Some(attempt) = record.attempts.iter_mut().rev().find(|attempt| attempt.answer.is_none()) {
             attempt.answer = Some((status, verdict));
         }
     }
 
-    /// It has its final answer, or its client has left.
-    pub fn end(&mut self, now: f64, id: u64, status: u16, why: &str) {
-        if let Some(mut course) = self.open.remove(&id) {
-            course.end = Some((now, status, why.to_owned()));
-            self.keep(id, course);
+    /// Records the final answer of a request, or that its client has disconnected.
+    pub fn finish(&mut self, now: f64, id: u64, status: u16, why: &str) {
+        if let Some(mut record) = self.active.remove(&id) {
+            record.end = Some((now, status, why.to_owned()));
+            self.store(id, record);
         }
     }
 
-    /// It was answered here before anything was decided on it.
-    pub fn refused(&mut self, now: f64, id: u64, status: u16, why: &str) {
+    /// Records a request that was refused before it was passed to the decision module.
+    pub fn record_refusal(&mut self, now: f64, id: u64, status: u16, why: &str) {
         let end = Some((now, status, why.to_owned()));
-        self.keep(id, Course { begun: now, route: None, tenant: None, attempts: Vec::new(), end });
+        self.store(
+            id,
+            RequestRecord { started_at: now, route: None, tenant: None, attempts: Vec::new(), end },
+        );
     }
 
-    fn keep(&mut self, id: u64, course: Course) {
-        self.past.push_back((id, course));
-        if self.past.len() > KEPT {
-            self.past.pop_front();
+    fn store(&mut self, id: u64, record: RequestRecord) {
+        self.finished.push_back((id, record));
+        if self.finished.len() > MAX_FINISHED {
+            self.finished.pop_front();
         }
     }
 
-    /// What is known of a request, as JSON; empty if nothing is.
-    pub fn recall(&self, now: f64, id: u64) -> String {
-        let past = self.past.iter().rev().find(|(known, _)| *known == id).map(|(_, course)| course);
-        let Some(course) = self.open.get(&id).or(past) else { return String::new() };
+    /// The record of a request as JSON; empty if there is none.
+    pub fn to_json(&self, now: f64, id: u64) -> String {
+        let finished = self.finished.iter().rev().find(|(known, _)| *known == id).map(|(_, record)| record);
+        let Some(record) = self.active.get(&id).or(finished) else { return String::new() };
         let quoted = |text: &str| sonic_rs::to_string(text).unwrap_or_else(|_| "\"\"".into());
         let mut text = String::from("{");
-        if let Some(route) = &course.route {
+        if let Some(route) = &record.route {
             let _ =
                 write!(text, "\"route\":{},\"revision\":{},", quoted(&route.name), quoted(&route.revision));
         }
-        if let Some(tenant) = &course.tenant {
+        if let Some(tenant) = &record.tenant {
             let _ = write!(text, "\"tenant\":{},", quoted(&tenant.name));
         }
-        let attempts = course.attempts.iter().map(|attempt| {
-            let answer = attempt
-                .answer
-                .map_or(String::new(), |(status, what)| format!(",\"status\":{status},\"taken\":\"{what}\""));
-            let after = attempt.at - course.begun;
+        let attempts = record.attempts.iter().map(|attempt| {
+            let answer = attempt.answer.map_or(String::new(), |(status, verdict)| {
+                format!(",\"status\":{status},\"taken\":\"{verdict}\"")
+            });
+            let after = attempt.at - record.started_at;
             format!("{{\"backend\":{},\"after\":\"{after:.0}ms\"{answer}}}", quoted(&attempt.backend))
         });
         let attempts: Vec<String> = attempts.collect();
-        let _ = write!(text, "\"ago\":\"{:.0}ms\",\"attempts\":[{}]", now - course.begun, attempts.join(","));
-        match &course.end {
+        let _ = write!(
+            text,
+            "\"ago\":\"{:.0}ms\",\"attempts\":[{}]",
+            now - record.started_at,
+            attempts.join(",")
+        );
+        match &record.end {
             Some((at, status, why)) => {
                 let _ = write!(
                     text,
                     ",\"status\":{status},\"why\":{},\"took\":\"{:.0}ms\"}}",
                     quoted(why),
-                    at - course.begun
+                    at - record.started_at
                 );
             }
             None => text.push_str(",\"why\":\"it is not answered yet\"}"),
@@ -133,40 +144,40 @@
     }
 
     #[test]
-    fn a_request_is_told_from_its_route_to_its_end() {
-        let mut trail = Trail::default();
-        trail.begin(1000.0, 7, route(), None);
-        trail.attempt(1001.0, 7, &"i-1".into());
-        trail.answered(7, 503, "full");
-        trail.attempt(1010.0, 7, &"i-2".into());
-        assert!(trail.recall(1020.0, 7).ends_with("\"why\":\"it is not answered yet\"}"));
-        trail.answered(7, 200, "served");
-        trail.end(1100.0, 7, 200, "served");
-        // A word of a backend that comes after the end changes nothing.
-        trail.answered(7, 500, "error");
+    fn a_record_covers_a_request_from_its_route_to_its_end() {
+        let mut trace = RequestTrace::default();
+        trace.begin(1000.0, 7, route(), None);
+        trace.record_attempt(1001.0, 7, &"i-1".into());
+        trace.record_answer(7, 503, "full");
+        trace.record_attempt(1010.0, 7, &"i-2".into());
+        assert!(trace.to_json(1020.0, 7).ends_with("\"why\":\"it is not answered yet\"}"));
+        trace.record_answer(7, 200, "served");
+        trace.finish(1100.0, 7, 200, "served");
+        // A late answer of a backend does not change a finished record.
+        trace.record_answer(7, 500, "error");
         assert_eq!(
-            trail.recall(2000.0, 7),
+            trace.to_json(2000.0, 7),
             "{\"route\":\"a\",\"revision\":\"0000000c\",\"ago\":\"1000ms\",\"attempts\":[\
              {\"backend\":\"i-1\",\"after\":\"1ms\",\"status\":503,\"taken\":\"full\"},\
              {\"backend\":\"i-2\",\"after\":\"10ms\",\"status\":200,\"taken\":\"served\"}],\
              \"status\":200,\"why\":\"served\",\"took\":\"100ms\"}"
         );
-        assert_eq!(trail.recall(2000.0, 8), "");
+        assert_eq!(trace.to_json(2000.0, 8), "");
     }
 
     #[test]
-    fn what_is_remembered_is_bounded_and_the_newest_stays() {
-        let mut trail = Trail::default();
+    fn the_trace_is_bounded_and_keeps_the_newest_records() {
+        let mut trace = RequestTrace::default();
         for id in 0..10_000 {
-            trail.refused(id as f64, id, 404, "no route");
+            trace.record_refusal(id as f64, id, 404, "no route");
         }
-        assert_eq!((trail.past.len(), trail.open.len()), (KEPT, 0));
-        assert!(trail.recall(0.0, 9_999).contains("no route") && trail.recall(0.0, 1).is_empty());
-        // A request that never ends here is not there: every one has an end, if only that its client left.
-        trail.begin(0.0, 1, route(), None);
-        (0..100).for_each(|n| trail.attempt(f64::from(n), 1, &"i".into()));
-        assert_eq!(trail.open[&1].attempts.len(), ATTEMPTS);
-        trail.end(1.0, 1, 0, "its client left");
-        assert!(trail.open.is_empty());
+        assert_eq!((trace.finished.len(), trace.active.len()), (MAX_FINISHED, 0));
+        assert!(trace.to_json(0.0, 9_999).contains("no route") && trace.to_json(0.0, 1).is_empty());
+        // No record stays active forever: every request ends, if only because its client disconnects.
+        trace.begin(0.0, 1, route(), None);
+        (0..100).for_each(|n| trace.record_attempt(f64::from(n), 1, &"i".into()));
+        assert_eq!(trace.active[&1].attempts.len(), MAX_ATTEMPTS);
+        trace.finish(1.0, 1, 0, "its client left");
+        assert!(trace.active.is_empty());
     }
 }
--- a/system/proxy/src/service_engines.rs
+++ b/system/proxy/src/service_engines.rs
@@ -1,8 +1,9 @@
-//! One engine for each service: the decision module with its backends, told what is known of them.
+//! One engine for for_each service: the decision module with its backends, kept up to date with the routing
+//! state.
 
-use crate::backend_protocol::{Mesh, REQUEST_ID};
+use crate::backend_protocol::{BackendProtocol, REQUEST_ID};
 use crate::decision_input::{self, DEFAULT_CLASS, DecisionInput};
-use crate::request_trace::Trail;
+use crate::request_trace::RequestTrace;
 use crate::routing_state::RoutingState;
 use doorcourse::{Class, Effect, Event, Group, Name, Outcome, Reports, SendCounts};
 use fennelscale_config::{Route, RouteKind};
@@ -17,77 +18,78 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection to a backend comes up within this: there and back between regions, and a lost packet's time.
-const CONNECT: Duration = Duration::from_millis(700);
-/// An answer that has begun is whole within this.
-const ANSWER: Duration = Duration::from_millis(1500);
-/// The largest answer.
-const LARGEST: usize = 16 << 20;
-/// Classes of one engine. Routes differ in few aims; more than this share the last.
-const CLASSES: usize = 256;
-/// The idle time after which backends close, as long as none says otherwise; half of it is used.
-const IDLE: Duration = Duration::from_secs(8);
-
-/// One service.
-pub struct Service {
-    /// Its decisions.
+/// Time limit for a connection to a backend: a round trip between regions, and one lost packet.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time limit for the rest of an answer once it has begun.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum size of an answer.
+const MAX_ANSWER: usize = 16 << 20;
+/// Maximum number of classes of one engine. Routes have few different target latencies; beyond this number
+/// they share the default class.
+const MAX_CLASSES: usize = 256;
+/// Assumed idle time after which backends close connections, unless they state another; half of it is used.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+
+/// The engine of one service.
+pub struct ServiceEngine {
+    /// The decision module with its timers and connections.
     pub engine: Rc<Engine>,
     backends: Rc<Backends>,
     classes: RefCell<HashSet<String>>,
-    seq: Cell<u64>,
+    sequence: Cell<u64>,
     reported: Cell<BackendFigures>,
 }
 
-/// What a service's backends were sent, as far as it is out of the ordinary.
+/// Counts of sends to the backends of a service that are of diagnostic interest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendFigures {
-    /// Requests sent, by what was known of the backend.
+    /// Requests sent, by what was known of the backend at that time.
     pub sends: SendCounts,
-    /// Answers that said that another backend listens at the address (421).
+    /// Answers by which another backend listens at the address (421).
     pub misdirected: u64,
 }
 
-/// All services.
-pub struct Services {
-    all: RefCell<BTreeMap<String, Rc<Service>>>,
+/// The engines of all services.
+pub struct ServiceEngines {
+    all: RefCell<BTreeMap<String, Rc<ServiceEngine>>>,
     zone: Name,
     connections: usize,
     retry: (f64, f64),
     seed: Cell<u64>,
-    trail: Rc<RefCell<Trail>>,
-    born: Instant,
+    trace: Rc<RefCell<RequestTrace>>,
+    started_at: Instant,
 }
 
-impl Services {
-    /// None yet; `connections` to backends may be open at once, over all services.
-    /// What becomes of requests is noted in `trail`, whose clock began at `born`.
+impl ServiceEngines {
+    /// No engines yet. At most `connections` to backends may be open at once over all services. Requests are
+    /// recorded in `trace`, whose clock started at `started_at`.
     pub fn new(
-        zone: &str, connections: usize, retry: (f64, f64), seed: u64, trail: Rc<RefCell<Trail>>,
-        born: Instant,
+        zone: &str, connections: usize, retry: (f64, f64), seed: u64, trace: Rc<RefCell<RequestTrace>>,
+        started_at: Instant,
     ) -> Self {
         let seed = Cell::new(seed);
-        Self { all: RefCell::default(), zone: zone.into(), connections, retry, seed, trail, born }
+        Self { all: RefCell::default(), zone: zone.into(), connections, retry, seed, trace, started_at }
     }
 
-    /// A service, if it is known.
-    pub fn get(&self, name: &str) -> Option<Rc<Service>> {
+    /// The engine of a service, if it is known.
+    pub fn get(&self, name: &str) -> Option<Rc<ServiceEngine>> {
         self.all.borrow().get(name).cloned()
     }
 
-    /// Requests that wait for their answers.
+    /// Number of requests that wait for their answers.
     pub fn waiting(&self) -> usize {
         self.all.borrow().values().map(|service| service.engine.waiting()).sum()
     }
 
-    /// Backends that may have something of this proxy's at work.
+    /// Backends that may be working on requests of this proxy.
     pub fn working(&self) -> BTreeSet<String> {
         let all = self.all.borrow();
         all.values().flat_map(|service| service.backends.working()).map(|name| name.to_string()).collect()
     }
 
-    /// Tells all decisions what is known now, by the proxy's clock.
-    pub fn tell(&self, now: f64, held: &mut RoutingState) {
-        let names: Vec<String> = held.table.services.keys().cloned().collect();
+    /// Brings all engines up to date with the routing state. `now` is the proxy's clock.
+    pub fn update(&self, now: f64, state: &mut RoutingState) {
+        let names: Vec<String> = state.table.services.keys().cloned().collect();
         let parts = names.len().max(1);
         for name in names {
             let known = self.get(&name);
@@ -95,27 +97,28 @@
                 Some(service) => service,
                 None => {
                     let health =
-                        held.table.services.get(&name).map_or("/health".into(), |s| s.health.clone());
+                        state.table.services.get(&name).map_or("/health".into(), |s| s.health.clone());
                     let Some(service) = self.start(health, parts) else { continue };
                     self.all.borrow_mut().insert(name.clone(), service.clone());
                     service
                 }
             };
-            service.tell(now, held, &name, self.retry);
+            service.update(now, state, &name, self.retry);
         }
-        // A service that was dropped has no routes any more; its last requests end with what is known.
+        // A removed service has no routes left; its last requests finish with the last known backends.
         self.all
             .borrow_mut()
-            .retain(|name, service| held.table.services.contains_key(name) || service.engine.waiting() > 0);
+            .retain(|name, service| state.table.services.contains_key(name) || service.engine.waiting() > 0);
     }
 
-    fn start(&self, health: String, parts: usize) -> Option<Rc<Service>> {
+    fn start(&self, health: String, parts: usize) -> Option<Rc<ServiceEngine>> {
         let identity = IdentityRule { header: REQUEST_ID.as_str().to_owned(), required: true };
         let reuse = Reuse::new(&Upstream { identity: Some(identity), ..Upstream::default() });
         let most_open = (self.connections / parts).max(16);
-        let mesh = Mesh { health, trail: self.trail.clone(), born: self.born };
-        let bounds = Bounds { most_open, largest_body: LARGEST, answer: ANSWER };
-        let backends = Backends::new(CONNECT, IDLE, Reports::None, reuse, Rc::new(mesh), bounds);
+        let mesh = BackendProtocol { health, trace: self.trace.clone(), started_at: self.started_at };
+        let bounds = Bounds { most_open, largest_body: MAX_ANSWER, answer: ANSWER_TIMEOUT };
+        let backends =
+            Backends::new(CONNECT_TIMEOUT, IDLE_TIMEOUT, Reports::None, reuse, Rc::new(mesh), bounds);
         let seed = self.seed.get();
         self.seed.set(fennelscale_messages::mix(seed.wrapping_add(1)));
         let counters = None::<fn(Duration, Rc<Report>) -> Rc<dyn Counting>>;
@@ -132,26 +135,26 @@
             }
         };
         spawn(backends.clone().keep_tidy());
-        Some(Rc::new(Service {
+        Some(Rc::new(ServiceEngine {
             engine,
             backends,
             classes: RefCell::default(),
-            seq: Cell::new(0),
+            sequence: Cell::new(0),
             reported: Cell::default(),
         }))
     }
 
-    /// Calls `visit` with each service and its name.
-    pub fn each(&self, mut visit: impl FnMut(&str, &Service)) {
+    /// Calls `visit` with the name and the engine of for_each service.
+    pub fn for_each(&self, mut visit: impl FnMut(&str, &ServiceEngine)) {
         for (name, service) in self.all.borrow().iter() {
             visit(name, service);
         }
     }
 
-    /// Logs what was sent to cold backends, to backends without terms, and to addresses that have changed hands since this was
-    /// called last; nothing where there was none of it.
+    /// Logs how many requests went to cold backends, to backends without terms, and to reassigned addresses
+    /// since the last call; logs nothing if there were none.
     pub fn report_unusual_sends(&self) {
-        self.each(|name, service| {
+        self.for_each(|name, service| {
             let figures = service.figures();
             let before = service.reported.replace(figures);
             let cold = figures.sends.cold - before.sends.cold;
@@ -172,25 +175,27 @@
     }
 }
 
-impl Service {
-    /// What its backends were sent so far.
+impl ServiceEngine {
+    /// The counts since the start.
     pub fn figures(&self) -> BackendFigures {
         BackendFigures { sends: self.engine.sends(), misdirected: self.engine.ended_as(Outcome::Misdirected) }
     }
 
-    fn tell(&self, now: f64, held: &mut RoutingState, name: &str, (ratio, slack): (f64, f64)) {
-        // Each engine has a clock of its own: it began at another moment, and the time of day may have jumped between.
-        let shift = self.engine.now() - now;
-        let known = held.backends(now, name);
+    fn update(&self, now: f64, state: &mut RoutingState, name: &str, (retry_ratio, retry_slack): (f64, f64)) {
+        // Each engine has its own clock: it started at another moment, and the time of day may have jumped in
+        // between.
+        let clock_shift = self.engine.now() - now;
+        let known = state.backends(now, name);
         let DecisionInput { hosts, event } =
-            decision_input::build(&known, held.fleet_parameters(ratio, slack), shift);
-        self.seq.set(self.seq.get() + 1);
-        // Connections first, so that nothing is sent by an older list: what was chosen by one that names others is withdrawn.
-        self.backends.update(&List { seq: self.seq.get(), whole: true, hosts });
+            decision_input::build(&known, state.fleet_parameters(retry_ratio, retry_slack), clock_shift);
+        self.sequence.set(self.sequence.get() + 1);
+        // Connections are updated first, so that nothing is sent by an older list: choices of backends that
+        // are gone are withdrawn.
+        self.backends.update(&List { seq: self.sequence.get(), whole: true, hosts });
         self.engine.post(event);
     }
 
-    /// The class of a route's requests under a priority, made known to the decisions.
+    /// The class of a route's requests of a priority; registers it with the decision module if it is new.
     pub fn class(&self, route: &Route, priority: u32) -> Name {
         let kind = match route.kind {
             RouteKind::Idempotent => 's',
@@ -201,11 +206,11 @@
         if classes.contains(&name) {
             return name.as_str().into();
         }
-        if classes.len() >= CLASSES {
+        if classes.len() >= MAX_CLASSES {
             return DEFAULT_CLASS.into();
         }
         let effect = if kind == 's' { Effect::Safe } else { Effect::Unsafe };
-        // A rank is all that is told; each step halves what a request counts in line.
+        // The configuration gives only a rank; for_each step halves the value of a request in the queue.
         let worth = 0.5_f64.powi(priority.min(16) as i32);
         let class = Class {
             name: name.as_str().into(),
--- a/system/proxy/src/session.rs
+++ b/system/proxy/src/session.rs
@@ -1,4 +1,5 @@
-//! The session with a registry: one at a time, the nearest that answers; news come by it, units are asked for by it.
+//! The session with a registry: one at a time, with the nearest that answers. It brings updates, and quota
+//! units are requested over it.
 
 use crate::proxy::Proxy;
 use crate::registry_choice::RegistryChoice;
@@ -13,145 +14,153 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Between two beats of the session.
-const BEAT: Duration = Duration::from_millis(400);
-/// A registry that says nothing for this long is not there.
-const SILENT: Duration = Duration::from_millis(1500);
-/// After a registry failed the next is tried after this.
-const PAUSE: Duration = Duration::from_millis(60);
+/// Interval of the heartbeats of the session.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// A registry that sends nothing for this long counts as failed.
+const SESSION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Delay before the next registry is tried after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Keeps a session for as long as the program runs.
-pub async fn keep(proxy: Rc<Proxy>) {
+/// Maintains a session for as long as the program runs.
+pub async fn run(proxy: Rc<Proxy>) {
     let mut choice = RegistryChoice::default();
     loop {
         let Some(host) = choice.next_registry(proxy.now(), &proxy.registries()) else {
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
-        let begun = Instant::now();
-        if let Err(why) = hold(&proxy, host, &mut choice).await
-            && why != NEARER
+        let started_at = Instant::now();
+        if let Err(why) = run_session(&proxy, host, &mut choice).await
+            && why != NEARER_REGISTRY
         {
             choice.record_failure(proxy.now(), host);
-            let held_ms = begun.elapsed().as_millis() as u64;
+            let held_ms = started_at.elapsed().as_millis() as u64;
             tracing::info!(event = "session-ended", registry = %host, why, held_ms);
         }
         if proxy.ended() {
             return;
         }
-        if begun.elapsed() < PAUSE {
-            sleep(PAUSE).await;
+        if started_at.elapsed() < RETRY_DELAY {
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Why a session ends that could be with a nearer registry.
-const NEARER: &str = "a nearer registry is there";
+/// The reason of a session that ends in favour of a nearer registry.
+const NEARER_REGISTRY: &str = "a nearer registry is there";
 
-/// What came of a look at other registries.
-struct Look {
-    /// Those that could not be reached, before one could.
+/// The result of a probe of other registries.
+struct ProbeResult {
+    /// The registries that could not be reached, up to the first that could.
     failed: Vec<Host>,
     reached: bool,
 }
 
-/// Looks whether one of these registries can be reached.
-async fn look(proxy: Rc<Proxy>, registries: Vec<Host>) -> Look {
+/// Probes registries in order until one can be reached.
+async fn probe(proxy: Rc<Proxy>, registries: Vec<Host>) -> ProbeResult {
     let mut failed = Vec::new();
     for registry in registries {
         if link::dial(proxy.settings.at(registry.ip(), Port::Sessions)).await.is_ok() {
-            return Look { failed, reached: true };
+            return ProbeResult { failed, reached: true };
         }
         failed.push(registry);
     }
-    Look { failed, reached: false }
+    ProbeResult { failed, reached: false }
 }
 
-/// A look that is under way; none is at most times.
-type Looking = Option<Pin<Box<dyn Future<Output = Look>>>>;
+/// The probe in progress, if any.
+type RunningProbe = Option<Pin<Box<dyn Future<Output = ProbeResult>>>>;
 
-/// The end of a look that is under way.
-async fn looked(looking: &mut Looking) -> Look {
-    match looking {
-        Some(look) => {
-            let seen = look.await;
-            *looking = None;
-            seen
+/// Waits for the result of the probe in progress.
+async fn probe_result(running_probe: &mut RunningProbe) -> ProbeResult {
+    match running_probe {
+        Some(probe) => {
+            let result = probe.await;
+            *running_probe = None;
+            result
         }
         None => pending().await,
     }
 }
 
-/// What a session waits for.
-enum Next {
-    Word(io::Result<Down>),
-    BeatDue,
-    Looked(Look),
+/// The events that a session waits for.
+enum SessionEvent {
+    Message(io::Result<Down>),
+    HeartbeatDue,
+    ProbeDone(ProbeResult),
 }
 
-async fn hold(proxy: &Rc<Proxy>, host: Host, choice: &mut RegistryChoice) -> Result<(), &'static str> {
+async fn run_session(proxy: &Rc<Proxy>, host: Host, choice: &mut RegistryChoice) -> Result<(), &'static str> {
     let to = proxy.settings.at(host.ip(), Port::Sessions);
     let stream = link::dial(to).await.map_err(|_| "no connection")?;
     let (mut reader, writer) = split(stream);
-    writer.send(&proxy.greeting());
-    proxy.session(Some(writer.clone()));
-    let mut beat = Instant::now() + BEAT;
-    let mut heard = Instant::now();
-    let mut looking: Looking = None;
+    writer.send(&proxy.first_message());
+    proxy.set_session(Some(writer.clone()));
+    let mut next_heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
+    let mut last_received = Instant::now();
+    let mut running_probe: RunningProbe = None;
     let end = 'session: loop {
-        // Reading a word takes several steps, and a beat between two of them must not lose the first: it goes on.
+        // Reading a message takes several steps. The same future is polled on after a heartbeat, so that no
+        // partial read is lost.
         let next = reader.next::<Down>();
         tokio::pin!(next);
-        let word = loop {
+        let message = loop {
             let event = tokio::select! {
-                word = &mut next => Next::Word(word),
-                () = sleep_until(beat) => Next::BeatDue,
-                // Beside the words, not between them: news come and beats go while a registry that is not there is dialled.
-                look = looked(&mut looking) => Next::Looked(look),
+                message = &mut next => SessionEvent::Message(message),
+                () = sleep_until(next_heartbeat) => SessionEvent::HeartbeatDue,
+                // Concurrent with messages and heartbeats, so that they go on while an unreachable registry
+                // is dialled.
+                result = probe_result(&mut running_probe) => SessionEvent::ProbeDone(result),
             };
             match event {
-                Next::Word(Ok(word)) => break word,
-                Next::Word(Err(_)) => break 'session "closed",
-                Next::Looked(look) => {
-                    look.failed.into_iter().for_each(|registry| choice.record_failure(proxy.now(), registry));
-                    if look.reached {
+                SessionEvent::Message(Ok(message)) => break message,
+                SessionEvent::Message(Err(_)) => break 'session "closed",
+                SessionEvent::ProbeDone(result) => {
+                    result
+                        .failed
+                        .into_iter()
+                        .for_each(|registry| choice.record_failure(proxy.now(), registry));
+                    if result.reached {
                         break 'session "its registry is out of contact";
                     }
                 }
-                Next::BeatDue => {
-                    beat = Instant::now() + BEAT;
-                    if heard.elapsed() > SILENT {
+                SessionEvent::HeartbeatDue => {
+                    next_heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
+                    if last_received.elapsed() > SESSION_TIMEOUT {
                         break 'session "silent";
                     }
-                    writer.send(&proxy.beat());
-                    if proxy.nearer(host, |other| choice.failed_recently(proxy.now(), other)) {
-                        break 'session NEARER;
+                    writer.send(&proxy.heartbeat());
+                    if proxy.has_nearer_registry(host, |other| choice.failed_recently(proxy.now(), other)) {
+                        break 'session NEARER_REGISTRY;
                     }
                 }
             }
         };
-        heard = Instant::now();
-        if let Down::Beat { contact_age } = word {
+        last_received = Instant::now();
+        if let Down::Beat { contact_age } = message {
             choice.record_heartbeat(proxy.now(), f64::from(contact_age));
-            proxy.contact(choice.last_contact());
-            // It serves until another takes this session: where all are cut off, an old word is better than none.
+            proxy.set_last_contact(choice.last_contact());
+            // The session goes on until another registry is reached: if all are cut off, an old state is
+            // better than none.
             let others = choice.alternatives(proxy.now(), host, &proxy.registries());
-            if !others.is_empty() && looking.is_none() {
-                looking = Some(Box::pin(look(proxy.clone(), others)));
+            if !others.is_empty() && running_probe.is_none() {
+                running_probe = Some(Box::pin(probe(proxy.clone(), others)));
             }
         }
-        // At the first start only seeds are known; the nearest is heard of with the first news.
-        let told = matches!(word, Down::Registries(_));
-        proxy.news(word);
-        if told && proxy.nearer(host, |other| choice.failed_recently(proxy.now(), other)) {
-            break NEARER;
+        // At the first start only the seeds are known; the nearest registry is learned in the session.
+        let registries_changed = matches!(message, Down::Registries(_));
+        proxy.receive(message);
+        if registries_changed
+            && proxy.has_nearer_registry(host, |other| choice.failed_recently(proxy.now(), other))
+        {
+            break NEARER_REGISTRY;
         }
         if proxy.ended() {
             writer.send(&Up::Bye);
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
             break "ended";
         }
     };
-    proxy.session(None);
+    proxy.set_session(None);
     Err(end)
 }
