--- a/system/model-checker/src/mutants.rs
+++ b/system/model-checker/src/mutants.rs
@@ -2,8 +2,8 @@
 
 use crate::scenarios::Scenario;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, CallId, Chunk, Word};
-use fennelscale_replication::{Memory, SEATS, Vows, Writes};
+use fennelscale_messages::store::{CallId, SnapshotChunk, StoreMessage, StoreRequest};
+use fennelscale_replication::{AcceptorState, DiskWrites, MEMBERS_KEY, PersistedState};
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -102,31 +102,33 @@
     }
 
     /// What of a step's writes comes to the disk.
-    pub(crate) fn writes(self, mut writes: Writes) -> Writes {
+    pub(crate) fn writes(self, mut writes: DiskWrites) -> DiskWrites {
         match self {
-            Self::NoSync => Writes::default(),
-            Self::NoVows => Writes { vows: writes.vows.map(|_| Vows::default()), ..writes },
+            Self::NoSync => DiskWrites::default(),
+            Self::NoVows => {
+                DiskWrites { acceptor: writes.acceptor.map(|_| AcceptorState::default()), ..writes }
+            }
             Self::NoPending => {
                 let items = std::mem::take(&mut writes.items).into_iter().map(|(name, mut item)| {
                     item.pending = None;
                     (name, item)
                 });
-                Writes { items: items.collect(), ..writes }
+                DiskWrites { items: items.collect(), ..writes }
             }
             _ => writes,
         }
     }
 
     /// What a disk holds at a start.
-    pub(crate) fn memory(self, mut memory: Memory) -> Memory {
+    pub(crate) fn memory(self, mut memory: PersistedState) -> PersistedState {
         match self {
             Self::ForgetsLastPromise => {
-                if let Some(vows) = &mut memory.vows {
-                    vows.promised = vows.joined;
+                if let Some(acceptor) = &mut memory.acceptor {
+                    acceptor.promised = acceptor.joined;
                 }
             }
             Self::SeatsByWhoIsAlive => {
-                let seats = memory.items.get_mut(SEATS).and_then(|item| item.chosen.as_mut());
+                let seats = memory.items.get_mut(MEMBERS_KEY).and_then(|item| item.chosen.as_mut());
                 if let Some(body) = seats.and_then(|entry| entry.body.as_mut()) {
                     let lines: Vec<&str> = body.lines().collect();
                     *body = lines[..lines.len().min(1)].join("\n");
@@ -138,51 +140,57 @@
     }
 
     /// What a disk that was lost holds.
-    pub(crate) fn wiped(self, memory: &Memory) -> Memory {
+    pub(crate) fn wiped(self, memory: &PersistedState) -> PersistedState {
         if self != Self::AmnesiacVotes {
-            return Memory::default();
+            return PersistedState::default();
+        }
+        let seats = memory.items.get(MEMBERS_KEY).map(|item| (MEMBERS_KEY.to_owned(), item.clone()));
+        PersistedState {
+            acceptor: Some(AcceptorState::default()),
+            items: seats.into_iter().collect(),
+            ..PersistedState::default()
         }
-        let seats = memory.items.get(SEATS).map(|item| (SEATS.to_owned(), item.clone()));
-        Memory { vows: Some(Vows::default()), items: seats.into_iter().collect(), ..Memory::default() }
     }
 
     /// What becomes of a word that arrives, and from whom it seems to come.
-    pub(crate) fn word(self, from: Host, all: &[Host], word: Word) -> Vec<(Host, Word)> {
-        let by_all = |word: &Word| all.iter().map(|host| (*host, word.clone())).collect();
+    pub(crate) fn word(self, from: Host, all: &[Host], word: StoreMessage) -> Vec<(Host, StoreMessage)> {
+        let by_all = |word: &StoreMessage| all.iter().map(|host| (*host, word.clone())).collect();
         let word = match (self, word) {
-            (Self::LearnsFromOne, word @ Word::Learned { .. })
-            | (Self::AcceptedCountsForAll, word @ Word::Accepted(_)) => return by_all(&word),
-            (Self::PromiseWithoutTaken, Word::Promise { epoch, joined, chosen, more, .. }) => {
-                Word::Promise { epoch, joined, chosen, more, pending: Vec::new() }
+            (Self::LearnsFromOne, word @ StoreMessage::RecoveryState { .. })
+            | (Self::AcceptedCountsForAll, word @ StoreMessage::Accepted(_)) => return by_all(&word),
+            (Self::PromiseWithoutTaken, StoreMessage::Promise { term: epoch, joined, chosen, more, .. }) => {
+                StoreMessage::Promise { term: epoch, joined, chosen, more, pending: Vec::new() }
             }
-            (Self::PromiseWithoutChosen, Word::Promise { epoch, joined, more, pending, .. }) => {
-                Word::Promise { epoch, joined, chosen: Vec::new(), more, pending }
+            (
+                Self::PromiseWithoutChosen,
+                StoreMessage::Promise { term: epoch, joined, more, pending, .. },
+            ) => StoreMessage::Promise { term: epoch, joined, chosen: Vec::new(), more, pending },
+            (Self::ChosenEarly, word @ StoreMessage::Accept { stamp, .. }) => {
+                return vec![(from, word), (from, StoreMessage::Chosen(stamp))];
             }
-            (Self::ChosenEarly, word @ Word::Accept { stamp, .. }) => {
-                return vec![(from, word), (from, Word::Chosen(stamp))];
-            }
-            (Self::HalfAWrite, Word::Accept { stamp, mut entries, chosen }) => {
+            (Self::HalfAWrite, StoreMessage::Accept { stamp, mut entries, chosen }) => {
                 entries.truncate(entries.len().div_ceil(2));
-                Word::Accept { stamp, entries, chosen }
-            }
-            (Self::EmptyBase, Word::Begin { epoch, digest, lacked, .. }) => {
-                Word::Begin { epoch, entries: Vec::new(), digest, lacked }
+                StoreMessage::Accept { stamp, entries, chosen }
             }
-            (Self::JoinsBehind, Word::Begin { epoch, entries, digest, .. }) => {
-                Word::Begin { epoch, entries, digest, lacked: Some(Vec::new()) }
+            (Self::EmptyBase, StoreMessage::BeginTerm { term: epoch, digest, missing: lacked, .. }) => {
+                StoreMessage::BeginTerm { term: epoch, entries: Vec::new(), digest, missing: lacked }
             }
-            (Self::EmptyChunk, Word::Chunk(chunk)) => {
-                Word::Chunk(Chunk { entries: Vec::new(), next: None, ..chunk })
+            (Self::JoinsBehind, StoreMessage::BeginTerm { term: epoch, entries, digest, .. }) => {
+                StoreMessage::BeginTerm { term: epoch, entries, digest, missing: Some(Vec::new()) }
             }
-            (Self::LessonWithoutChosen, Word::Learned { promised, joined, more, pending, .. }) => {
-                Word::Learned { promised, joined, chosen: Vec::new(), more, pending }
+            (Self::EmptyChunk, StoreMessage::Chunk(chunk)) => {
+                StoreMessage::Chunk(SnapshotChunk { entries: Vec::new(), next: None, ..chunk })
             }
-            (Self::AnswersMixedUp, Word::Passed(id, told)) => {
-                let other = |number| Word::Passed(CallId { number, ..id }, told.clone());
+            (
+                Self::LessonWithoutChosen,
+                StoreMessage::RecoveryState { promised, joined, more, pending, .. },
+            ) => StoreMessage::RecoveryState { promised, joined, chosen: Vec::new(), more, pending },
+            (Self::AnswersMixedUp, StoreMessage::ForwardResponse(id, told)) => {
+                let other = |number| StoreMessage::ForwardResponse(CallId { number, ..id }, told.clone());
                 return (1..=id.number).map(|number| (from, other(number))).collect();
             }
-            (Self::BlindEvacuation, Word::Pass(id, Ask::Evacuate(zone, on, _))) => {
-                Word::Pass(id, Ask::Evacuate(zone, on, None))
+            (Self::BlindEvacuation, StoreMessage::Forward(id, StoreRequest::Evacuate(zone, on, _))) => {
+                StoreMessage::Forward(id, StoreRequest::Evacuate(zone, on, None))
             }
             (_, word) => word,
         };
--- a/system/proxy/src/cold_owners.rs
+++ b/system/proxy/src/cold_owners.rs
@@ -16,7 +16,7 @@
 //! the share of the rate that an owner uses allows for that.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Backend, Member};
+use fennelscale_messages::session::{Backend, ProxyInfo};
 use std::collections::BTreeMap;
 
 /// Time in ms for which a proxy that is no longer listed may still be an owner. Restarted registries know all
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Debug)]
 struct Candidate {
-    member: Member,
+    member: ProxyInfo,
     /// Since when it is not listed, or not ready.
     missing_since: Option<f64>,
 }
@@ -41,7 +41,7 @@
 
 impl ColdOwners {
     /// Takes over a list of all members received now.
-    pub fn set_proxies(&mut self, now: f64, members: &[Member]) {
+    pub fn set_proxies(&mut self, now: f64, members: &[ProxyInfo]) {
         self.first_list_at.get_or_insert(now);
         for candidate in self.candidates.values_mut() {
             candidate.missing_since.get_or_insert(now);
@@ -71,7 +71,7 @@
     fn owner(&self, now: f64, backend: &Backend, region: &str) -> Option<Host> {
         let is_candidate =
             |candidate: &&Candidate| candidate.missing_since.is_none_or(|since| now - since < TAKEOVER_GRACE);
-        let members: Vec<&Member> =
+        let members: Vec<&ProxyInfo> =
             self.candidates.values().filter(is_candidate).map(|candidate| &candidate.member).collect();
         let in_zone = members.iter().filter(|member| member.zone == backend.zone);
         let in_region = members.iter().filter(|member| member.region == region);
--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -6,7 +6,7 @@
 use crate::headers::{API_KEY, client_timeout, forwarded_headers, single};
 use crate::proxy::Proxy;
 use bytes::Bytes;
-use doorcourse::{Arrival, RequestBound, RequestId};
+use doorcourse::{Arrival, RequestConstraints, RequestId};
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::{Route, RouteKind, Tenant};
 use fennelscale_dataplane::back::backends::Message;
@@ -120,7 +120,7 @@
     /// A client side with its share of the file descriptors.
     pub fn new(proxy: Rc<Proxy>, budget: Budget) -> Rc<Self> {
         let mut admission = Admission::neutral();
-        let idle = fennelscale_config::Limits::default().idle;
+        let idle = fennelscale_config::Limits::default().idle_timeout;
         admission.pace.request = Quantity::of(idle);
         admission.pace.head = Quantity::of(idle);
         let door = Door::new(admission, budget);
@@ -340,7 +340,7 @@
                 NOT_READY_RETRY_AFTER,
             ));
         }
-        let max_body = self.proxy.routing_state.borrow().table.limits.body.min(MAX_BODY);
+        let max_body = self.proxy.routing_state.borrow().table.limits.max_body_bytes.min(MAX_BODY);
         if body.size_hint().lower() > max_body as u64 {
             return refuse(Kind::TooLarge, "the body is too large");
         }
@@ -363,9 +363,9 @@
         }
         let timeout = Duration::from_secs_f64(route.timeout / 1000.0);
         let stated = client_timeout(&head.headers);
-        let late = tenant.as_ref().filter(|tenant| tenant.rate > 0.0).and(stated).is_some_and(|stated| {
+        let late = tenant.as_ref().filter(|tenant| tenant.rate_per_s > 0.0).and(stated).is_some_and(|stated| {
             let (now, stated) = (self.proxy.now(), stated.as_secs_f64() * 1000.0);
-            self.proxy.timely.borrow_mut().is_late(now, &route.name, stated, route.aim)
+            self.proxy.timely.borrow_mut().is_late(now, &route.name, stated, route.target_latency)
         });
         let client_timeout = stated.map_or(timeout, |stated| stated.min(timeout));
         let repeatable = route.kind == RouteKind::Idempotent;
@@ -402,7 +402,7 @@
         let started_at = Instant::now();
         let until = started_at + client_timeout.saturating_sub(RESPONSE_MARGIN.min(client_timeout / 4));
         if let Some(tenant) = &tenant {
-            let wait = Duration::from_secs_f64(route.aim * MAX_UNIT_WAIT / 1000.0).min(client_timeout / 4);
+            let wait = Duration::from_secs_f64(route.target_latency * MAX_UNIT_WAIT / 1000.0).min(client_timeout / 4);
             if let Err(wait) = self.proxy.admit(tenant, wait, late).await {
                 return Err(Refusal::with_retry_after(Kind::OverQuota, "the quota is spent", wait));
             }
@@ -410,7 +410,7 @@
         let bound = match self.constraints(&route, tenant.as_deref(), message.body.len()) {
             Ok(bound) => bound,
             Err(()) => {
-                let regions = (&route.regions, tenant.as_ref().map(|t| &t.regions));
+                let regions = (&route.allowed_regions, tenant.as_ref().map(|t| &t.allowed_regions));
                 tracing::debug!(event = "no-region", route = route.name, regions = ?regions);
                 return Err(Refusal::with_retry_after(Kind::NoRoom, "no region may serve this", 1000.0));
             }
@@ -435,11 +435,11 @@
                 plan: PLAN.into(),
                 class,
                 units: 1.0,
-                repeat: false,
-                patience,
-                first: 0,
-                spread: 1,
-                bound: Some(bound),
+                is_retry: false,
+                client_timeout: patience,
+                first_gateway: 0,
+                gateway_count: 1,
+                constraints: Some(bound),
             },
             message,
             until,
@@ -466,10 +466,10 @@
     /// allow.
     fn constraints(
         &self, route: &Route, tenant: Option<&Tenant>, bytes: usize,
-    ) -> Result<Arc<RequestBound>, ()> {
+    ) -> Result<Arc<RequestConstraints>, ()> {
         let state = self.proxy.routing_state.borrow();
-        let tenant_regions = tenant.map_or(&[][..], |t| &t.regions);
-        let regions: Vec<&String> = match (route.regions.as_slice(), tenant_regions) {
+        let tenant_regions = tenant.map_or(&[][..], |t| &t.allowed_regions);
+        let regions: Vec<&String> = match (route.allowed_regions.as_slice(), tenant_regions) {
             ([], regions) | (regions, []) => regions.iter().collect(),
             (by_route, by_tenant) => {
                 let both: Vec<_> = by_route.iter().filter(|r| by_tenant.contains(r)).collect();
@@ -480,9 +480,9 @@
             }
         };
         let cells = regions.into_iter().map(|region| state.region_index(region)).collect();
-        Ok(Arc::new(RequestBound {
+        Ok(Arc::new(RequestConstraints {
             cells,
-            most_attempts: route.attempts,
+            max_attempts: route.max_attempts,
             bytes: bytes.min(u32::MAX as usize) as u32,
         }))
     }
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -105,7 +105,7 @@
         let state = proxy.routing_state.borrow();
         proxy.services.for_each(|name, service| self.read_service(name, service));
         self.contact_age.set(proxy.contact_age().map_or(-1, |age| age as i64));
-        self.contested.set(state.table.contested() as i64);
+        self.contested.set(state.table.contested_claims() as i64);
         let copies = proxy.copies();
         let counts = [
             ("whole", copies.complete),
@@ -132,7 +132,7 @@
         let label = ServiceLabel { service: name.to_owned() };
         let sends = service.figures().sends;
         for (backend_state, count) in
-            [("warm", sends.warm), ("cold", sends.cold), ("without_terms", sends.without_terms)]
+            [("warm", sends.warm), ("cold", sends.cold), ("without_terms", sends.without_parameters)]
         {
             let labels = SendLabels { service: name.to_owned(), backend_state };
             self.sends.get_or_create(&labels).inner().store(count, Ordering::Relaxed);
@@ -149,11 +149,11 @@
     match outcome {
         Outcome::Served => "served",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Rejected => "full",
         Outcome::TimedOut => "timed_out",
         Outcome::ConnectFailed => "connect_failed",
-        Outcome::Broken => "broken",
-        Outcome::CalledOff => "called_off",
+        Outcome::ConnectionLost => "broken",
+        Outcome::Cancelled => "called_off",
         Outcome::NeverSent => "never_sent",
         Outcome::Misdirected => "misdirected",
     }
--- a/system/proxy/src/peer_sync.rs
+++ b/system/proxy/src/peer_sync.rs
@@ -8,7 +8,7 @@
 use crate::proxy::Proxy;
 use fennelscale_host::link::{self, Reader, Writer, split};
 use fennelscale_host::spawn;
-use fennelscale_messages::news::{Beside, Down};
+use fennelscale_messages::session::{ProxyMessage, RegistryToProxy};
 use fennelscale_node_settings::Port;
 use std::rc::Rc;
 use std::time::Duration;
@@ -52,26 +52,26 @@
 async fn ask(proxy: &Proxy, stream: TcpStream) {
     let (mut reader, writer): (Reader, Writer) = split(stream);
     writer.send(&proxy.digest());
-    if let Ok(Beside::News { entries, listing, members: (members, gateways) }) = reader.next().await
+    if let Ok(ProxyMessage::Update { entries, backend_list: listing, proxies: (members, gateways) }) = reader.next().await
         && !proxy.has_session()
     {
         if !entries.is_empty() || listing.is_some() {
             tracing::info!(event = "news-beside", items = entries.len(), listing = listing.is_some());
         }
         // In the order of a session: the proxies first, the list of backends last.
-        proxy.receive(Down::Members(members, gateways));
-        proxy.receive(Down::Items { whole: false, fresh: false, entries });
+        proxy.receive(RegistryToProxy::Proxies(members, gateways));
+        proxy.receive(RegistryToProxy::Items { complete: false, up_to_date: false, entries });
         if let Some(listing) = listing {
-            proxy.receive(Down::Listing(listing));
+            proxy.receive(RegistryToProxy::BackendList(listing));
         }
     }
 }
 
 async fn answer(proxy: Rc<Proxy>, stream: TcpStream) {
     let (mut reader, writer): (Reader, Writer) = split(stream);
-    if let Ok(Ok(Beside::Have { items, listing })) = timeout(PEER_TIMEOUT, reader.next()).await {
+    if let Ok(Ok(ProxyMessage::Digest { items, list_stamp: listing })) = timeout(PEER_TIMEOUT, reader.next()).await {
         writer.send(&proxy.update_for(&items, listing));
         // Keeps the connection open until the peer has read the answer, at most until the timeout.
-        let _ = timeout(PEER_TIMEOUT, reader.next::<Beside>()).await;
+        let _ = timeout(PEER_TIMEOUT, reader.next::<ProxyMessage>()).await;
     }
 }
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -17,7 +17,9 @@
 use fennelscale_host::{call, spawn};
 use fennelscale_maintenance::clock::Span;
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Beside, Down, Member, RegistryPlace, Up};
+use fennelscale_messages::session::{
+    ProxyInfo, ProxyMessage, ProxyToRegistry, RegistryInfo, RegistryToProxy,
+};
 use fennelscale_node_settings::{Port, Settings};
 use fennelscale_quota_lease::{Admission, Cache, Comer, Terms, Timely};
 use std::cell::{Cell, RefCell};
@@ -66,7 +68,7 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next_request: Cell<u64>,
     session: RefCell<Option<Writer>>,
-    registries: RefCell<Vec<RegistryPlace>>,
+    registries: RefCell<Vec<RegistryInfo>>,
     /// When a majority of the core last confirmed the state of this proxy, by the local clock.
     last_contact: Cell<Option<f64>>,
     /// Counts of the items that sessions have delivered.
@@ -94,7 +96,7 @@
     let missing = |field: &str| {
         miette::miette!(help = "the proxy runs on machines that have it", "settings field {field} is missing")
     };
-    let host = Host::of(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
+    let host = Host::from_ip(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
     let frontend = settings.listen.frontend.ok_or_else(|| missing("listenAddresses.frontend"))?;
     let readiness = settings.listen.readiness.ok_or_else(|| missing("listenAddresses.readiness"))?;
     let clients = start::listen(frontend).await?;
@@ -251,7 +253,7 @@
         let counts: Vec<OrderCount> =
             counts.map(|(order, c, o)| (order, [c.named, c.failed, c.over], o.map(sums))).collect();
         // Sent even if unchanged: the session may be with another registry by now.
-        self.send(&Up::Met(counts));
+        self.send(&ProxyToRegistry::FailureCounts(counts));
     }
 
     /// Drained nodes on which this proxy has no work in progress.
@@ -284,7 +286,7 @@
         let idle_nodes = self.idle_nodes();
         if *self.idle_nodes.borrow() != idle_nodes {
             self.idle_nodes.borrow_mut().clone_from(&idle_nodes);
-            self.send(&Up::Quiet(idle_nodes));
+            self.send(&ProxyToRegistry::IdleNodes(idle_nodes));
         }
         if was_drained != self.routing_state.borrow().is_drained() {
             self.send(&self.heartbeat());
@@ -303,15 +305,15 @@
     }
 
     /// The description of this proxy that others receive.
-    pub fn member(&self) -> Member {
-        Member {
+    pub fn member(&self) -> ProxyInfo {
+        ProxyInfo {
             host: self.host,
-            life: self.incarnation,
+            incarnation: self.incarnation,
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
             port: self.settings.listen.frontend.map_or(0, |at| at.port()),
             ready: self.is_ready(),
-            quiet: self.idle_nodes.borrow().clone(),
+            idle_nodes: self.idle_nodes.borrow().clone(),
         }
     }
 
@@ -344,26 +346,29 @@
     fn send_digest(&self) {
         let known = self.copies.get();
         self.copies.set(CopyFigures { compared: known.compared + 1, ..known });
-        self.send(&Up::Have(self.routing_state.borrow().digest()));
+        self.send(&ProxyToRegistry::Digest(self.routing_state.borrow().digest()));
     }
 
     /// The first message of a session: a proxy that has a copy of the items is sent only what it lacks.
-    pub fn first_message(&self) -> Up {
+    pub fn first_message(&self) -> ProxyToRegistry {
         let state = self.routing_state.borrow();
         if state.items_hash() == 0 {
             drop(state);
-            return Up::Hello(self.member());
+            return ProxyToRegistry::Hello(self.member());
         }
         let digest = state.digest();
         drop(state);
-        Up::Resume(self.member(), digest)
+        ProxyToRegistry::Resume(self.member(), digest)
     }
 
     /// The heartbeat of a session.
-    pub fn heartbeat(&self) -> Up {
+    pub fn heartbeat(&self) -> ProxyToRegistry {
         let state = self.routing_state.borrow();
         let (items, listing) = (state.items_hash(), state.backend_list.stamp);
-        Up::Beat { ready: self.is_ready(), items, listing, alone: self.cache.borrow().alone(self.now()) }
+        ProxyToRegistry::Heartbeat { ready: self.is_ready(),
+            items_hash: items,
+            list_stamp: listing,
+            self_granted: self.cache.borrow().alone(self.now()), }
     }
 
     fn distance(&self, zone: &str, region: &str) -> u8 {
@@ -380,10 +385,10 @@
     /// cannot reach is cut off or gone, and has nothing newer.
     pub fn has_nearer_registry(&self, current: Host, excluded: impl Fn(Host) -> bool) -> bool {
         let known = self.registries.borrow();
-        let distance = |place: &RegistryPlace| self.distance(&place.zone, &place.region);
+        let distance = |place: &RegistryInfo| self.distance(&place.zone, &place.region);
         // A registry that is not on the list may be anywhere.
         let current_distance = known.iter().find(|place| place.host == current).map_or(3, distance);
-        known.iter().any(|place| place.heard && distance(place) < current_distance && !excluded(place.host))
+        known.iter().any(|place| place.reachable && distance(place) < current_distance && !excluded(place.host))
     }
 
     /// Candidate registries for a session, the nearest first.
@@ -399,7 +404,7 @@
             .collect();
         all.sort_unstable();
         let mut hosts: Vec<Host> = all.into_iter().map(|(.., host)| host).collect();
-        for seed in self.seeds.borrow().iter().filter_map(|seed| Host::of(seed.ip())) {
+        for seed in self.seeds.borrow().iter().filter_map(|seed| Host::from_ip(seed.ip())) {
             if !hosts.contains(&seed) {
                 hosts.push(seed);
             }
@@ -426,17 +431,19 @@
     }
 
     /// The digest that another proxy compares with its own.
-    pub fn digest(&self) -> Beside {
+    pub fn digest(&self) -> ProxyMessage {
         let state = self.routing_state.borrow();
-        Beside::Have { items: state.digest(), listing: state.backend_list.stamp }
+        ProxyMessage::Digest { items: state.digest(), list_stamp: state.backend_list.stamp }
     }
 
     /// What another proxy lacks, by its digest and the stamp of its backend list.
-    pub fn update_for(&self, items: &[u64], listing: (u64, Host)) -> Beside {
+    pub fn update_for(&self, items: &[u64], listing: (u64, Host)) -> ProxyMessage {
         let state = self.routing_state.borrow();
         let newer = (state.backend_list.stamp > listing).then(|| state.backend_list.clone());
         let members = (state.proxies.clone(), state.known_proxy_count());
-        Beside::News { entries: state.entries_in_differing_parts(items), listing: newer, members }
+        ProxyMessage::Update { entries: state.entries_in_differing_parts(items),
+            backend_list: newer,
+            proxies: members, }
     }
 
     /// Sets or clears the session.
@@ -444,16 +451,16 @@
         *self.session.borrow_mut() = writer;
     }
 
-    fn send(&self, up: &Up) {
+    fn send(&self, up: &ProxyToRegistry) {
         if let Some(session) = self.session.borrow().as_ref() {
             session.send(up);
         }
     }
 
     /// Handles a message of the registry.
-    pub fn receive(&self, message: Down) {
+    pub fn receive(&self, message: RegistryToProxy) {
         match message {
-            Down::Items { whole, fresh, entries } => {
+            RegistryToProxy::Items { complete: whole, up_to_date: fresh, entries } => {
                 let (now, count) = (self.now(), entries.len());
                 let (changed, was_ready) = {
                     let mut state = self.routing_state.borrow_mut();
@@ -464,7 +471,7 @@
                 };
                 self.count_items(whole, count, changed.len());
                 if changed.iter().any(|name| name.starts_with(FAILURE)) {
-                    self.failure_orders.borrow_mut().set(self.routing_state.borrow().table.failures.values());
+                    self.failure_orders.borrow_mut().set(self.routing_state.borrow().table.failure_orders.values());
                 }
                 self.forget_removed_limits(&changed);
                 if !changed.is_empty() {
@@ -473,7 +480,7 @@
                 }
                 self.announce_if_ready(was_ready);
             }
-            Down::Listing(listing) => {
+            RegistryToProxy::BackendList(listing) => {
                 let was_ready = self.routing_state.borrow().is_ready();
                 let now = self.now();
                 if self.routing_state.borrow_mut().set_backend_list(now, listing) {
@@ -481,7 +488,7 @@
                 }
                 self.announce_if_ready(was_ready);
             }
-            Down::Members(members, gateways) => {
+            RegistryToProxy::Proxies(members, gateways) => {
                 {
                     let mut state = self.routing_state.borrow_mut();
                     state.set_proxies(self.now(), members, gateways);
@@ -489,21 +496,21 @@
                 }
                 self.update();
             }
-            Down::Registries(registries) => *self.registries.borrow_mut() = registries,
-            Down::Grant(grant) => {
+            RegistryToProxy::Registries(registries) => *self.registries.borrow_mut() = registries,
+            RegistryToProxy::Grant(grant) => {
                 let (mut messages, mut admissions) = (Vec::new(), Vec::new());
                 self.cache.borrow_mut().grant(self.now(), grant, &mut messages, &mut admissions);
                 self.perform(messages, admissions);
             }
-            Down::Time(earliest, latest) => {
+            RegistryToProxy::Time(earliest, latest) => {
                 self.routing_state.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
             }
-            Down::Recall(question, id) => {
+            RegistryToProxy::LookUpRequest(question, id) => {
                 let record = self.trace.borrow().to_json(self.now(), id);
-                self.send(&Up::Recalled(question, record));
+                self.send(&ProxyToRegistry::RequestRecord(question, record));
             }
-            Down::Compare => self.send_digest(),
-            Down::Beat { .. } => {}
+            RegistryToProxy::RequestDigest => self.send_digest(),
+            RegistryToProxy::Heartbeat { .. } => {}
         }
     }
 
@@ -512,7 +519,7 @@
         let mut admissions = Vec::new();
         for tenant in changed.iter().filter_map(|name| name.strip_prefix("t:")) {
             let limited =
-                self.routing_state.borrow().table.tenant_named(tenant).is_some_and(|t| t.rate > 0.0);
+                self.routing_state.borrow().table.tenant_by_name(tenant).is_some_and(|t| t.rate_per_s > 0.0);
             if !limited {
                 self.cache.borrow_mut().forget(tenant, &mut admissions);
             }
@@ -539,7 +546,7 @@
     }
 
     /// Sends the messages of the lease cache, and passes its admissions to the waiting requests.
-    fn perform(&self, messages: Vec<Up>, admissions: Vec<(u64, Admission)>) {
+    fn perform(&self, messages: Vec<ProxyToRegistry>, admissions: Vec<(u64, Admission)>) {
         messages.iter().for_each(|message| self.send(message));
         for (request, admission) in admissions {
             if let Some(answer) = self.waiting.borrow_mut().remove(&request) {
@@ -552,7 +559,7 @@
     /// after which the client should retry. While units are scarce, requests that are too `late` for their
     /// target latency go last.
     pub async fn admit(&self, tenant: &Tenant, wait: Duration, late: bool) -> Result<(), f64> {
-        let terms = Terms { rate: tenant.rate, burst: tenant.burst };
+        let terms = Terms { rate: tenant.rate_per_s, burst: tenant.burst };
         if terms.rate <= 0.0 {
             return Ok(());
         }
--- a/system/proxy/src/registry_choice.rs
+++ b/system/proxy/src/registry_choice.rs
@@ -13,7 +13,7 @@
 //!   reach no other proxy. Such a registry does not make a proxy ready.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::news::CONTACT_LEASE;
+use fennelscale_messages::session::CONTACT_LEASE;
 use std::collections::BTreeMap;
 
 /// Milliseconds of a monotonic clock.
--- a/system/proxy/src/routing_state.rs
+++ b/system/proxy/src/routing_state.rs
@@ -2,13 +2,13 @@
 //! backends, and the members. Performs no I/O and reads no clock; the caller passes the time.
 
 use crate::cold_owners::ColdOwners;
-use fennelscale_config::{Copied, Table, fact};
+use fennelscale_config::{ItemCopy, RoutingTable, parse_item};
 use fennelscale_maintenance::clock::Span;
 use fennelscale_maintenance::night::Drain;
 use fennelscale_maintenance::order::Node;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::Named;
-use fennelscale_messages::news::{Backend, Listing, Member};
+use fennelscale_messages::session::{Backend, BackendList, ProxyInfo};
+use fennelscale_messages::store::NamedEntry;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Share of a cold backend's rate that its owner uses, so that two proxies that both consider themselves its
@@ -61,7 +61,7 @@
     /// The index of its region among all regions, sorted by name.
     pub region_index: u64,
     /// The terms for the choice of a backend.
-    pub parameters: doorcourse::BackendTerms,
+    pub parameters: doorcourse::BackendParameters,
 }
 
 /// A node that returned to service.
@@ -78,11 +78,11 @@
 #[derive(Debug)]
 pub struct RoutingState {
     location: ProxyLocation,
-    items: Copied,
+    items: ItemCopy,
     /// The routing table built from the items.
-    pub table: Table,
+    pub table: RoutingTable,
     /// The newest list of backends.
-    pub backend_list: Listing,
+    pub backend_list: BackendList,
     /// When the newest list arrived.
     listed_at: f64,
     /// Backends that were listed as draining: a draining backend never accepts requests again.
@@ -94,7 +94,7 @@
     /// True time and the local time at which it was received; drains end by it.
     true_time: Option<(f64, Span)>,
     /// All proxies.
-    pub proxies: Vec<Member>,
+    pub proxies: Vec<ProxyInfo>,
     /// Which proxy sends to each cold backend.
     cold_owners: ColdOwners,
     /// The number of proxies by which shares are divided.
@@ -108,9 +108,9 @@
     pub fn new(location: ProxyLocation) -> Self {
         Self {
             location,
-            items: Copied::default(),
-            table: Table::default(),
-            backend_list: Listing::default(),
+            items: ItemCopy::default(),
+            table: RoutingTable::default(),
+            backend_list: BackendList::default(),
             listed_at: 0.0,
             drained_backends: BTreeSet::new(),
             returned_nodes: BTreeMap::new(),
@@ -126,22 +126,22 @@
 
     /// A checksum over all items.
     pub fn items_hash(&self) -> u64 {
-        self.items.sum()
+        self.items.checksum()
     }
 
     /// Checksums of the items, one for each part of the key space.
     pub fn digest(&self) -> Vec<u64> {
-        self.items.parts().to_vec()
+        self.items.part_checksums().to_vec()
     }
 
     /// The entries of the parts whose checksums differ from those of another copy.
-    pub fn entries_in_differing_parts(&self, theirs: &[u64]) -> Vec<Named> {
-        self.items.differing(theirs)
+    pub fn entries_in_differing_parts(&self, theirs: &[u64]) -> Vec<NamedEntry> {
+        self.items.entries_in_differing_parts(theirs)
     }
 
     /// Sets all proxies and the number by which shares are divided; 0 means unknown and keeps the previous
     /// number.
-    pub fn set_proxies(&mut self, now: f64, proxies: Vec<Member>, count: u32) {
+    pub fn set_proxies(&mut self, now: f64, proxies: Vec<ProxyInfo>, count: u32) {
         self.cold_owners.set_proxies(now, &proxies);
         self.proxies = proxies;
         if count > 0 {
@@ -160,18 +160,18 @@
     }
 
     /// Merges received entries and returns the names of those that were newer than the known ones.
-    pub fn merge(&mut self, now: f64, entries: Vec<Named>) -> Vec<String> {
+    pub fn merge(&mut self, now: f64, entries: Vec<NamedEntry>) -> Vec<String> {
         let mut changed = Vec::new();
         for (name, entry) in entries {
-            if !self.items.take(&name, &entry) {
+            if !self.items.merge(&name, &entry) {
                 continue;
             }
-            let fact = entry.body.as_deref().and_then(|body| fact(&name, &entry.host, body).ok());
+            let fact = entry.body.as_deref().and_then(|body| parse_item(&name, &entry.host, body).ok());
             // A proxy that was ready may learn only of an evacuation's end, having missed its start. One that
             // ended before this process started is of no interest.
             if let Some(zone) = name.strip_prefix("e:")
                 && fact.is_none()
-                && (self.up_to_date || self.table.evacuated.contains(zone))
+                && (self.up_to_date || self.table.evacuated_zones.contains(zone))
             {
                 self.returned_nodes
                     .insert(Node::Zone(zone.to_owned()), Returned { heard_at: now, evacuated: true });
@@ -184,7 +184,7 @@
     }
 
     /// Takes over a received list; returns false if it is not newer than the known one.
-    pub fn set_backend_list(&mut self, now: f64, listing: Listing) -> bool {
+    pub fn set_backend_list(&mut self, now: f64, listing: BackendList) -> bool {
         if listing.stamp <= self.backend_list.stamp {
             return false;
         }
@@ -302,12 +302,13 @@
         let hash_of = |b: &Backend| fennelscale_messages::hash(b.id.as_bytes());
         local.sort_by_key(|b| (hash_of(b), &b.id));
         let proxies = self.proxies.iter().filter(|m| m.ready && m.region == self.location.region);
-        let tie_break = |b: &Backend, m: &Member| fennelscale_messages::mix(hash_of(b) ^ u64::from(m.host.0));
+        let tie_break =
+            |b: &Backend, m: &ProxyInfo| fennelscale_messages::mix(hash_of(b) ^ u64::from(m.host.0));
         let mut own = BTreeMap::new();
         if local.len() >= proxies.clone().count() {
-            let mut assigned_slots: Vec<(u32, &Member)> = proxies.map(|m| (0, m)).collect();
+            let mut assigned_slots: Vec<(u32, &ProxyInfo)> = proxies.map(|m| (0, m)).collect();
             for backend in local {
-                let rank = |(slots, m): &&mut (u32, &Member)| {
+                let rank = |(slots, m): &&mut (u32, &ProxyInfo)| {
                     (*slots, m.zone != backend.zone, tie_break(backend, m))
                 };
                 let Some((slots, member)) = assigned_slots.iter_mut().min_by_key(rank) else { continue };
@@ -338,7 +339,7 @@
     fn accepts_requests(&self, backend: &Backend) -> bool {
         !backend.draining
             && !self.drained_backends.contains(&backend.id)
-            && !self.table.evacuated.contains(&backend.zone)
+            && !self.table.evacuated_zones.contains(&backend.zone)
             && (self.drained_nodes.is_empty()
                 || !self.drained_nodes.contains(&Node::Backend(backend.id.clone()))
                     && !self.drained_nodes.contains(&Node::Zone(backend.zone.clone())))
@@ -389,14 +390,27 @@
         let owns = || self.cold_owners.owns(now, self.location.host, backend, |zone| self.region_of(zone));
         let cold_per_s = if cold_until > now && owns() { cold_rate * COLD_RATE_SHARE } else { 0.0 };
         let slots = f64::from(backend.slots.max(1));
-        let parameters = doorcourse::BackendTerms { slots, sharers, own, way, price, cold_until, cold_per_s };
+        let parameters = doorcourse::BackendParameters {
+            slots,
+            sharers,
+            is_owned: own,
+            round_trip: way,
+            distance_cost: price,
+            cold_until,
+            cold_rate_per_s: cold_per_s,
+        };
         KnownBackend { backend: backend.clone(), ready, region_index: self.region_index(region), parameters }
     }
 
     /// The terms that apply to all backends of a service together; retries are bounded by `retry_ratio` and
     /// `retry_slack`.
-    pub fn fleet_parameters(&self, retry_ratio: f64, retry_slack: f64) -> doorcourse::MeshTerms {
-        doorcourse::MeshTerms { gateways: self.proxy_count, retry_ratio, retry_slack, usual: DEFAULT_LATENCY }
+    pub fn fleet_parameters(&self, retry_ratio: f64, retry_slack: f64) -> doorcourse::FleetParameters {
+        doorcourse::FleetParameters {
+            gateways: self.proxy_count,
+            retry_ratio,
+            retry_slack,
+            typical_latency: DEFAULT_LATENCY,
+        }
     }
 }
 
--- a/system/proxy/src/routing_state/tests.rs
+++ b/system/proxy/src/routing_state/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of drains and evacuations, of what counts as cold after them, and of merging configuration items.
 
 use super::*;
-use fennelscale_messages::depot::{Entry, Stamp};
+use fennelscale_messages::store::{Entry, Stamp};
 
 const WINDOW_END: f64 = 1_800_000_000_000.0;
 
@@ -24,13 +24,13 @@
         cold_ms: 0,
     };
     let backends = vec![backend("x", "a"), backend("y", "a"), backend("z", "b")];
-    state.set_backend_list(0.0, Listing { stamp: (1, Host(2)), backends });
+    state.set_backend_list(0.0, BackendList { stamp: (1, Host(2)), backends });
     state
 }
 
 fn set_drain(state: &mut RoutingState, now: f64, turn: u64, nodes: &str) {
     let body = (!nodes.is_empty()).then(|| format!(r#"{{"nodes":[{nodes}],"ends":{WINDOW_END}}}"#));
-    let stamp = Stamp { turn, ..Stamp::default() };
+    let stamp = Stamp { sequence: turn, ..Stamp::default() };
     state.merge(now, vec![("d:o".into(), Entry { stamp, body, ..Entry::default() })]);
 }
 
@@ -62,7 +62,7 @@
 fn ready_state() -> RoutingState {
     let mut state = new_state();
     let body = r#"{"name":"s","coldStart":"3s","coldPerS":6.7,"revision":"00000001"}"#;
-    let entry = Entry { stamp: Stamp { turn: 1, ..Stamp::default() }, revision: 1, ..Entry::default() };
+    let entry = Entry { stamp: Stamp { sequence: 1, ..Stamp::default() }, revision: 1, ..Entry::default() };
     state.merge(0.0, vec![("s:s".into(), Entry { body: Some(body.into()), ..entry })]);
     state.up_to_date = true;
     state
@@ -70,7 +70,7 @@
 
 fn set_evacuation(state: &mut RoutingState, now: f64, revision: u64, on: bool) {
     let entry = Entry {
-        stamp: Stamp { turn: 1 + revision, ..Stamp::default() },
+        stamp: Stamp { sequence: 1 + revision, ..Stamp::default() },
         revision,
         body: on.then(|| "{}".to_owned()),
         ..Entry::default()
@@ -101,7 +101,7 @@
         // A list that may have been read before the return proves nothing; one that was read later does.
         let mut state = returned_zone(missed_start);
         let listing = state.backend_list.clone();
-        let at = |number| Listing { stamp: (number, Host(2)), ..listing.clone() };
+        let at = |number| BackendList { stamp: (number, Host(2)), ..listing.clone() };
         state.set_backend_list(10_000.0 + lag, at(2));
         assert!(is_cold(&mut state, 10_000.0 + lag));
         state.set_backend_list(10_000.0 + lag + LIST_PROPAGATION, at(3));
@@ -161,7 +161,7 @@
             .map(|key| format!(r#"{{"name":"t{holder}","apiKeys":["k{key}"],"revision":"{turn:08x}"}}"#));
         (format!("t:t{holder}"), body)
     };
-    let stamp = Stamp { turn, ..Stamp::default() };
+    let stamp = Stamp { sequence: turn, ..Stamp::default() };
     (name, Entry { stamp, revision: turn, host: "h".into(), body, ..Entry::default() })
 }
 
--- a/system/proxy/src/service_engines.rs
+++ b/system/proxy/src/service_engines.rs
@@ -5,7 +5,7 @@
 use crate::decision_input::{self, DEFAULT_CLASS, DecisionInput};
 use crate::request_trace::RequestTrace;
 use crate::routing_state::RoutingState;
-use doorcourse::{Class, Effect, Event, Group, Name, Outcome, Reports, SendCounts};
+use doorcourse::{Class, DedupScope, Event, LoadReportSource, Name, Outcome, RetrySafety, SendCounts};
 use fennelscale_config::{Route, RouteKind};
 use fennelscale_dataplane::back::backends::{Backends, Bounds};
 use fennelscale_dataplane::engine::{Counting, Engine, Report};
@@ -97,7 +97,7 @@
                 Some(service) => service,
                 None => {
                     let health =
-                        state.table.services.get(&name).map_or("/health".into(), |s| s.health.clone());
+                        state.table.services.get(&name).map_or("/health".into(), |s| s.health_path.clone());
                     let Some(service) = self.start(health, parts) else { continue };
                     self.all.borrow_mut().insert(name.clone(), service.clone());
                     service
@@ -118,7 +118,7 @@
         let mesh = BackendProtocol { health, trace: self.trace.clone(), started_at: self.started_at };
         let bounds = Bounds { most_open, largest_body: MAX_ANSWER, answer: ANSWER_TIMEOUT };
         let backends =
-            Backends::new(CONNECT_TIMEOUT, IDLE_TIMEOUT, Reports::None, reuse, Rc::new(mesh), bounds);
+            Backends::new(CONNECT_TIMEOUT, IDLE_TIMEOUT, LoadReportSource::None, reuse, Rc::new(mesh), bounds);
         let seed = self.seed.get();
         self.seed.set(fennelscale_messages::mix(seed.wrapping_add(1)));
         let counters = None::<fn(Duration, Rc<Report>) -> Rc<dyn Counting>>;
@@ -158,7 +158,7 @@
             let figures = service.figures();
             let before = service.reported.replace(figures);
             let cold = figures.sends.cold - before.sends.cold;
-            let without_terms = figures.sends.without_terms - before.sends.without_terms;
+            let without_terms = figures.sends.without_parameters - before.sends.without_parameters;
             let misdirected = figures.misdirected - before.misdirected;
             if cold + without_terms + misdirected > 0 {
                 let held = service.engine.held();
@@ -201,7 +201,7 @@
             RouteKind::Idempotent => 's',
             RouteKind::NonIdempotent | RouteKind::Upload => 'u',
         };
-        let name = format!("{kind}{}-{priority}", route.aim);
+        let name = format!("{kind}{}-{priority}", route.target_latency);
         let mut classes = self.classes.borrow_mut();
         if classes.contains(&name) {
             return name.as_str().into();
@@ -209,17 +209,17 @@
         if classes.len() >= MAX_CLASSES {
             return DEFAULT_CLASS.into();
         }
-        let effect = if kind == 's' { Effect::Safe } else { Effect::Unsafe };
+        let effect = if kind == 's' { RetrySafety::Safe } else { RetrySafety::Unsafe };
         // The configuration gives only a rank; for_each step halves the value of a request in the queue.
         let worth = 0.5_f64.powi(priority.min(16) as i32);
         let class = Class {
             name: name.as_str().into(),
-            aim: route.aim,
-            effect,
-            group: Group::All,
-            memory: 0.0,
-            worth,
-            late_worth: 0.5,
+            target_latency: route.target_latency,
+            retry_safety: effect,
+            dedup_scope: DedupScope::All,
+            dedup_window: 0.0,
+            value: worth,
+            late_value_share: 0.5,
         };
         classes.insert(name.clone());
         self.engine.post(Event::Class(class));
--- a/system/proxy/src/session.rs
+++ b/system/proxy/src/session.rs
@@ -5,7 +5,7 @@
 use crate::registry_choice::RegistryChoice;
 use fennelscale_host::link::{self, split};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Down, Up};
+use fennelscale_messages::session::{ProxyToRegistry, RegistryToProxy};
 use fennelscale_node_settings::Port;
 use std::future::pending;
 use std::io;
@@ -85,7 +85,7 @@
 
 /// The events that a session waits for.
 enum SessionEvent {
-    Message(io::Result<Down>),
+    Message(io::Result<RegistryToProxy>),
     HeartbeatDue,
     ProbeDone(ProbeResult),
 }
@@ -102,7 +102,7 @@
     let end = 'session: loop {
         // Reading a message takes several steps. The same future is polled on after a heartbeat, so that no
         // partial read is lost.
-        let next = reader.next::<Down>();
+        let next = reader.next::<RegistryToProxy>();
         tokio::pin!(next);
         let message = loop {
             let event = tokio::select! {
@@ -137,7 +137,7 @@
             }
         };
         last_received = Instant::now();
-        if let Down::Beat { contact_age } = message {
+        if let RegistryToProxy::Heartbeat { contact_age } = message {
             choice.record_heartbeat(proxy.now(), f64::from(contact_age));
             proxy.set_last_contact(choice.last_contact());
             // The session goes on until another registry is reached: if all are cut off, an old state is
@@ -148,7 +148,7 @@
             }
         }
         // At the first start only the seeds are known; the nearest registry is learned in the session.
-        let registries_changed = matches!(message, Down::Registries(_));
+        let registries_changed = matches!(message, RegistryToProxy::Registries(_));
         proxy.receive(message);
         if registries_changed
             && proxy.has_nearer_registry(host, |other| choice.failed_recently(proxy.now(), other))
@@ -156,7 +156,7 @@
             break NEARER_REGISTRY;
         }
         if proxy.ended() {
-            writer.send(&Up::Bye);
+            writer.send(&ProxyToRegistry::EndSession);
             sleep(RETRY_DELAY).await;
             break "ended";
         }
--- a/system/simulation/src/world.rs
+++ b/system/simulation/src/world.rs
@@ -6,11 +6,11 @@
 use crate::core::{Core, Does};
 use crate::proxy::Proxy;
 use crate::{APPLY, CONTACT, Chance, DRAIN, Millis, QUOTA};
-use fennelscale_membership::{Out, Round};
+use fennelscale_membership::{Output, RegistryState};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Change, Told, Word as StoreWord};
-use fennelscale_messages::news::{Backend, Down, Up};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{Backend, ProxyToRegistry, RegistryToProxy};
+use fennelscale_messages::store::{Change, StoreMessage as StoreWord, StoreRequest, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -105,9 +105,9 @@
 
 enum Event {
     Store(usize, StoreWord),
-    Registry(usize, Word),
-    Up(usize, Up),
-    Down(usize, Rc<Down>),
+    Registry(usize, RegistryMessage),
+    Up(usize, ProxyToRegistry),
+    Down(usize, Rc<RegistryToProxy>),
 }
 
 /// An event on its way: to whom, by which lives of both ends it counts.
@@ -121,7 +121,7 @@
 struct Call {
     name: String,
     revision: u64,
-    ask: Ask,
+    ask: StoreRequest,
     /// The core machine that was asked last, its number of the call, and when.
     asked: Option<(usize, u64, Millis)>,
     acknowledged: Option<Millis>,
@@ -131,7 +131,7 @@
 }
 
 /// What a registry is told.
-type Input<'a> = Box<dyn FnOnce(&mut Round, Millis) + 'a>;
+type Input<'a> = Box<dyn FnOnce(&mut RegistryState, Millis) + 'a>;
 
 /// The whole system.
 pub struct World {
@@ -247,7 +247,7 @@
         for change in &changes {
             self.revisions.insert(change.name.clone(), 1);
         }
-        let ask = Ask::Change(changes);
+        let ask = StoreRequest::Change(changes);
         self.calls.push(Call {
             name: "s:s".into(),
             revision: 1,
@@ -269,7 +269,7 @@
         }
         let revision = self.revisions.get(&name).copied().unwrap_or(0) + 1;
         self.revisions.insert(name.clone(), revision);
-        let ask = Ask::Change(vec![route(n, revision)]);
+        let ask = StoreRequest::Change(vec![route(n, revision)]);
         self.calls.push(Call {
             name,
             revision,
@@ -420,13 +420,13 @@
         for n in 0..self.cores.len() {
             for host in &dead {
                 let host = *host;
-                self.registry(n, Box::new(|round, now| round.closed(now, host)));
+                self.registry(n, Box::new(|round, now| round.on_session_closed(now, host)));
             }
         }
     }
 
     fn size<T: bitcode::Encode>(&self, word: &T) -> usize {
-        if self.config.measure { fennelscale_messages::frame(word).len() } else { 0 }
+        if self.config.measure { fennelscale_messages::encode_frame(word).len() } else { 0 }
     }
 
     fn way(&mut self, near: bool) -> Millis {
@@ -474,9 +474,9 @@
         self.registry(n, Box::new(|_, _| {}));
     }
 
-    fn answered(&mut self, n: usize, id: u64, told: &Told) {
+    fn answered(&mut self, n: usize, id: u64, told: &StoreResponse) {
         if self.steps.remove(&(n, id)) {
-            self.registry(n, Box::new(Round::stepped));
+            self.registry(n, Box::new(RegistryState::on_maintenance_answer));
             return;
         }
         let now = self.now;
@@ -486,8 +486,8 @@
             .find(|call| call.asked.is_some_and(|(at, number, _)| (at, number) == (n, id)));
         if let Some(call) = call.filter(|call| call.acknowledged.is_none()) {
             match told {
-                Told::Done => call.acknowledged = Some(now),
-                Told::Unclear => call.asked = None,
+                StoreResponse::Done => call.acknowledged = Some(now),
+                StoreResponse::Unclear => call.asked = None,
                 other => self.broken.push(format!("{} {} was answered {other:?}", call.name, call.revision)),
             }
         }
@@ -498,39 +498,50 @@
         let now = self.now;
         let Some(round) = self.cores[n].round.as_mut() else { return };
         input(round, now);
-        for out in round.outs() {
+        for out in round.take_outputs() {
             match out {
-                Out::Send(to, word) => {
+                Output::SendToRegistry(to, word) => {
                     let bytes = self.size(&word);
                     self.between(n, to, Event::Registry(n, word), 1, bytes);
                 }
-                Out::Down(host, word) => self.down(n, host, word),
-                Out::ReadList => {
+                Output::SendToProxy(host, word) => self.down(n, host, word),
+                Output::ReadBackendList => {
                     let seen = self.listed.iter().rev().find(|(at, _)| *at <= now - LAG);
                     let backends = seen.map_or_else(|| self.backends.clone(), |(_, list)| list.clone());
                     let backends = self.as_read(backends);
-                    self.registry(n, Box::new(|round, now| round.list_read(now, Some(backends))));
+                    self.registry(n, Box::new(|round, now| round.on_list_read(now, Some(backends))));
                 }
-                Out::Note(proxies) => {
-                    let (id, does) = self.cores[n]
-                        .ask(now, Ask::Note(fennelscale_membership::FLEET.to_owned(), proxies.to_string()));
+                Output::StoreProxyCount(proxies) => {
+                    let (id, does) = self.cores[n].ask(
+                        now,
+                        StoreRequest::Note(
+                            fennelscale_membership::PROXY_COUNT_NAME.to_owned(),
+                            proxies.to_string(),
+                        ),
+                    );
                     self.steps.insert((n, id));
                     self.store(n, does);
                 }
-                Out::Close(host) => {
+                Output::CloseSession(host) => {
                     let proxy = self.proxies.iter_mut().find(|p| p.host == host);
                     if let Some(proxy) = proxy.filter(|p| p.session.is_some_and(|(core, _)| core == n)) {
                         proxy.lost(now);
                     }
                 }
                 // Readers, and what is kept for them, are the host's matter.
-                Out::Step(_) | Out::Keep(_) | Out::WantEvents(..) | Out::Events(..) => {}
-                Out::WantRequest(..) | Out::Request(..) | Out::Recalled(..) | Out::Log(..) => {}
+                Output::WriteMaintenanceStep(_)
+                | Output::StoreEvents(_)
+                | Output::ReadEvents(..)
+                | Output::DeliverEvents(..) => {}
+                Output::ReadRequestTrace(..)
+                | Output::DeliverRequestTrace(..)
+                | Output::DeliverProxyTrace(..)
+                | Output::Log(..) => {}
             }
         }
     }
 
-    fn down(&mut self, n: usize, host: Host, word: Rc<Down>) {
+    fn down(&mut self, n: usize, host: Host, word: Rc<RegistryToProxy>) {
         let Some(p) = self.proxies.iter().position(|p| p.host == host) else { return };
         self.bytes[2] += self.size(&*word);
         if self.cut_proxies.contains(&p) || self.proxies[p].session.is_none_or(|(core, _)| core != n) {
@@ -541,7 +552,7 @@
         self.send((n, p, 2), near, Sent { to: p, event: Event::Down(n, word), lives });
     }
 
-    fn up(&mut self, p: usize, ups: Vec<Up>) {
+    fn up(&mut self, p: usize, ups: Vec<ProxyToRegistry>) {
         for up in ups {
             let Some((n, life)) = self.proxies[p].session else { return };
             self.bytes[2] += self.size(&up);
@@ -602,14 +613,14 @@
             Event::Store(from, word) => {
                 if (self.cores[from].lives, self.cores[to].lives) == lives && !self.is_cut(from, to) {
                     let (now, host) = (self.now, self.cores[from].seat.host);
-                    let does = self.cores[to].store(now, |book, now| book.word(now, host, word));
+                    let does = self.cores[to].store(now, |book, now| book.receive(now, host, word));
                     self.store(to, does);
                 }
             }
             Event::Registry(from, word) => {
                 if (self.cores[from].lives, self.cores[to].lives) == lives && !self.is_cut(from, to) {
                     let host = self.cores[from].seat.host;
-                    self.registry(to, Box::new(|round, now| round.word(now, host, word)));
+                    self.registry(to, Box::new(|round, now| round.receive_from_registry(now, host, word)));
                 }
             }
             Event::Up(p, up) => {
@@ -619,7 +630,7 @@
                     && self.proxies[p].session.is_some_and(|(n, _)| n == to)
                 {
                     let host = self.proxies[p].host;
-                    self.registry(to, Box::new(|round, now| round.up(now, host, up)));
+                    self.registry(to, Box::new(|round, now| round.receive_from_proxy(now, host, up)));
                 }
             }
             Event::Down(n, word) => {
@@ -632,7 +643,7 @@
                     let mut ups = Vec::new();
                     self.proxies[to].word(self.now, &word, &mut ups);
                     self.up(to, ups);
-                    if matches!(*word, Down::Beat { .. }) {
+                    if matches!(*word, RegistryToProxy::Heartbeat { .. }) {
                         self.look_elsewhere(to);
                     }
                 }
@@ -701,10 +712,10 @@
         }
         let mut held = 0;
         for round in self.cores.iter().filter_map(|core| core.round.as_ref()) {
-            if held & round.held(now) != 0 {
+            if held & round.held_duties(now) != 0 {
                 self.broken.push("two hold a duty".into());
             }
-            held |= round.held(now);
+            held |= round.held_duties(now);
         }
         self.look_everywhere();
         if now - self.trouble > CONTACT {
@@ -786,7 +797,7 @@
             for n in (0..self.cores.len()).filter(|n| !self.frozen.contains_key(n)).collect::<Vec<_>>() {
                 let does = self.cores[n].store(now, |book, now| book.tick(now));
                 self.store(n, does);
-                self.registry(n, Box::new(Round::tick));
+                self.registry(n, Box::new(RegistryState::tick));
             }
             for p in (0..self.proxies.len()).filter(|p| self.proxies[*p].up).collect::<Vec<_>>() {
                 if self.proxies[p].session.is_none() {
@@ -830,12 +841,13 @@
     /// All duties that are held by a machine that is there.
     pub fn hands(&self) -> u64 {
         let rounds = self.cores.iter().filter_map(|core| core.round.as_ref());
-        rounds.fold(0, |all, round| all | round.held(self.now))
+        rounds.fold(0, |all, round| all | round.held_duties(self.now))
     }
 
     /// The machine that holds a duty.
     pub fn holder(&self, duty: u64) -> Option<usize> {
-        let holds = |core: &Core| core.round.as_ref().is_some_and(|round| round.held(self.now) & duty != 0);
+        let holds =
+            |core: &Core| core.round.as_ref().is_some_and(|round| round.held_duties(self.now) & duty != 0);
         self.cores.iter().position(holds)
     }
 
