--- a/system/proxy/src/backend_protocol.rs
+++ b/system/proxy/src/backend_protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol between proxy and backends on top of HTTP: headers, verdicts on answers, and the health
+//! The protocol between proxy and backends on top of HTTP: headers, verdicts on answers, and the health_path
 //! probe.
 
 use crate::request_trace::RequestTrace;
@@ -15,7 +15,7 @@
 
 /// The id of a request, in the request and in its answer.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("fennelscale-request-id");
-/// How long the client waits.
+/// How long the client waits, in ms.
 pub const DEADLINE: HeaderName = HeaderName::from_static("fennelscale-deadline-ms");
 /// The backend that a request is meant for.
 pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("fennelscale-expected-instance");
@@ -28,8 +28,8 @@
 
 /// The protocol of one service.
 pub struct BackendProtocol {
-    /// The path of the health check.
-    pub health: String,
+    /// The path of the health_path check.
+    pub health_path: String,
     /// The record of what happens to requests.
     pub trace: Rc<RefCell<RequestTrace>>,
     /// Zero of the clock of the trace.
@@ -37,7 +37,9 @@
 }
 
 impl Speech for BackendProtocol {
-    fn request(&self, message: &Message, backend: &Name, dial: SocketAddr, left: Duration) -> Builder {
+    fn request(
+        &self, message: &Message, backend: &Name, address: SocketAddr, remaining: Duration,
+    ) -> Builder {
         let mut builder = Request::builder().method(message.method.clone()).uri(message.target.clone());
         if let Some(headers) = builder.headers_mut() {
             headers.clone_from(&message.headers);
@@ -49,31 +51,31 @@
             backend,
         );
         if !message.headers.contains_key(HOST) {
-            builder = builder.header(HOST, dial.to_string());
+            builder = builder.header(HOST, address.to_string());
         }
         builder
             .header(REQUEST_ID, message.id.clone())
-            .header(DEADLINE, left.as_millis().to_string())
+            .header(DEADLINE, remaining.as_millis().to_string())
             .header(EXPECTED_INSTANCE, &**backend)
     }
 
     fn verdict(&self, head: &response::Parts, repeatable: bool) -> Verdict {
         let verdict = verdict(head, repeatable);
         if let Some(id) = head.headers.get(REQUEST_ID) {
-            let what = match verdict {
+            let outcome = match verdict {
                 Verdict::Elsewhere => "not-it",
                 Verdict::Full => "full",
                 Verdict::Error => "unusable",
                 _ => "served",
             };
             let status = head.status.as_u16();
-            self.trace.borrow_mut().record_answer(fennelscale_messages::hash(id.as_bytes()), status, what);
+            self.trace.borrow_mut().record_answer(fennelscale_messages::hash(id.as_bytes()), status, outcome);
         }
         verdict
     }
 
     fn probe(&self) -> &str {
-        &self.health
+        &self.health_path
     }
 }
 
--- a/system/proxy/src/decision_input.rs
+++ b/system/proxy/src/decision_input.rs
@@ -1,5 +1,5 @@
 //! The input of the decision module: the settings of an engine, and the backends of a service with their
-//! terms. Performs no I/O and reads no clock.
+//! parameters. Performs no I/O and reads no clock.
 
 use crate::routing_state::KnownBackend;
 use doorcourse::{
@@ -60,13 +60,14 @@
 pub struct DecisionInput {
     /// The backends with their addresses. A backend whose address cannot be parsed is left out.
     pub hosts: Vec<Host>,
-    /// The same backends with their terms, as one event: no backend is chosen before its terms are known.
+    /// The same backends with their parameters, as one event: no backend is chosen before its parameters are
+    /// known.
     pub event: Event,
 }
 
 /// Builds the input from all backends of a service. The clock of the decision module is `clock_shift` ms
-/// ahead of the clock of the terms.
-pub fn build(known: &[KnownBackend], terms: FleetParameters, clock_shift: f64) -> DecisionInput {
+/// ahead of the clock of the parameters.
+pub fn build(known: &[KnownBackend], parameters: FleetParameters, clock_shift: f64) -> DecisionInput {
     let mut hosts = Vec::with_capacity(known.len());
     let mut backends = Vec::with_capacity(known.len());
     for known in known {
@@ -76,7 +77,7 @@
         backends.push((entry.clone(), BackendParameters { cold_until, ..known.parameters }));
         hosts.push(Host { entry, dial });
     }
-    DecisionInput { hosts, event: Event::Topology(terms, backends) }
+    DecisionInput { hosts, event: Event::Topology(parameters, backends) }
 }
 
 fn backend_entry(known: &KnownBackend) -> BackendEntry {
--- a/system/proxy/src/failure_injection.rs
+++ b/system/proxy/src/failure_injection.rs
@@ -139,31 +139,31 @@
     fn poll_frame(
         self: Pin<&mut Self>, context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, ConnectionCut>>> {
-        let pieces = match self.get_mut() {
+        let paced = match self.get_mut() {
             Self::Complete(body) => return Pin::new(body).poll_frame(context).map_err(ConnectionCut::from),
-            Self::Altered(pieces) => pieces,
+            Self::Altered(paced) => paced,
         };
-        if let Some(pause) = &mut pieces.pause {
+        if let Some(pause) = &mut paced.pause {
             if pause.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
-            pieces.pause = None;
+            paced.pause = None;
         }
-        match pieces.remaining.pop_front() {
+        match paced.remaining.pop_front() {
             Some(piece) => {
-                if !pieces.remaining.is_empty() && !pieces.gap.is_zero() {
-                    pieces.pause = Some(Box::pin(sleep(pieces.gap)));
+                if !paced.remaining.is_empty() && !paced.gap.is_zero() {
+                    paced.pause = Some(Box::pin(sleep(paced.gap)));
                 }
                 Poll::Ready(Some(Ok(Frame::data(piece))))
             }
-            None => Poll::Ready(pieces.cut.then_some(Err(ConnectionCut))),
+            None => Poll::Ready(paced.cut.then_some(Err(ConnectionCut))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Complete(body) => body.is_end_stream(),
-            Self::Altered(pieces) => pieces.remaining.is_empty() && !pieces.cut,
+            Self::Altered(paced) => paced.remaining.is_empty() && !paced.cut,
         }
     }
 
@@ -171,7 +171,7 @@
         match self {
             Self::Complete(body) => body.size_hint(),
             // The size of the uncut answer, so that the client notices what is missing.
-            Self::Altered(pieces) => SizeHint::with_exact(pieces.size),
+            Self::Altered(paced) => SizeHint::with_exact(paced.size),
         }
     }
 }
--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -69,8 +69,8 @@
 
 /// The answer to a readiness check: whether the platform may send clients to this proxy. None for another
 /// path.
-pub fn readiness(asked: &Asked, ready: bool) -> Option<Response<Full<Bytes>>> {
-    if asked.path != "/fennelscale/readiness" {
+pub fn readiness_response(request: &Asked, ready: bool) -> Option<Response<Full<Bytes>>> {
+    if request.path != "/fennelscale/readiness" {
         return None;
     }
     let mut response = Response::new(Full::from(if ready { "ready\n" } else { "not ready\n" }));
@@ -204,6 +204,7 @@
         });
     }
 
+    /// Answers a request, with the failure that a failure order injects.
     async fn handle(
         &self, request: Request<Incoming>, client: &Guest,
     ) -> Result<Response<ResponseBody>, ConnectionCut> {
@@ -275,6 +276,7 @@
         })
     }
 
+    /// Answers a request without injected failures.
     async fn process(&self, request: Request<Incoming>, client: &Guest) -> Response<Full<Bytes>> {
         let mut must_close =
             request.headers().contains_key(TRANSFER_ENCODING) && !request.body().is_end_stream();
@@ -363,10 +365,11 @@
         }
         let timeout = Duration::from_secs_f64(route.timeout / 1000.0);
         let stated = client_timeout(&head.headers);
-        let late = tenant.as_ref().filter(|tenant| tenant.rate_per_s > 0.0).and(stated).is_some_and(|stated| {
-            let (now, stated) = (self.proxy.now(), stated.as_secs_f64() * 1000.0);
-            self.proxy.timely.borrow_mut().is_late(now, &route.name, stated, route.target_latency)
-        });
+        let late =
+            tenant.as_ref().filter(|tenant| tenant.rate_per_s > 0.0).and(stated).is_some_and(|stated| {
+                let (now, stated) = (self.proxy.now(), stated.as_secs_f64() * 1000.0);
+                self.proxy.timely.borrow_mut().is_late(now, &route.name, stated, route.target_latency)
+            });
         let client_timeout = stated.map_or(timeout, |stated| stated.min(timeout));
         let repeatable = route.kind == RouteKind::Idempotent;
         let message = Message { method: head.method, target, id, repeatable, headers, body: bytes };
@@ -402,13 +405,14 @@
         let started_at = Instant::now();
         let until = started_at + client_timeout.saturating_sub(RESPONSE_MARGIN.min(client_timeout / 4));
         if let Some(tenant) = &tenant {
-            let wait = Duration::from_secs_f64(route.target_latency * MAX_UNIT_WAIT / 1000.0).min(client_timeout / 4);
+            let wait = Duration::from_secs_f64(route.target_latency * MAX_UNIT_WAIT / 1000.0)
+                .min(client_timeout / 4);
             if let Err(wait) = self.proxy.admit(tenant, wait, late).await {
                 return Err(Refusal::with_retry_after(Kind::OverQuota, "the quota is spent", wait));
             }
         }
-        let bound = match self.constraints(&route, tenant.as_deref(), message.body.len()) {
-            Ok(bound) => bound,
+        let constraints = match self.constraints(&route, tenant.as_deref(), message.body.len()) {
+            Ok(constraints) => constraints,
             Err(()) => {
                 let regions = (&route.allowed_regions, tenant.as_ref().map(|t| &t.allowed_regions));
                 tracing::debug!(event = "no-region", route = route.name, regions = ?regions);
@@ -426,7 +430,7 @@
         let priority = tenant.as_ref().and_then(|t| t.priority).unwrap_or(route.priority);
         let class = service.class(&route, priority);
         let remaining = until.saturating_duration_since(Instant::now());
-        let patience = remaining.as_secs_f64() * 1000.0;
+        let client_timeout = remaining.as_secs_f64() * 1000.0;
         let customer = tenant.as_ref().map_or("", |t| t.name.as_str()).into();
         let (id, reply) = service.engine.open(
             |id| Arrival {
@@ -436,10 +440,10 @@
                 class,
                 units: 1.0,
                 is_retry: false,
-                client_timeout: patience,
+                client_timeout,
                 first_gateway: 0,
                 gateway_count: 1,
-                constraints: Some(bound),
+                constraints: Some(constraints),
             },
             message,
             until,
@@ -503,7 +507,7 @@
     services.last().map_or("", |(service, _)| service)
 }
 
-/// The headers of a backend's answer that are forwarded_headers to the client.
+/// The headers of a backend's answer that are forwarded to the client.
 fn response_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in [CONNECTION, KEEP_ALIVE, TRANSFER_ENCODING, CONTENT_LENGTH, TRAILER, UPGRADE] {
         headers.remove(name);
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -53,9 +53,9 @@
     registry: Registry,
     sends: Family<SendLabels, Counter>,
     ends: Family<EndLabels, Counter>,
-    held: Family<ServiceLabel, Gauge>,
-    listing: Gauge,
-    members: Gauge,
+    queued: Family<ServiceLabel, Gauge>,
+    list_number: Gauge,
+    ready_proxies: Gauge,
     /// Time since a majority of the core confirmed the state, in ms; -1 before the first heartbeat.
     contact_age: Gauge,
     contested: Gauge,
@@ -67,7 +67,7 @@
         let mut registry = Registry::with_prefix("fennelscale_proxy");
         let (sends, ends) =
             (Family::<SendLabels, Counter>::default(), Family::<EndLabels, Counter>::default());
-        let (held, listing, members) =
+        let (queued, list_number, ready_proxies) =
             (Family::<ServiceLabel, Gauge>::default(), Gauge::default(), Gauge::default());
         registry.register(
             "backend_sends",
@@ -75,9 +75,17 @@
             sends.clone(),
         );
         registry.register("attempt_ends", "Attempts that ended, by outcome", ends.clone());
-        registry.register("held_requests", "Requests held because no backend may be sent one", held.clone());
-        registry.register("listing_stamp", "Number of the list of backends that is in use", listing.clone());
-        registry.register("members_ready", "Proxies that are known and take clients", members.clone());
+        registry.register(
+            "held_requests",
+            "Requests held because no backend may be sent one",
+            queued.clone(),
+        );
+        registry.register(
+            "listing_stamp",
+            "Number of the list of backends that is in use",
+            list_number.clone(),
+        );
+        registry.register("members_ready", "Proxies that are known and take clients", ready_proxies.clone());
         let (contact_age, contested) = (Gauge::default(), Gauge::default());
         let copies = Family::<CopyLabel, Counter>::default();
         registry.register(
@@ -95,7 +103,7 @@
             "What sessions brought of items: whole copies, entries, entries that were news, comparisons",
             copies.clone(),
         );
-        Self { registry, sends, ends, held, listing, members, contact_age, contested, copies }
+        Self { registry, sends, ends, queued, list_number, ready_proxies, contact_age, contested, copies }
     }
 }
 
@@ -116,8 +124,8 @@
         for (what, count) in counts {
             self.copies.get_or_create(&CopyLabel { what }).inner().store(count, Ordering::Relaxed);
         }
-        self.listing.set(i64::try_from(state.backend_list.stamp.0).unwrap_or(i64::MAX));
-        self.members.set(state.proxies.iter().filter(|member| member.ready).count() as i64);
+        self.list_number.set(i64::try_from(state.backend_list.stamp.0).unwrap_or(i64::MAX));
+        self.ready_proxies.set(state.proxies.iter().filter(|proxy| proxy.ready).count() as i64);
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
@@ -130,7 +138,7 @@
 
     fn read_service(&self, name: &str, service: &ServiceEngine) {
         let label = ServiceLabel { service: name.to_owned() };
-        let sends = service.figures().sends;
+        let sends = service.counts().sends;
         for (backend_state, count) in
             [("warm", sends.warm), ("cold", sends.cold), ("without_terms", sends.without_parameters)]
         {
@@ -141,7 +149,7 @@
             let labels = EndLabels { service: name.to_owned(), outcome: outcome_name(outcome) };
             self.ends.get_or_create(&labels).inner().store(count, Ordering::Relaxed);
         }
-        self.held.get_or_create(&label).set(service.engine.held() as i64);
+        self.queued.get_or_create(&label).set(service.engine.held() as i64);
     }
 }
 
@@ -160,8 +168,8 @@
 }
 
 /// The answer to a scrape; none for another path.
-pub fn answer(asked: &Asked, text: impl FnOnce() -> String) -> Option<Response<Full<Bytes>>> {
-    if asked.path != METRICS_PATH {
+pub fn answer(request: &Asked, text: impl FnOnce() -> String) -> Option<Response<Full<Bytes>>> {
+    if request.path != METRICS_PATH {
         return None;
     }
     let mut response = Response::new(Full::from(text()));
--- a/system/proxy/src/peer_sync.rs
+++ b/system/proxy/src/peer_sync.rs
@@ -52,25 +52,25 @@
 async fn ask(proxy: &Proxy, stream: TcpStream) {
     let (mut reader, writer): (Reader, Writer) = split(stream);
     writer.send(&proxy.digest());
-    if let Ok(ProxyMessage::Update { entries, backend_list: listing, proxies: (members, gateways) }) = reader.next().await
+    if let Ok(ProxyMessage::Update { entries, backend_list, proxies: (proxies, count) }) = reader.next().await
         && !proxy.has_session()
     {
-        if !entries.is_empty() || listing.is_some() {
-            tracing::info!(event = "news-beside", items = entries.len(), listing = listing.is_some());
+        if !entries.is_empty() || backend_list.is_some() {
+            tracing::info!(event = "news-beside", items = entries.len(), listing = backend_list.is_some());
         }
         // In the order of a session: the proxies first, the list of backends last.
-        proxy.receive(RegistryToProxy::Proxies(members, gateways));
+        proxy.receive(RegistryToProxy::Proxies(proxies, count));
         proxy.receive(RegistryToProxy::Items { complete: false, up_to_date: false, entries });
-        if let Some(listing) = listing {
-            proxy.receive(RegistryToProxy::BackendList(listing));
+        if let Some(backend_list) = backend_list {
+            proxy.receive(RegistryToProxy::BackendList(backend_list));
         }
     }
 }
 
 async fn answer(proxy: Rc<Proxy>, stream: TcpStream) {
     let (mut reader, writer): (Reader, Writer) = split(stream);
-    if let Ok(Ok(ProxyMessage::Digest { items, list_stamp: listing })) = timeout(PEER_TIMEOUT, reader.next()).await {
-        writer.send(&proxy.update_for(&items, listing));
+    if let Ok(Ok(ProxyMessage::Digest { items, list_stamp })) = timeout(PEER_TIMEOUT, reader.next()).await {
+        writer.send(&proxy.update_for(&items, list_stamp));
         // Keeps the connection open until the peer has read the answer, at most until the timeout.
         let _ = timeout(PEER_TIMEOUT, reader.next::<ProxyMessage>()).await;
     }
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -44,7 +44,7 @@
 
 /// Counts of the items that sessions have delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CopyFigures {
+pub struct ItemCounts {
     /// Complete copies of all items.
     pub complete: u64,
     /// Entries received.
@@ -72,7 +72,7 @@
     /// When a majority of the core last confirmed the state of this proxy, by the local clock.
     last_contact: Cell<Option<f64>>,
     /// Counts of the items that sessions have delivered.
-    copies: Cell<CopyFigures>,
+    copies: Cell<ItemCounts>,
     /// Control addresses from the settings as read last.
     seeds: RefCell<Vec<SocketAddr>>,
     /// Idle drained nodes, as last sent to the registry.
@@ -102,7 +102,7 @@
     let clients = start::listen(frontend).await?;
     let readiness = start::listen(readiness).await?;
     let peers = start::listen(settings.own(Port::Courier)).await?;
-    let scrapes = match metrics_port {
+    let metrics_listener = match metrics_port {
         Some(port) => Some(start::listen(SocketAddr::new(settings.ip, port)).await?),
         None => None,
     };
@@ -149,14 +149,14 @@
     spawn(session::run(proxy.clone()));
     peer_sync::run(proxy.clone(), peers);
     let answering = proxy.clone();
-    call::listen(readiness, move |asked| {
+    call::listen(readiness, move |request| {
         let ready = answering.is_ready();
-        async move { crate::frontend::readiness(&asked, ready) }
+        async move { crate::frontend::readiness_response(&request, ready) }
     });
-    if let Some(listener) = scrapes {
+    if let Some(listener) = metrics_listener {
         let (scraped, metrics) = (proxy.clone(), Rc::new(Metrics::default()));
-        call::listen(listener, move |asked| {
-            let answer = metrics::answer(&asked, || metrics.render(&scraped));
+        call::listen(listener, move |request| {
+            let answer = metrics::answer(&request, || metrics.render(&scraped));
             async move { answer }
         });
     }
@@ -224,7 +224,7 @@
         *self.door.borrow_mut() = Some(door);
     }
 
-    /// What failure orders do to a request: they select hardly any.
+    /// What failure orders do to a request. Logs the request if an order selects it.
     pub fn select_failure(&self, caller: &Caller<'_>) -> Verdict {
         let (now, state) = (self.now(), self.routing_state.borrow());
         let verdict = self.failure_orders.borrow_mut().meet(now, state.true_time(now), caller);
@@ -248,10 +248,13 @@
             return;
         }
         self.next_count_at.set(self.now() + COUNT_INTERVAL);
-        let sums = |s: Sums| [s.served, s.refused, s.failed];
+        let outcomes = |sums: Sums| [sums.served, sums.refused, sums.failed];
         let counts = self.failure_orders.borrow().counts().into_iter();
-        let counts: Vec<OrderCount> =
-            counts.map(|(order, c, o)| (order, [c.named, c.failed, c.over], o.map(sums))).collect();
+        let counts: Vec<OrderCount> = counts
+            .map(|(order, count, others)| {
+                (order, [count.named, count.failed, count.over], others.map(outcomes))
+            })
+            .collect();
         // Sent even if unchanged: the session may be with another registry by now.
         self.send(&ProxyToRegistry::FailureCounts(counts));
     }
@@ -263,10 +266,10 @@
             return Vec::new();
         }
         let has_clients = self.door.borrow().as_ref().is_some_and(|door| !door.is_empty());
-        state.idle_nodes(&self.services.working(), has_clients)
+        state.idle_nodes(&self.services.busy_backends(), has_clients)
     }
 
-    /// Starts and ends drains by the time, and sends changes of the idle nodes and of the readiness to the
+    /// Updates the drains to the current time, and sends changes of the idle nodes and the readiness to the
     /// registry.
     fn update_drains(&self) {
         let (was_drained, changed) = {
@@ -305,7 +308,7 @@
     }
 
     /// The description of this proxy that others receive.
-    pub fn member(&self) -> ProxyInfo {
+    pub fn info(&self) -> ProxyInfo {
         ProxyInfo {
             host: self.host,
             incarnation: self.incarnation,
@@ -328,13 +331,13 @@
     }
 
     /// Counts of the items that sessions have delivered.
-    pub fn copies(&self) -> CopyFigures {
+    pub fn copies(&self) -> ItemCounts {
         self.copies.get()
     }
 
     fn count_items(&self, complete: bool, entries: usize, changed: usize) {
         let known = self.copies.get();
-        self.copies.set(CopyFigures {
+        self.copies.set(ItemCounts {
             complete: known.complete + u64::from(complete),
             entries: known.entries + entries as u64,
             changed: known.changed + changed as u64,
@@ -345,7 +348,7 @@
     /// Sends the digest of the items, for which the registry asked because it found a difference.
     fn send_digest(&self) {
         let known = self.copies.get();
-        self.copies.set(CopyFigures { compared: known.compared + 1, ..known });
+        self.copies.set(ItemCounts { compared: known.compared + 1, ..known });
         self.send(&ProxyToRegistry::Digest(self.routing_state.borrow().digest()));
     }
 
@@ -354,21 +357,23 @@
         let state = self.routing_state.borrow();
         if state.items_hash() == 0 {
             drop(state);
-            return ProxyToRegistry::Hello(self.member());
+            return ProxyToRegistry::Hello(self.info());
         }
         let digest = state.digest();
         drop(state);
-        ProxyToRegistry::Resume(self.member(), digest)
+        ProxyToRegistry::Resume(self.info(), digest)
     }
 
     /// The heartbeat of a session.
     pub fn heartbeat(&self) -> ProxyToRegistry {
         let state = self.routing_state.borrow();
-        let (items, listing) = (state.items_hash(), state.backend_list.stamp);
-        ProxyToRegistry::Heartbeat { ready: self.is_ready(),
-            items_hash: items,
-            list_stamp: listing,
-            self_granted: self.cache.borrow().alone(self.now()), }
+        let (items_hash, list_stamp) = (state.items_hash(), state.backend_list.stamp);
+        ProxyToRegistry::Heartbeat {
+            ready: self.is_ready(),
+            items_hash,
+            list_stamp,
+            self_granted: self.cache.borrow().alone(self.now()),
+        }
     }
 
     fn distance(&self, zone: &str, region: &str) -> u8 {
@@ -385,10 +390,12 @@
     /// cannot reach is cut off or gone, and has nothing newer.
     pub fn has_nearer_registry(&self, current: Host, excluded: impl Fn(Host) -> bool) -> bool {
         let known = self.registries.borrow();
-        let distance = |place: &RegistryInfo| self.distance(&place.zone, &place.region);
+        let distance = |registry: &RegistryInfo| self.distance(&registry.zone, &registry.region);
         // A registry that is not on the list may be anywhere.
-        let current_distance = known.iter().find(|place| place.host == current).map_or(3, distance);
-        known.iter().any(|place| place.reachable && distance(place) < current_distance && !excluded(place.host))
+        let current_distance = known.iter().find(|registry| registry.host == current).map_or(3, distance);
+        known.iter().any(|registry| {
+            registry.reachable && distance(registry) < current_distance && !excluded(registry.host)
+        })
     }
 
     /// Candidate registries for a session, the nearest first.
@@ -396,10 +403,14 @@
         let known = self.registries.borrow();
         let mut all: Vec<(u8, u64, Host)> = known
             .iter()
-            .map(|place| {
-                let distance = self.distance(&place.zone, &place.region);
+            .map(|registry| {
+                let distance = self.distance(&registry.zone, &registry.region);
                 // Spreads the proxies of a region over its registries.
-                (distance, fennelscale_messages::mix(u64::from(place.host.0) ^ self.incarnation), place.host)
+                (
+                    distance,
+                    fennelscale_messages::mix(u64::from(registry.host.0) ^ self.incarnation),
+                    registry.host,
+                )
             })
             .collect();
         all.sort_unstable();
@@ -437,13 +448,11 @@
     }
 
     /// What another proxy lacks, by its digest and the stamp of its backend list.
-    pub fn update_for(&self, items: &[u64], listing: (u64, Host)) -> ProxyMessage {
+    pub fn update_for(&self, items: &[u64], list_stamp: (u64, Host)) -> ProxyMessage {
         let state = self.routing_state.borrow();
-        let newer = (state.backend_list.stamp > listing).then(|| state.backend_list.clone());
-        let members = (state.proxies.clone(), state.known_proxy_count());
-        ProxyMessage::Update { entries: state.entries_in_differing_parts(items),
-            backend_list: newer,
-            proxies: members, }
+        let backend_list = (state.backend_list.stamp > list_stamp).then(|| state.backend_list.clone());
+        let proxies = (state.proxies.clone(), state.known_proxy_count());
+        ProxyMessage::Update { entries: state.entries_in_differing_parts(items), backend_list, proxies }
     }
 
     /// Sets or clears the session.
@@ -451,47 +460,49 @@
         *self.session.borrow_mut() = writer;
     }
 
-    fn send(&self, up: &ProxyToRegistry) {
+    fn send(&self, message: &ProxyToRegistry) {
         if let Some(session) = self.session.borrow().as_ref() {
-            session.send(up);
+            session.send(message);
         }
     }
 
     /// Handles a message of the registry.
     pub fn receive(&self, message: RegistryToProxy) {
         match message {
-            RegistryToProxy::Items { complete: whole, up_to_date: fresh, entries } => {
+            RegistryToProxy::Items { complete, up_to_date, entries } => {
                 let (now, count) = (self.now(), entries.len());
                 let (changed, was_ready) = {
                     let mut state = self.routing_state.borrow_mut();
                     let was_ready = state.is_ready();
                     let changed = state.merge(now, entries);
-                    state.up_to_date |= fresh;
+                    state.up_to_date |= up_to_date;
                     (changed, was_ready)
                 };
-                self.count_items(whole, count, changed.len());
+                self.count_items(complete, count, changed.len());
                 if changed.iter().any(|name| name.starts_with(FAILURE)) {
-                    self.failure_orders.borrow_mut().set(self.routing_state.borrow().table.failure_orders.values());
+                    self.failure_orders
+                        .borrow_mut()
+                        .set(self.routing_state.borrow().table.failure_orders.values());
                 }
                 self.forget_removed_limits(&changed);
                 if !changed.is_empty() {
-                    tracing::debug!(event = "items", whole, news = changed.len());
+                    tracing::debug!(event = "items", whole = complete, news = changed.len());
                     self.update();
                 }
                 self.announce_if_ready(was_ready);
             }
-            RegistryToProxy::BackendList(listing) => {
+            RegistryToProxy::BackendList(backend_list) => {
                 let was_ready = self.routing_state.borrow().is_ready();
                 let now = self.now();
-                if self.routing_state.borrow_mut().set_backend_list(now, listing) {
+                if self.routing_state.borrow_mut().set_backend_list(now, backend_list) {
                     self.update();
                 }
                 self.announce_if_ready(was_ready);
             }
-            RegistryToProxy::Proxies(members, gateways) => {
+            RegistryToProxy::Proxies(proxies, count) => {
                 {
                     let mut state = self.routing_state.borrow_mut();
-                    state.set_proxies(self.now(), members, gateways);
+                    state.set_proxies(self.now(), proxies, count);
                     self.cache.borrow_mut().gateways(state.proxy_count);
                 }
                 self.update();
@@ -500,14 +511,14 @@
             RegistryToProxy::Grant(grant) => {
                 let (mut messages, mut admissions) = (Vec::new(), Vec::new());
                 self.cache.borrow_mut().grant(self.now(), grant, &mut messages, &mut admissions);
-                self.perform(messages, admissions);
+                self.apply_cache_output(messages, admissions);
             }
             RegistryToProxy::Time(earliest, latest) => {
                 self.routing_state.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
             }
-            RegistryToProxy::LookUpRequest(question, id) => {
+            RegistryToProxy::LookUpRequest(query, id) => {
                 let record = self.trace.borrow().to_json(self.now(), id);
-                self.send(&ProxyToRegistry::RequestRecord(question, record));
+                self.send(&ProxyToRegistry::RequestRecord(query, record));
             }
             RegistryToProxy::RequestDigest => self.send_digest(),
             RegistryToProxy::Heartbeat { .. } => {}
@@ -524,7 +535,7 @@
                 self.cache.borrow_mut().forget(tenant, &mut admissions);
             }
         }
-        self.perform(Vec::new(), admissions);
+        self.apply_cache_output(Vec::new(), admissions);
     }
 
     /// Logs and sends that this proxy has become ready, if it has.
@@ -542,11 +553,11 @@
     fn tick(&self) {
         let (mut messages, mut admissions) = (Vec::new(), Vec::new());
         self.cache.borrow_mut().tick(self.now(), &mut messages, &mut admissions);
-        self.perform(messages, admissions);
+        self.apply_cache_output(messages, admissions);
     }
 
     /// Sends the messages of the lease cache, and passes its admissions to the waiting requests.
-    fn perform(&self, messages: Vec<ProxyToRegistry>, admissions: Vec<(u64, Admission)>) {
+    fn apply_cache_output(&self, messages: Vec<ProxyToRegistry>, admissions: Vec<(u64, Admission)>) {
         messages.iter().for_each(|message| self.send(message));
         for (request, admission) in admissions {
             if let Some(answer) = self.waiting.borrow_mut().remove(&request) {
@@ -574,7 +585,7 @@
             self.waiting.borrow_mut().insert(request, sender);
             receiver
         });
-        self.perform(messages, Vec::new());
+        self.apply_cache_output(messages, Vec::new());
         let admission = match receiver {
             // The receiver is dropped with the request when the client disconnects; the unit is then lost for
             // this window.
@@ -592,6 +603,6 @@
     fn return_units(&self) {
         let mut messages = Vec::new();
         self.cache.borrow_mut().hand_back(self.now(), &mut messages);
-        self.perform(messages, Vec::new());
+        self.apply_cache_output(messages, Vec::new());
     }
 }
--- a/system/proxy/src/request_trace.rs
+++ b/system/proxy/src/request_trace.rs
@@ -11,7 +11,7 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// Finished requests that are kept: about 20 s of the load of one proxy on the busiest day so far.
+/// Finished requests that are kept: about 20 s of the load of one proxy on the busiest day recorded.
 const MAX_FINISHED: usize = 2048;
 /// Maximum number of attempts kept for one request.
 const MAX_ATTEMPTS: usize = 8;
--- a/system/proxy/src/routing_state.rs
+++ b/system/proxy/src/routing_state.rs
@@ -1,5 +1,5 @@
 //! The routing state of a proxy: configuration items and the routing table built from them, the list of
-//! backends, and the members. Performs no I/O and reads no clock; the caller passes the time.
+//! backends, and the proxies. Performs no I/O and reads no clock; the caller passes the time.
 
 use crate::cold_owners::ColdOwners;
 use fennelscale_config::{ItemCopy, RoutingTable, parse_item};
@@ -20,7 +20,7 @@
 /// Time in ms from a read of the platform's list until proxies have it: two trips between regions, and a
 /// margin.
 const LIST_PROPAGATION: f64 = 400.0;
-/// Interval, in ms, at which terms that change with time alone are brought up to date.
+/// Interval, in ms, at which parameters that change with time alone are brought up to date.
 pub const UPDATE_INTERVAL: f64 = 250.0;
 /// Cost of sending a request to another zone, as the equivalent added latency in ms.
 const CROSS_ZONE_COST: f64 = 12.0;
@@ -51,7 +51,7 @@
     pub max_list_age: f64,
 }
 
-/// A listed backend with the terms that the decision module uses.
+/// A listed backend with the parameters that the decision module uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownBackend {
     /// The entry of the list.
@@ -60,7 +60,7 @@
     pub ready: bool,
     /// The index of its region among all regions, sorted by name.
     pub region_index: u64,
-    /// The terms for the choice of a backend.
+    /// The parameters for the choice of a backend.
     pub parameters: doorcourse::BackendParameters,
 }
 
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Returned {
     /// When this proxy learned of it.
-    heard_at: f64,
+    learned_at: f64,
     /// Whether it was evacuated: its backends may have turned cold shortly before. For a work order's node
     /// only the list tells.
     evacuated: bool,
@@ -166,17 +166,17 @@
             if !self.items.merge(&name, &entry) {
                 continue;
             }
-            let fact = entry.body.as_deref().and_then(|body| parse_item(&name, &entry.host, body).ok());
+            let item = entry.body.as_deref().and_then(|body| parse_item(&name, &entry.host, body).ok());
             // A proxy that was ready may learn only of an evacuation's end, having missed its start. One that
             // ended before this process started is of no interest.
             if let Some(zone) = name.strip_prefix("e:")
-                && fact.is_none()
+                && item.is_none()
                 && (self.up_to_date || self.table.evacuated_zones.contains(zone))
             {
                 self.returned_nodes
-                    .insert(Node::Zone(zone.to_owned()), Returned { heard_at: now, evacuated: true });
+                    .insert(Node::Zone(zone.to_owned()), Returned { learned_at: now, evacuated: true });
             }
-            self.table.set(&name, entry.stamp, fact);
+            self.table.set(&name, entry.stamp, item);
             changed.push(name);
         }
         self.update_drains(now);
@@ -184,17 +184,17 @@
     }
 
     /// Takes over a received list; returns false if it is not newer than the known one.
-    pub fn set_backend_list(&mut self, now: f64, listing: BackendList) -> bool {
-        if listing.stamp <= self.backend_list.stamp {
+    pub fn set_backend_list(&mut self, now: f64, backend_list: BackendList) -> bool {
+        if backend_list.stamp <= self.backend_list.stamp {
             return false;
         }
-        for backend in listing.backends.iter().filter(|b| b.draining) {
+        for backend in backend_list.backends.iter().filter(|b| b.draining) {
             self.drained_backends.insert(backend.id.clone());
         }
         while self.drained_backends.len() > MAX_DRAINED_IDS {
             self.drained_backends.pop_first();
         }
-        (self.backend_list, self.listed_at) = (listing, now);
+        (self.backend_list, self.listed_at) = (backend_list, now);
         true
     }
 
@@ -221,7 +221,7 @@
             return false;
         }
         for node in self.drained_nodes.difference(&drained_nodes) {
-            self.returned_nodes.insert(node.clone(), Returned { heard_at: now, evacuated: false });
+            self.returned_nodes.insert(node.clone(), Returned { learned_at: now, evacuated: false });
         }
         self.drained_nodes = drained_nodes;
         true
@@ -265,8 +265,8 @@
         self.location.zone_regions.get(zone).map_or("", String::as_str)
     }
 
-    /// Whether the terms may change with time alone: returned nodes count as cold only for a while, and the
-    /// owners of cold backends change with time.
+    /// Whether the parameters may change with time alone: returned nodes count as cold only for a while, and
+    /// the owners of cold backends change with time.
     pub fn needs_update(&self, now: f64) -> bool {
         !self.returned_nodes.is_empty()
             || self.cold_owners.may_change(now, UPDATE_INTERVAL) && self.has_cold(now)
@@ -278,11 +278,11 @@
         spans.any(|span| span > 0 && now < self.listed_at + f64::from(span))
     }
 
-    /// The backends of a service, with the current terms for the choice between them.
+    /// The backends of a service, with the current parameters for the choice between them.
     pub fn backends(&mut self, now: f64, service: &str) -> Vec<KnownBackend> {
         let longest = self.table.services.values().map(|service| service.cold_start).fold(0.0, f64::max);
         let retention = longest.max(MIN_COLD_AFTER_RETURN) + self.location.max_list_age;
-        self.returned_nodes.retain(|_, returned| now < returned.heard_at + retention);
+        self.returned_nodes.retain(|_, returned| now < returned.learned_at + retention);
         let listed = self.backend_list.backends.iter().filter(|b| b.service == service);
         let own = self.own_backends(listed.clone());
         listed
@@ -301,9 +301,10 @@
             backends.filter(|b| is_local(&b.zone) && self.accepts_requests(b)).collect();
         let hash_of = |b: &Backend| fennelscale_messages::hash(b.id.as_bytes());
         local.sort_by_key(|b| (hash_of(b), &b.id));
-        let proxies = self.proxies.iter().filter(|m| m.ready && m.region == self.location.region);
-        let tie_break =
-            |b: &Backend, m: &ProxyInfo| fennelscale_messages::mix(hash_of(b) ^ u64::from(m.host.0));
+        let proxies = self.proxies.iter().filter(|proxy| proxy.ready && proxy.region == self.location.region);
+        let tie_break = |backend: &Backend, proxy: &ProxyInfo| {
+            fennelscale_messages::mix(hash_of(backend) ^ u64::from(proxy.host.0))
+        };
         let mut own = BTreeMap::new();
         if local.len() >= proxies.clone().count() {
             let mut assigned_slots: Vec<(u32, &ProxyInfo)> = proxies.map(|m| (0, m)).collect();
@@ -311,9 +312,9 @@
                 let rank = |(slots, m): &&mut (u32, &ProxyInfo)| {
                     (*slots, m.zone != backend.zone, tie_break(backend, m))
                 };
-                let Some((slots, member)) = assigned_slots.iter_mut().min_by_key(rank) else { continue };
+                let Some((slots, proxy)) = assigned_slots.iter_mut().min_by_key(rank) else { continue };
                 *slots += backend.slots.max(1);
-                if member.host == self.location.host {
+                if proxy.host == self.location.host {
                     own.insert(backend.id.as_str(), 1.0);
                 }
             }
@@ -321,14 +322,14 @@
         }
         let mut sharers: Vec<(u32, &Backend)> = local.into_iter().map(|b| (0, b)).collect();
         let mut own_index = None;
-        for member in proxies {
+        for proxy in proxies {
             let rank = |(index, (count, b)): &(usize, &(u32, &Backend))| {
                 // Integer arithmetic: all proxies must compute the same assignment.
-                (*count * 1000 / b.slots.max(1), b.zone != member.zone, tie_break(b, member), *index)
+                (*count * 1000 / b.slots.max(1), b.zone != proxy.zone, tie_break(b, proxy), *index)
             };
             let Some((index, _)) = sharers.iter().enumerate().min_by_key(rank) else { continue };
             sharers[index].0 += 1;
-            if member.host == self.location.host {
+            if proxy.host == self.location.host {
                 own_index = Some(index);
             }
         }
@@ -354,16 +355,16 @@
             return 0.0;
         }
         let until = |returned: &Returned| match returned {
-            Returned { heard_at, evacuated: false } => {
-                heard_at + MIN_COLD_AFTER_RETURN + self.location.max_list_age
+            Returned { learned_at, evacuated: false } => {
+                learned_at + MIN_COLD_AFTER_RETURN + self.location.max_list_age
             }
-            Returned { heard_at, .. }
-                if self.listed_at >= heard_at + self.location.max_list_age + LIST_PROPAGATION =>
+            Returned { learned_at, .. }
+                if self.listed_at >= learned_at + self.location.max_list_age + LIST_PROPAGATION =>
             {
                 0.0
             }
-            Returned { heard_at, .. } => {
-                heard_at + cold_start.max(MIN_COLD_AFTER_RETURN) + self.location.max_list_age
+            Returned { learned_at, .. } => {
+                learned_at + cold_start.max(MIN_COLD_AFTER_RETURN) + self.location.max_list_age
             }
         };
         let nodes = [Node::Backend(backend.id.clone()), Node::Zone(backend.zone.clone())];
@@ -373,7 +374,7 @@
     fn known_backend(&self, now: f64, service: &str, backend: &Backend, own: Option<f64>) -> KnownBackend {
         let region = self.region_of(&backend.zone);
         let ready = self.accepts_requests(backend);
-        let (way, price) = if backend.zone == self.location.zone {
+        let (round_trip, distance_cost) = if backend.zone == self.location.zone {
             (ZONE_ROUND_TRIP, 0.0)
         } else if region == self.location.region {
             (REGION_ROUND_TRIP, CROSS_ZONE_COST)
@@ -381,29 +382,29 @@
             (REMOTE_ROUND_TRIP, CROSS_REGION_COST)
         };
         let sharers = self.proxies.iter().filter(|m| m.ready && m.region == region).count().max(1) as f64;
-        let (own, sharers) = (own.is_some(), own.unwrap_or(sharers));
+        let (is_owned, sharers) = (own.is_some(), own.unwrap_or(sharers));
         let listed_until =
             if backend.cold_ms > 0 { self.listed_at + f64::from(backend.cold_ms) } else { 0.0 };
         let (cold_rate, cold_start) =
             self.table.services.get(service).map_or((0.0, 0.0), |s| (s.cold_per_s, s.cold_start));
         let cold_until = listed_until.max(self.cold_until_after_return(backend, cold_start));
         let owns = || self.cold_owners.owns(now, self.location.host, backend, |zone| self.region_of(zone));
-        let cold_per_s = if cold_until > now && owns() { cold_rate * COLD_RATE_SHARE } else { 0.0 };
+        let cold_rate_per_s = if cold_until > now && owns() { cold_rate * COLD_RATE_SHARE } else { 0.0 };
         let slots = f64::from(backend.slots.max(1));
         let parameters = doorcourse::BackendParameters {
             slots,
             sharers,
-            is_owned: own,
-            round_trip: way,
-            distance_cost: price,
+            is_owned,
+            round_trip,
+            distance_cost,
             cold_until,
-            cold_rate_per_s: cold_per_s,
+            cold_rate_per_s,
         };
         KnownBackend { backend: backend.clone(), ready, region_index: self.region_index(region), parameters }
     }
 
-    /// The terms that apply to all backends of a service together; retries are bounded by `retry_ratio` and
-    /// `retry_slack`.
+    /// The parameters that apply to all backends of a service together; retries are bounded by `retry_ratio`
+    /// and `retry_slack`.
     pub fn fleet_parameters(&self, retry_ratio: f64, retry_slack: f64) -> doorcourse::FleetParameters {
         doorcourse::FleetParameters {
             gateways: self.proxy_count,
--- a/system/proxy/src/service_engines.rs
+++ b/system/proxy/src/service_engines.rs
@@ -1,4 +1,4 @@
-//! One engine for for_each service: the decision module with its backends, kept up to date with the routing
+//! One engine for each service: the decision module with its backends, kept up to date with the routing
 //! state.
 
 use crate::backend_protocol::{BackendProtocol, REQUEST_ID};
@@ -37,15 +37,15 @@
     backends: Rc<Backends>,
     classes: RefCell<HashSet<String>>,
     sequence: Cell<u64>,
-    reported: Cell<BackendFigures>,
+    reported_counts: Cell<BackendCounts>,
 }
 
 /// Counts of sends to the backends of a service that are of diagnostic interest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BackendFigures {
+pub struct BackendCounts {
     /// Requests sent, by what was known of the backend at that time.
     pub sends: SendCounts,
-    /// Answers by which another backend listens at the address (421).
+    /// Answers that say that another backend listens at the address (421).
     pub misdirected: u64,
 }
 
@@ -82,7 +82,7 @@
     }
 
     /// Backends that may be working on requests of this proxy.
-    pub fn working(&self) -> BTreeSet<String> {
+    pub fn busy_backends(&self) -> BTreeSet<String> {
         let all = self.all.borrow();
         all.values().flat_map(|service| service.backends.working()).map(|name| name.to_string()).collect()
     }
@@ -90,15 +90,15 @@
     /// Brings all engines up to date with the routing state. `now` is the proxy's clock.
     pub fn update(&self, now: f64, state: &mut RoutingState) {
         let names: Vec<String> = state.table.services.keys().cloned().collect();
-        let parts = names.len().max(1);
+        let service_count = names.len().max(1);
         for name in names {
             let known = self.get(&name);
             let service = match known {
                 Some(service) => service,
                 None => {
-                    let health =
+                    let health_path =
                         state.table.services.get(&name).map_or("/health".into(), |s| s.health_path.clone());
-                    let Some(service) = self.start(health, parts) else { continue };
+                    let Some(service) = self.start(health_path, service_count) else { continue };
                     self.all.borrow_mut().insert(name.clone(), service.clone());
                     service
                 }
@@ -111,14 +111,21 @@
             .retain(|name, service| state.table.services.contains_key(name) || service.engine.waiting() > 0);
     }
 
-    fn start(&self, health: String, parts: usize) -> Option<Rc<ServiceEngine>> {
+    fn start(&self, health_path: String, service_count: usize) -> Option<Rc<ServiceEngine>> {
         let identity = IdentityRule { header: REQUEST_ID.as_str().to_owned(), required: true };
         let reuse = Reuse::new(&Upstream { identity: Some(identity), ..Upstream::default() });
-        let most_open = (self.connections / parts).max(16);
-        let mesh = BackendProtocol { health, trace: self.trace.clone(), started_at: self.started_at };
+        let most_open = (self.connections / service_count).max(16);
+        let protocol =
+            BackendProtocol { health_path, trace: self.trace.clone(), started_at: self.started_at };
         let bounds = Bounds { most_open, largest_body: MAX_ANSWER, answer: ANSWER_TIMEOUT };
-        let backends =
-            Backends::new(CONNECT_TIMEOUT, IDLE_TIMEOUT, LoadReportSource::None, reuse, Rc::new(mesh), bounds);
+        let backends = Backends::new(
+            CONNECT_TIMEOUT,
+            IDLE_TIMEOUT,
+            LoadReportSource::None,
+            reuse,
+            Rc::new(protocol),
+            bounds,
+        );
         let seed = self.seed.get();
         self.seed.set(fennelscale_messages::mix(seed.wrapping_add(1)));
         let counters = None::<fn(Duration, Rc<Report>) -> Rc<dyn Counting>>;
@@ -140,26 +147,26 @@
             backends,
             classes: RefCell::default(),
             sequence: Cell::new(0),
-            reported: Cell::default(),
+            reported_counts: Cell::default(),
         }))
     }
 
-    /// Calls `visit` with the name and the engine of for_each service.
+    /// Calls `visit` with the name and the engine of each service.
     pub fn for_each(&self, mut visit: impl FnMut(&str, &ServiceEngine)) {
         for (name, service) in self.all.borrow().iter() {
             visit(name, service);
         }
     }
 
-    /// Logs how many requests went to cold backends, to backends without terms, and to reassigned addresses
-    /// since the last call; logs nothing if there were none.
+    /// Logs how many requests went to cold backends, to backends without parameters, and to reassigned
+    /// addresses since the last call; logs nothing if there were none.
     pub fn report_unusual_sends(&self) {
         self.for_each(|name, service| {
-            let figures = service.figures();
-            let before = service.reported.replace(figures);
-            let cold = figures.sends.cold - before.sends.cold;
-            let without_terms = figures.sends.without_parameters - before.sends.without_parameters;
-            let misdirected = figures.misdirected - before.misdirected;
+            let counts = service.counts();
+            let before = service.reported_counts.replace(counts);
+            let cold = counts.sends.cold - before.sends.cold;
+            let without_terms = counts.sends.without_parameters - before.sends.without_parameters;
+            let misdirected = counts.misdirected - before.misdirected;
             if cold + without_terms + misdirected > 0 {
                 let held = service.engine.held();
                 tracing::info!(
@@ -177,8 +184,8 @@
 
 impl ServiceEngine {
     /// The counts since the start.
-    pub fn figures(&self) -> BackendFigures {
-        BackendFigures { sends: self.engine.sends(), misdirected: self.engine.ended_as(Outcome::Misdirected) }
+    pub fn counts(&self) -> BackendCounts {
+        BackendCounts { sends: self.engine.sends(), misdirected: self.engine.ended_as(Outcome::Misdirected) }
     }
 
     fn update(&self, now: f64, state: &mut RoutingState, name: &str, (retry_ratio, retry_slack): (f64, f64)) {
@@ -209,16 +216,16 @@
         if classes.len() >= MAX_CLASSES {
             return DEFAULT_CLASS.into();
         }
-        let effect = if kind == 's' { RetrySafety::Safe } else { RetrySafety::Unsafe };
-        // The configuration gives only a rank; for_each step halves the value of a request in the queue.
-        let worth = 0.5_f64.powi(priority.min(16) as i32);
+        let retry_safety = if kind == 's' { RetrySafety::Safe } else { RetrySafety::Unsafe };
+        // The configuration gives only a rank; each step halves the value of a request in the queue.
+        let value = 0.5_f64.powi(priority.min(16) as i32);
         let class = Class {
             name: name.as_str().into(),
             target_latency: route.target_latency,
-            retry_safety: effect,
+            retry_safety,
             dedup_scope: DedupScope::All,
             dedup_window: 0.0,
-            value: worth,
+            value,
             late_value_share: 0.5,
         };
         classes.insert(name.clone());
--- a/system/proxy/tests/address_reuse.rs
+++ b/system/proxy/tests/address_reuse.rs
@@ -1,48 +1,54 @@
-//! A backend dies and another one has its address, while the list still names the first: a whole proxy on loopback.
+//! Tests a whole proxy on loopback: a backend dies and another one gets its address, while the list still
+//! contains the first.
 
 mod helper;
 
-use helper::{OTHER_SERVICE, Proxy, SERVICE, Stage, listed, listed_for};
+use helper::{OTHER_SERVICE, Proxy, SERVICE, TestBed, listed, listed_for};
 
 const OK: u16 = 200;
-/// Requests, one after the other.
-const MANY: usize = 20;
+/// Number of sequential requests.
+const REQUESTS: usize = 20;
 
-/// `service`: whose backend gets the address; `path`: a route of that service.
-async fn one_answer_for_another_is_enough(stage: Stage, service: &str, path: &str) {
-    let (reused, spare) = (stage.backend(1, "first").await, stage.backend(2, "spare").await);
-    let proxy = Proxy::start(&stage, &[]).await;
+/// `service` is the service of the backend that gets the address; `path` is a route of that service.
+async fn one_misdirected_answer_is_enough(test_bed: TestBed, service: &str, path: &str) {
+    let (reused, spare) = (test_bed.backend(1, "first").await, test_bed.backend(2, "spare").await);
+    let proxy = Proxy::start(&test_bed, &[]).await;
     let first = || listed("first", &reused, "a", 0);
-    proxy.tell_list(1, vec![first()]).await;
-    assert_eq!(stage.ask("/take").await.expect("an answer"), OK);
-    assert_eq!(reused.arrivals(), 1, "it served, and a connection to it is kept");
+    proxy.send_list(1, vec![first()]).await;
+    assert_eq!(test_bed.request("/take").await.expect("an answer"), OK);
+    assert_eq!(reused.arrivals(), 1, "the backend served the request, and a connection to it is kept");
 
     reused.becomes("second");
-    // The spare one is in another zone: the first would go first, if it were there.
-    proxy.tell_list(2, vec![first(), listed("spare", &spare, "b", 0)]).await;
-    for _ in 0..MANY {
-        assert_eq!(stage.ask("/take").await.expect("an answer"), OK);
+    // The spare backend is in another zone, so the first would be preferred if it still existed.
+    proxy.send_list(2, vec![first(), listed("spare", &spare, "b", 0)]).await;
+    for _ in 0..REQUESTS {
+        assert_eq!(test_bed.request("/take").await.expect("an answer"), OK);
     }
-    assert_eq!((reused.misdirected(), spare.arrivals()), (1, MANY), "by one answer it is known to be gone");
-    // A list that still names it does not bring it back. Without the spare one its own service has only the one at its address.
+    assert_eq!(
+        (reused.misdirected(), spare.arrivals()),
+        (1, REQUESTS),
+        "one answer shows that the first backend is gone"
+    );
+    // A list that still contains the first backend does not bring it back. For the same service, the spare
+    // backend is left out, so that only the backend at the reused address remains.
     let mut backends = vec![first(), listed_for(service, "second", &reused, "a", 0)];
     if service != SERVICE {
         backends.push(listed("spare", &spare, "b", 0));
     }
-    proxy.tell_list(3, backends).await;
-    assert_eq!(stage.ask(path).await.expect("an answer"), OK);
-    assert_eq!(reused.arrivals(), 2, "the one that is there now serves");
-    assert_eq!(stage.ask("/take").await.expect("an answer"), OK);
+    proxy.send_list(3, backends).await;
+    assert_eq!(test_bed.request(path).await.expect("an answer"), OK);
+    assert_eq!(reused.arrivals(), 2, "the backend that has the address now serves");
+    assert_eq!(test_bed.request("/take").await.expect("an answer"), OK);
     assert_eq!(reused.misdirected(), 1);
     assert_eq!(proxy.metric("attempt_ends_total", "misdirected").await, 1.0);
 }
 
 #[test]
-fn an_address_that_went_to_the_same_service_misdirects_one_request() {
-    helper::run(one_answer_for_another_is_enough(Stage::new(1), SERVICE, "/take"));
+fn an_address_reused_by_the_same_service_misdirects_one_request() {
+    helper::run(one_misdirected_answer_is_enough(TestBed::new(1), SERVICE, "/take"));
 }
 
 #[test]
-fn an_address_that_went_to_another_service_misdirects_one_request() {
-    helper::run(one_answer_for_another_is_enough(Stage::new(2), OTHER_SERVICE, "/other/take"));
+fn an_address_reused_by_another_service_misdirects_one_request() {
+    helper::run(one_misdirected_answer_is_enough(TestBed::new(2), OTHER_SERVICE, "/other/take"));
 }
--- a/system/proxy/tests/helper/mod.rs
+++ b/system/proxy/tests/helper/mod.rs
@@ -1,4 +1,5 @@
-//! A stage for one proxy on loopback addresses: its registry, backends and clients, all stand-ins in this process.
+//! A test bed for one proxy on loopback addresses: a fake registry, fake backends and clients, all in this
+//! process.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -27,18 +28,18 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// What is waited for comes within this, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Between two looks whether it has come.
-const LOOK: Duration = Duration::from_millis(5);
-/// The one region, and the zone of the proxy under test.
+/// Time limit of a condition, long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The only region, and the zone of the proxy under test.
 const REGION: &str = "r";
 const ZONE: &str = "a";
-/// Places of machines on the stage.
+/// The last bytes of the addresses of machines.
 const REGISTRY: u8 = 1;
 const PROXY: u8 = 2;
 const FIRST_BACKEND: u8 = 100;
-/// Places of ports after the first one.
+/// Offsets of ports from the first one.
 const BACKEND_PORT: u16 = 9;
 const FRONTEND_PORT: u16 = 12;
 const READINESS_PORT: u16 = 13;
@@ -48,34 +49,34 @@
 pub const OTHER_SERVICE: &str = "t";
 const HOST: &str = "music.example";
 
-/// The first configuration: two services whose requests may be held for long.
+/// The initial configuration: two services whose requests may be queued for a long time.
 const CONFIG: &str = r#"{"upsert":{"tenants":[],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000000,"headerTimeout":"3s","idleTimeout":"15s","revision":"00000001"},"listeners":[{"hostname":"music.example","policy":[{"name":"all","routeType":"non_idempotent","targetLatency":"100s","priority":1,"public":true,"revision":"00000001","matchCriteria":{"pathPrefix":"/"},"action":{"service":"s","timeout":"100s","maxAttempts":2,"allowedRegions":[]}},{"name":"other","routeType":"non_idempotent","targetLatency":"100s","priority":1,"public":true,"revision":"00000001","matchCriteria":{"pathPrefix":"/other/"},"action":{"service":"t","timeout":"100s","maxAttempts":2,"allowedRegions":[]}}]}],"backendPools":[{"name":"t","healthCheckPath":"/health","maxConnections":50,"coldStart":"60s","coldPerS":5,"revision":"00000001"},{"name":"s","healthCheckPath":"/health","maxConnections":50,"coldStart":"60s","coldPerS":5,"revision":"00000001"}]},"remove":{"routes":[]}}"#;
 
-/// Runs a test on one thread, as the programs run.
+/// Runs a test on a single-threaded runtime, as the programs use.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Waits until something has happened.
-pub async fn within(what: &str, happened: impl AsyncFn() -> bool) {
-    let begun = Instant::now();
-    while !happened().await {
-        assert!(begun.elapsed() < PATIENCE, "never: {what}");
-        sleep(LOOK).await;
+/// Waits until a condition holds.
+pub async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
+    let started_at = Instant::now();
+    while !condition().await {
+        assert!(started_at.elapsed() < TIMEOUT, "timed out waiting until {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Addresses and ports of one test.
-pub struct Stage {
+pub struct TestBed {
     net: u8,
     number: u8,
     base: u16,
     next_request: Cell<u64>,
 }
 
-impl Stage {
-    /// The stage of a number; each test of a program has its own.
+impl TestBed {
+    /// The test bed with this number; each test of a program has its own.
     pub fn new(number: u8) -> Self {
         let process = std::process::id();
         let net = 1 + (process / 600 % 250) as u8;
@@ -92,23 +93,23 @@
         SocketAddr::new(self.ip(machine).into(), self.base + port)
     }
 
-    /// Starts a backend.
-    pub async fn backend(&self, number: u8, id: &str) -> Rc<StandIn> {
+    /// Starts a fake backend.
+    pub async fn backend(&self, number: u8, id: &str) -> Rc<FakeBackend> {
         let at = self.at(FIRST_BACKEND + number, BACKEND_PORT);
         let listener = TcpListener::bind(at).await.expect("an address for a backend");
-        let stand_in = Rc::new(StandIn {
+        let backend = Rc::new(FakeBackend {
             id: RefCell::new(id.to_owned()),
             at,
             arrivals: Cell::new(0),
             misdirected: Cell::new(0),
             holds: Cell::new(false),
         });
-        spawn_local(accept(listener, stand_in.clone()));
-        stand_in
+        spawn_local(accept(listener, backend.clone()));
+        backend
     }
 
-    /// Sends a request on a connection of its own; its task ends with the status that came.
-    pub fn ask(&self, path: &str) -> JoinHandle<u16> {
+    /// Sends a request on its own connection; the task returns the status of the answer, or 0 without one.
+    pub fn request(&self, path: &str) -> JoinHandle<u16> {
         let frontend = self.at(PROXY, FRONTEND_PORT);
         let number = self.next_request.get();
         self.next_request.set(number + 1);
@@ -120,9 +121,9 @@
         spawn_local(async move { exchange(frontend, request).await.map_or(0, |(status, _)| status) })
     }
 
-    /// Sends so many requests at once.
-    pub fn ask_many(&self, count: usize) -> Vec<JoinHandle<u16>> {
-        (0..count).map(|_| self.ask("/take")).collect()
+    /// Sends `count` requests at once.
+    pub fn request_many(&self, count: usize) -> Vec<JoinHandle<u16>> {
+        (0..count).map(|_| self.request("/take")).collect()
     }
 
     fn settings(&self) -> Settings {
@@ -170,8 +171,8 @@
     }
 }
 
-/// A backend that counts what arrives.
-pub struct StandIn {
+/// A fake backend that counts the requests that arrive.
+pub struct FakeBackend {
     id: RefCell<String>,
     at: SocketAddr,
     arrivals: Cell<usize>,
@@ -179,23 +180,23 @@
     holds: Cell<bool>,
 }
 
-impl StandIn {
-    /// It answers nothing from now on.
+impl FakeBackend {
+    /// Leaves all requests unanswered from now on.
     pub fn hold_all(&self) {
         self.holds.set(true);
     }
 
-    /// Another backend has its address from now on.
+    /// Gives its address to another backend from now on.
     pub fn becomes(&self, id: &str) {
         id.clone_into(&mut self.id.borrow_mut());
     }
 
-    /// Requests that it had and that were meant for it.
+    /// Number of requests received that were meant for this backend.
     pub fn arrivals(&self) -> usize {
         self.arrivals.get()
     }
 
-    /// Requests that were meant for another and got 421.
+    /// Number of requests that were meant for another backend and got 421.
     pub fn misdirected(&self) -> usize {
         self.misdirected.get()
     }
@@ -224,13 +225,13 @@
     }
 }
 
-async fn accept(listener: TcpListener, stand_in: Rc<StandIn>) {
+async fn accept(listener: TcpListener, backend: Rc<FakeBackend>) {
     while let Ok((stream, _)) = listener.accept().await {
-        let stand_in = stand_in.clone();
+        let backend = backend.clone();
         spawn_local(async move {
             let service = service_fn(move |request| {
-                let stand_in = stand_in.clone();
-                async move { Ok::<_, Infallible>(stand_in.serve(request).await) }
+                let backend = backend.clone();
+                async move { Ok::<_, Infallible>(backend.serve(request).await) }
             });
             drop(server::Builder::new().serve_connection(TokioIo::new(stream), service).await);
         });
@@ -246,17 +247,17 @@
     Some((head.status.as_u16(), String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// A backend as the list names it.
-pub fn listed(id: &str, stand_in: &StandIn, zone: &str, cold_ms: u32) -> Backend {
-    listed_for(SERVICE, id, stand_in, zone, cold_ms)
+/// A backend as an entry of the list.
+pub fn listed(id: &str, backend: &FakeBackend, zone: &str, cold_ms: u32) -> Backend {
+    listed_for(SERVICE, id, backend, zone, cold_ms)
 }
 
-/// The same of a service by name.
-pub fn listed_for(service: &str, id: &str, stand_in: &StandIn, zone: &str, cold_ms: u32) -> Backend {
+/// The same for a named service.
+pub fn listed_for(service: &str, id: &str, backend: &FakeBackend, zone: &str, cold_ms: u32) -> Backend {
     Backend {
         id: id.to_owned(),
         service: service.to_owned(),
-        address: stand_in.at.to_string(),
+        address: backend.at.to_string(),
         zone: zone.to_owned(),
         slots: 2,
         draining: false,
@@ -264,53 +265,56 @@
     }
 }
 
-/// What the stand-in registry has heard on its session, and the way back.
+/// The session of the fake registry: what it has received, and the writer for messages to the proxy.
 #[derive(Default)]
-struct Session {
+struct RegistrySession {
     writer: RefCell<Option<Writer>>,
-    member: RefCell<Option<ProxyInfo>>,
-    beats: Cell<u64>,
-    listing: Cell<u64>,
+    proxy_info: RefCell<Option<ProxyInfo>>,
+    heartbeats: Cell<u64>,
+    list_number: Cell<u64>,
 }
 
-/// The proxy under test and its registry.
+/// The proxy under test and its fake registry.
 pub struct Proxy {
-    session: Rc<Session>,
+    session: Rc<RegistrySession>,
     author: Host,
     metrics: SocketAddr,
 }
 
 impl Proxy {
-    /// Starts the proxy and waits for its session. `others` are the other proxies that it is told of, with their zones.
-    pub async fn start(stage: &Stage, others: &[(Host, &str)]) -> Self {
-        let settings = stage.settings();
-        let session = Rc::<Session>::default();
-        let listener = TcpListener::bind(settings.at(stage.ip(REGISTRY).into(), Port::Sessions)).await;
-        let of = session.clone();
-        link::accept(listener.expect("an address for the registry"), move |stream| hear(of.clone(), stream));
+    /// Starts the proxy and waits for its session. `others` are the other proxies that it is sent, with their
+    /// zones.
+    pub async fn start(test_bed: &TestBed, others: &[(Host, &str)]) -> Self {
+        let settings = test_bed.settings();
+        let session = Rc::<RegistrySession>::default();
+        let listener = TcpListener::bind(settings.at(test_bed.ip(REGISTRY).into(), Port::Sessions)).await;
+        let accepting = session.clone();
+        link::accept(listener.expect("an address for the registry"), move |stream| {
+            receive(accepting.clone(), stream)
+        });
         let signals = Signals {
             terminate: signal(SignalKind::user_defined1()).expect("a signal"),
             hangup: signal(SignalKind::user_defined2()).expect("a signal"),
         };
-        let port = stage.base + METRICS_PORT;
+        let port = test_bed.base + METRICS_PORT;
         spawn_local(async move {
             fennelscale_proxy::run(settings, signals, Some(port)).await.expect("the proxy runs");
         });
-        let author = Host::from_ip(stage.ip(REGISTRY).into()).expect("IPv4");
-        let proxy = Self { session, author, metrics: stage.at(PROXY, METRICS_PORT) };
-        within("a session", async || proxy.session.member.borrow().is_some()).await;
+        let author = Host::from_ip(test_bed.ip(REGISTRY).into()).expect("IPv4");
+        let proxy = Self { session, author, metrics: test_bed.at(PROXY, METRICS_PORT) };
+        wait_until("the proxy has a session", async || proxy.session.proxy_info.borrow().is_some()).await;
         proxy.send(&RegistryToProxy::Items { complete: true, up_to_date: true, entries: configuration() });
-        proxy.tell_members(others);
+        proxy.send_proxies(others);
         proxy
     }
 
-    fn send(&self, word: &RegistryToProxy) {
-        assert!(self.session.writer.borrow().as_ref().is_some_and(|writer| writer.send(word)));
+    fn send(&self, message: &RegistryToProxy) {
+        assert!(self.session.writer.borrow().as_ref().is_some_and(|writer| writer.send(message)));
     }
 
-    /// Tells it of these other proxies; it is one itself.
-    pub fn tell_members(&self, others: &[(Host, &str)]) {
-        let me = self.session.member.borrow().clone().expect("it has said who it is");
+    /// Sends the list of proxies: these others, and the proxy itself.
+    pub fn send_proxies(&self, others: &[(Host, &str)]) {
+        let me = self.session.proxy_info.borrow().clone().expect("the proxy has sent its description");
         let of = |(host, zone): &(Host, &str)| ProxyInfo {
             host: *host,
             zone: (*zone).to_owned(),
@@ -323,15 +327,16 @@
         self.send(&RegistryToProxy::Proxies(members, count));
     }
 
-    /// Tells it a list, and waits until it has said twice that it has it: what it sends by it is on its way by then.
-    pub async fn tell_list(&self, number: u64, backends: Vec<Backend>) {
+    /// Sends a list of backends, and waits for two heartbeats with its number: requests sent because of it
+    /// have left by then.
+    pub async fn send_list(&self, number: u64, backends: Vec<Backend>) {
         self.send(&RegistryToProxy::BackendList(BackendList { stamp: (number, self.author), backends }));
-        within("it has the list", async || self.session.listing.get() >= number).await;
-        let beats = self.session.beats.get();
-        within("another beat", async || self.session.beats.get() > beats).await;
+        wait_until("the proxy has the list", async || self.session.list_number.get() >= number).await;
+        let heartbeats = self.session.heartbeats.get();
+        wait_until("another heartbeat arrives", async || self.session.heartbeats.get() > heartbeats).await;
     }
 
-    /// The sum of a metric's samples, over those with this text in their labels.
+    /// The sum of the samples of a metric with this text in their labels.
     pub async fn metric(&self, name: &str, labels: &str) -> f64 {
         let request = Request::get("/metrics").header("Host", "metrics").body(Full::default());
         let Some((_, text)) = exchange(self.metrics, request.expect("a request")).await else { return 0.0 };
@@ -340,23 +345,23 @@
         samples.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
     }
 
-    /// Requests that were sent to backends without terms.
-    pub async fn sent_without_terms(&self) -> f64 {
+    /// Number of requests sent to backends without parameters.
+    pub async fn sent_without_parameters(&self) -> f64 {
         self.metric("backend_sends_total", "without_terms").await
     }
 }
 
-async fn hear(session: Rc<Session>, stream: TcpStream) {
+async fn receive(session: Rc<RegistrySession>, stream: TcpStream) {
     let (mut reader, writer) = split(stream);
     *session.writer.borrow_mut() = Some(writer.clone());
-    while let Ok(word) = reader.next::<ProxyToRegistry>().await {
-        match word {
-            ProxyToRegistry::Hello(member) | ProxyToRegistry::Resume(member, _) => {
-                *session.member.borrow_mut() = Some(member)
+    while let Ok(message) = reader.next::<ProxyToRegistry>().await {
+        match message {
+            ProxyToRegistry::Hello(info) | ProxyToRegistry::Resume(info, _) => {
+                *session.proxy_info.borrow_mut() = Some(info)
             }
-            ProxyToRegistry::Heartbeat { list_stamp: listing, .. } => {
-                session.listing.set(listing.0);
-                session.beats.set(session.beats.get() + 1);
+            ProxyToRegistry::Heartbeat { list_stamp, .. } => {
+                session.list_number.set(list_stamp.0);
+                session.heartbeats.set(session.heartbeats.get() + 1);
                 writer.send(&RegistryToProxy::Heartbeat { contact_age: 0 });
             }
             _ => {}
