--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -61,7 +61,7 @@
 /// The client side of the proxy.
 pub struct Frontend {
     proxy: Rc<Proxy>,
-    door: Rc<Door>,
+    acceptor: Rc<Door>,
     refusing: Cell<bool>,
     /// Bytes of request bodies that are being read.
     body_bytes: Cell<usize>,
@@ -123,9 +123,9 @@
         let idle = fennelscale_config::Limits::default().idle_timeout;
         admission.pace.request = Quantity::of(idle);
         admission.pace.head = Quantity::of(idle);
-        let door = Door::new(admission, budget);
-        proxy.set_door(door.clone());
-        Rc::new(Self { proxy, door, refusing: Cell::new(false), body_bytes: Cell::new(0) })
+        let acceptor = Door::new(admission, budget);
+        proxy.set_acceptor(acceptor.clone());
+        Rc::new(Self { proxy, acceptor, refusing: Cell::new(false), body_bytes: Cell::new(0) })
     }
 
     /// Serves clients until `end`, then lets connected clients finish within `grace`.
@@ -134,14 +134,14 @@
     ) {
         let (close, closing) = watch::channel(false);
         let frontend = self.clone();
-        self.door.open(Rc::new(move |stream, buffered, client| {
+        self.acceptor.open(Rc::new(move |stream, buffered, client| {
             frontend.clone().serve_connection(stream, buffered, client, closing.clone());
         }));
         let mut end = pin!(end);
         loop {
             tokio::select! {
                 () = end.as_mut() => break,
-                () = self.door.accept(&listener) => {}
+                () = self.acceptor.accept(&listener) => {}
             }
         }
         // Leaves service discovery first; clients that looked the proxy up before still arrive for a while.
@@ -152,16 +152,16 @@
         while Instant::now() < accept_until {
             tokio::select! {
                 () = tokio::time::sleep_until(accept_until) => {}
-                () = self.door.accept(&listener) => {}
+                () = self.acceptor.accept(&listener) => {}
             }
         }
         self.refusing.set(true);
-        self.door.accept_the_last(&listener, Instant::now() + Duration::from_millis(100)).await;
+        self.acceptor.accept_the_last(&listener, Instant::now() + Duration::from_millis(100)).await;
         drop(listener);
         close.send_replace(true);
         let answer_until = shutdown_start + grace.mul_f64(ANSWER_SHARE);
-        while !self.door.is_empty() && Instant::now() < answer_until {
-            let _ = timeout(Duration::from_millis(50), self.door.left.notified()).await;
+        while !self.acceptor.is_empty() && Instant::now() < answer_until {
+            let _ = timeout(Duration::from_millis(50), self.acceptor.left.notified()).await;
         }
     }
 
@@ -200,7 +200,7 @@
                 }
             }
             client.life.step(Event::Closed);
-            self.door.gone(&client);
+            self.acceptor.gone(&client);
         });
     }
 
--- a/system/proxy/src/peer_sync.rs
+++ b/system/proxy/src/peer_sync.rs
@@ -17,7 +17,7 @@
 
 /// Interval of requests to other proxies while there is no session.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
-/// Number of proxies asked at a time.
+/// Number of proxies that are asked at a time.
 const PEERS_AT_ONCE: usize = 2;
 /// Time limit of one exchange.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1200);
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -77,7 +77,7 @@
     seeds: RefCell<Vec<SocketAddr>>,
     /// Idle drained nodes, as last sent to the registry.
     idle_nodes: RefCell<Vec<String>>,
-    door: RefCell<Option<Rc<Door>>>,
+    acceptor: RefCell<Option<Rc<Door>>>,
     /// Failure orders and their counts.
     pub failure_orders: RefCell<Desk>,
     next_count_at: Cell<f64>,
@@ -138,7 +138,7 @@
         last_contact: Cell::default(),
         copies: Cell::default(),
         idle_nodes: RefCell::default(),
-        door: RefCell::default(),
+        acceptor: RefCell::default(),
         failure_orders: RefCell::new(failure_orders),
         next_count_at: Cell::new(0.0),
         leaving: Cell::new(false),
@@ -220,8 +220,8 @@
     }
 
     /// Sets the acceptor of client connections, which tells whether clients are connected.
-    pub fn set_door(&self, door: Rc<Door>) {
-        *self.door.borrow_mut() = Some(door);
+    pub fn set_acceptor(&self, acceptor: Rc<Door>) {
+        *self.acceptor.borrow_mut() = Some(acceptor);
     }
 
     /// What failure orders do to a request. Logs the request if an order selects it.
@@ -265,7 +265,7 @@
         if state.drained_nodes().is_empty() {
             return Vec::new();
         }
-        let has_clients = self.door.borrow().as_ref().is_some_and(|door| !door.is_empty());
+        let has_clients = self.acceptor.borrow().as_ref().is_some_and(|acceptor| !acceptor.is_empty());
         state.idle_nodes(&self.services.busy_backends(), has_clients)
     }
 
--- a/system/proxy/src/routing_state/tests.rs
+++ b/system/proxy/src/routing_state/tests.rs
@@ -28,9 +28,9 @@
     state
 }
 
-fn set_drain(state: &mut RoutingState, now: f64, turn: u64, nodes: &str) {
+fn set_drain(state: &mut RoutingState, now: f64, sequence: u64, nodes: &str) {
     let body = (!nodes.is_empty()).then(|| format!(r#"{{"nodes":[{nodes}],"ends":{WINDOW_END}}}"#));
-    let stamp = Stamp { sequence: turn, ..Stamp::default() };
+    let stamp = Stamp { sequence, ..Stamp::default() };
     state.merge(now, vec![("d:o".into(), Entry { stamp, body, ..Entry::default() })]);
 }
 
@@ -100,8 +100,8 @@
         assert!(!is_cold(&mut state, 10_000.0 + COLD_START + lag));
         // A list that may have been read before the return proves nothing; one that was read later does.
         let mut state = returned_zone(missed_start);
-        let listing = state.backend_list.clone();
-        let at = |number| BackendList { stamp: (number, Host(2)), ..listing.clone() };
+        let backend_list = state.backend_list.clone();
+        let at = |number| BackendList { stamp: (number, Host(2)), ..backend_list.clone() };
         state.set_backend_list(10_000.0 + lag, at(2));
         assert!(is_cold(&mut state, 10_000.0 + lag));
         state.set_backend_list(10_000.0 + lag + LIST_PROPAGATION, at(3));
@@ -148,21 +148,21 @@
 
 /// An item for the test below: a route with its path, or a tenant with its key; without a body if the item is
 /// removed.
-fn claim_entry(turn: u64, holder: usize, claim: Option<usize>) -> (String, Entry) {
+fn claim_entry(sequence: u64, holder: usize, claim: Option<usize>) -> (String, Entry) {
     let (name, body) = if holder < ROUTES {
         let body = claim.map(|path| {
             format!(
-                r#"{{"name":"r{holder}","routeType":"idempotent","public":true,"revision":"{turn:08x}","matchCriteria":{{"pathPrefix":"/p{path}/"}},"action":{{"service":"s","timeout":"4s"}}}}"#
+                r#"{{"name":"r{holder}","routeType":"idempotent","public":true,"revision":"{sequence:08x}","matchCriteria":{{"pathPrefix":"/p{path}/"}},"action":{{"service":"s","timeout":"4s"}}}}"#
             )
         });
         (format!("r:r{holder}"), body)
     } else {
         let body = claim
-            .map(|key| format!(r#"{{"name":"t{holder}","apiKeys":["k{key}"],"revision":"{turn:08x}"}}"#));
+            .map(|key| format!(r#"{{"name":"t{holder}","apiKeys":["k{key}"],"revision":"{sequence:08x}"}}"#));
         (format!("t:t{holder}"), body)
     };
-    let stamp = Stamp { sequence: turn, ..Stamp::default() };
-    (name, Entry { stamp, revision: turn, host: "h".into(), body, ..Entry::default() })
+    let stamp = Stamp { sequence, ..Stamp::default() };
+    (name, Entry { stamp, revision: sequence, host: "h".into(), body, ..Entry::default() })
 }
 
 const ROUTES: usize = 3;
--- a/system/proxy/tests/helper/mod.rs
+++ b/system/proxy/tests/helper/mod.rs
@@ -321,10 +321,10 @@
             ready: true,
             ..me.clone()
         };
-        let mut members: Vec<ProxyInfo> = others.iter().map(of).collect();
-        members.push(ProxyInfo { ready: true, ..me });
-        let count = members.len() as u32;
-        self.send(&RegistryToProxy::Proxies(members, count));
+        let mut proxies: Vec<ProxyInfo> = others.iter().map(of).collect();
+        proxies.push(ProxyInfo { ready: true, ..me });
+        let count = proxies.len() as u32;
+        self.send(&RegistryToProxy::Proxies(proxies, count));
     }
 
     /// Sends a list of backends, and waits for two heartbeats with its number: requests sent because of it
--- a/system/proxy/tests/registry_choice.rs
+++ b/system/proxy/tests/registry_choice.rs
@@ -62,8 +62,8 @@
     let mut choice = RegistryChoice::default();
     assert_eq!(choice.contact_age(0.0), None);
     choice.record_heartbeat(0.0, 0.0);
-    for beat in 1..20 {
-        let now = f64::from(beat) * 400.0;
+    for heartbeat in 1..20 {
+        let now = f64::from(heartbeat) * 400.0;
         choice.record_heartbeat(now, now);
         assert_eq!(choice.contact_age(now), Some(now));
         assert_eq!(choice.is_out_of_contact(now), now > CONTACT_LEASE);
