--- a/system/messages/src/feed.rs
+++ b/system/messages/src/feed.rs
@@ -1,59 +1,59 @@
-//! Events, as registries tell them to each other and have them kept by their machines' stores.
+//! Events as registries exchange them and have them stored by the config stores of their hosts.
 
 use bitcode::{Decode, Encode};
 
-/// What can happen. The list is closed; names and meanings stay, new ones may be added with a higher [`VERSION`].
+/// The kinds of events. Names and meanings are stable; adding a kind requires a higher [`VERSION`].
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventKind {
-    /// An item has a new version in force.
+    /// A new revision of an item is in force.
     ItemChosen,
-    /// An item was dropped.
+    /// An item was removed.
     ItemDropped,
-    /// A zone is to get nothing.
+    /// A zone is evacuated.
     ZoneEvacuated,
-    /// A zone was taken back.
+    /// The evacuation of a zone ended.
     ZoneBack,
-    /// A proxy has a session.
+    /// A proxy opened a session.
     MemberJoined,
-    /// A proxy's session ended by its line or its word.
+    /// A proxy's session ended: it closed the session or its connection was lost.
     MemberLeft,
-    /// A proxy's session ended in silence.
+    /// A proxy's session timed out.
     MemberSilent,
-    /// A proxy holds other items than its registry, also after they were on their way to it.
+    /// A proxy's items differ from those of its registry even after the time that updates take to arrive.
     MemberLagging,
-    /// A proxy that lagged holds what its registry holds.
+    /// A lagging proxy holds the items of its registry again.
     MemberCurrent,
-    /// This registry holds a duty.
+    /// This registry acquired a duty.
     DutyTaken,
-    /// This registry no longer holds a duty.
+    /// This registry lost a duty.
     DutyLost,
-    /// A backend is on the list that was not.
+    /// A backend was added to the list.
     BackendListed,
-    /// A backend is to get nothing new.
+    /// A backend is draining.
     BackendDraining,
-    /// A backend is no longer on the list.
+    /// A backend was removed from the list.
     BackendGone,
-    /// The list of seats has changed.
+    /// The list of voting members changed.
     SeatsChanged,
-    /// The store's copy is as new as a quorum's again.
+    /// The store's copy is up to date with a quorum again.
     CopyFresh,
-    /// The store hears no quorum that holds what it holds.
+    /// The store has no contact with a quorum that holds what it holds.
     CopyDoubtful,
-    /// A node is drained by a work order: new work goes elsewhere.
+    /// A work order drains a node: new work goes elsewhere.
     NodeDraining,
-    /// Nothing is at work at a node that is drained.
+    /// A drained node has no work left.
     NodeOut,
-    /// A node is back and was out for its time.
+    /// A node is back after having been out for the required time.
     NodeServiced,
-    /// A node is back and was not out for its time.
+    /// A node is back without having been out for the required time.
     NodeUnserviced,
-    /// A failure order has met requests at a proxy.
+    /// A failure order affected requests at a proxy.
     FailureMet,
-    /// An operator's call was refused.
+    /// An operator's call was rejected.
     CallRefused,
-    /// All of a tenant's units of a window were granted, and more were asked for.
+    /// All units of a tenant for a window are granted, and more were requested.
     QuotaSpent,
-    /// A tenant whose quota was spent gets units again.
+    /// A tenant whose quota was exhausted gets units again.
     QuotaBack,
 }
 
@@ -90,7 +90,7 @@
         Self::QuotaBack,
     ];
 
-    /// Its name outside.
+    /// The stable name of the kind.
     pub const fn name(self) -> &'static str {
         match self {
             Self::ItemChosen => "item-chosen",
@@ -122,61 +122,62 @@
     }
 }
 
-/// A place in the feed of one registry: a life of it, and the last event of that life that was told.
+/// A position in the feed of one registry: an incarnation, and the last event of it that was delivered.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct FeedPosition {
-    /// The registry's life; 0 is before all that is kept.
+    /// The registry's incarnation; 0 is before all stored events.
     pub incarnation: u64,
-    /// Counts up within it, from 1.
+    /// The number of the event within the incarnation, from 1.
     pub number: u64,
 }
 
-/// One event.
+/// An event.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub struct Event {
-    /// Its place in the feed of the registry that saw it.
+    /// Its position in the feed of the registry that observed it.
     pub position: FeedPosition,
-    /// The same wherever it was seen.
+    /// The same at every registry that observed it.
     pub id: String,
-    /// What happened.
+    /// Its kind.
     pub kind: EventKind,
-    /// To what: an item, a proxy, a backend, a duty, a zone. Events of one of these are told in their order.
+    /// The item, proxy, backend, duty or zone it is about. Events of one subject are delivered in order.
     pub subject: String,
-    /// Where, and what led to it.
+    /// Where it happened and what caused it.
     pub cause: String,
-    /// When the registry saw it, in ms since its start.
+    /// When the registry observed it, in ms since its start.
     pub at: f64,
 }
 
-/// What a reader wants of one registry.
+/// A query for the events of one registry.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Default)]
 pub struct EventQuery {
-    /// Only what comes after; none for all that this life has in memory.
+    /// Only events after this position; none for all events of this incarnation in memory.
     pub after: Option<FeedPosition>,
-    /// Only this kind.
+    /// Only events of this kind.
     pub kind: Option<EventKind>,
-    /// Only what begins so.
+    /// Only events whose subject has this prefix.
     pub subject_prefix: String,
-    /// No more than this; 0 for as many as an answer has at most.
+    /// The most events to return; 0 for the limit of a page.
     pub limit: usize,
 }
 
 impl EventQuery {
-    /// Whether an event is one of those.
+    /// Whether an event matches the kind and the subject prefix.
     pub fn matches(&self, event: &Event) -> bool {
         self.kind.is_none_or(|kind| kind == event.kind) && event.subject.starts_with(&self.subject_prefix)
     }
 }
 
-/// What one registry has of it.
+/// The response of one registry to an [`EventQuery`].
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Default)]
 pub struct EventPage {
     /// Events, oldest first.
     pub events: Vec<Event>,
-    /// How far this goes, for the next question.
+    /// The position to continue after.
     pub position: FeedPosition,
-    /// Events may have been missed since the place that was asked for.
+    /// Events may have been missed since the requested position.
     pub missed: bool,
-    /// The registry's clock, by which events of this life are so old; none where they are of an earlier one.
+    /// The registry's clock, which gives the age of events of this incarnation; none for earlier
+    /// incarnations.
     pub now: Option<f64>,
 }
--- a/system/messages/src/lib.rs
+++ b/system/messages/src/lib.rs
@@ -1,11 +1,11 @@
-//! What the processes of the system say to each other: `bitcode` values in frames.
+//! Messages between the processes of the system: `bitcode` values in frames.
 //!
-//! A frame is its length in four bytes (little end first), not counting these, then the version of the words, then the
-//! value. Whoever hears a version or a value that it does not know closes the connection: processes of one deployment are
-//! of one build, and a wrong word must not be guessed at.
+//! A frame consists of a four-byte little-endian length, which does not count itself, the protocol version
+//! and the value. A receiver that does not know the version or cannot decode the value closes the connection:
+//! all processes of a deployment are of one build, and a malformed message must not be guessed at.
 //!
-//! Machines are known by their IPv4 address ([`Host`]): an empty machine at another address is another machine. Lives are
-//! told apart by a number drawn at the start of each process.
+//! Machines are identified by their IPv4 address ([`Host`]): an empty machine at another address is another
+//! machine. Incarnations of a process are distinguished by a number drawn at its start.
 
 pub mod feed;
 pub mod registry;
@@ -17,17 +17,18 @@
 use std::net::{IpAddr, Ipv4Addr};
 use thiserror::Error;
 
-/// The version of the words; raised with every change of one.
+/// The version of the protocol; raised with every change of a message.
 pub const PROTOCOL_VERSION: u8 = 6;
-/// The longest frame. A whole configuration of ten thousand routes fits; what is longer is no word of ours.
+/// The longest frame, in bytes. A full configuration of ten thousand routes fits; anything longer is not a
+/// valid frame.
 pub const MAX_FRAME_LENGTH: usize = 16 << 20;
 
-/// A machine, by its address.
+/// A machine, identified by its address.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Host(pub u32);
 
 impl Host {
-    /// The machine at an address; none if that is not IPv4.
+    /// The machine at an address; none if the address is not IPv4.
     pub fn from_ip(ip: IpAddr) -> Option<Self> {
         match ip {
             IpAddr::V4(ip) => Some(Self(ip.to_bits())),
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Its address.
+    /// The address of the machine.
     pub fn ip(self) -> IpAddr {
         Ipv4Addr::from_bits(self.0).into()
     }
@@ -47,21 +48,21 @@
     }
 }
 
-/// A frame that cannot be read.
+/// Why a frame cannot be decoded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// It is longer than any.
-    #[error("a frame of {0} bytes")]
+    /// Its length is zero or exceeds [`MAX_FRAME_LENGTH`].
+    #[error("frame length of {0} bytes is out of range")]
     TooLong(usize),
-    /// Its words are of another version.
-    #[error("words of version {0}")]
+    /// It has another protocol version.
+    #[error("unsupported protocol version {0}")]
     Version(u8),
-    /// It holds no such value.
-    #[error("a frame that holds no word")]
+    /// It does not hold a value of the expected type.
+    #[error("malformed message")]
     Malformed,
 }
 
-/// A value as a frame.
+/// Encodes a value as a frame.
 pub fn encode_frame<T: Encode>(value: &T) -> Vec<u8> {
     let body = bitcode::encode(value);
     let mut frame = Vec::with_capacity(body.len() + 5);
@@ -71,19 +72,19 @@
     frame
 }
 
-/// How long the frame that begins here is, without the four bytes that say so.
+/// Decodes the length of a frame from its first four bytes. The length does not count these.
 ///
 /// # Errors
-/// When it is too long.
+/// When the length is zero or exceeds [`MAX_FRAME_LENGTH`].
 pub fn frame_length(head: [u8; 4]) -> Result<usize, FrameError> {
     let length = u32::from_le_bytes(head) as usize;
     if length == 0 || length > MAX_FRAME_LENGTH { Err(FrameError::TooLong(length)) } else { Ok(length) }
 }
 
-/// The value of a frame, without the four bytes of its length.
+/// Decodes the value of a frame that is given without its four length bytes.
 ///
 /// # Errors
-/// When there is none in it.
+/// When the protocol version is another one or the value cannot be decoded.
 pub fn decode_frame<T: for<'a> Decode<'a>>(frame: &[u8]) -> Result<T, FrameError> {
     match frame.split_first() {
         Some((&PROTOCOL_VERSION, body)) => bitcode::decode(body).map_err(|_| FrameError::Malformed),
@@ -100,7 +101,7 @@
     mix(mixed)
 }
 
-/// Spreads the bits of a number.
+/// Mixes the bits of a number, so that similar inputs give unrelated outputs.
 pub fn mix(mut z: u64) -> u64 {
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/system/messages/src/registry.rs
+++ b/system/messages/src/registry.rs
@@ -1,97 +1,102 @@
-//! Words among registries.
+//! Messages among registries.
 
 use crate::Host;
 use crate::feed::{EventPage, EventQuery};
 use crate::session::{BackendList, Grant, ProxyInfo};
 use bitcode::{Decode, Encode};
 
-/// Words among registries.
+/// A message among registries.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub enum RegistryMessage {
-    /// Every so often.
+    /// Sent periodically.
     Heartbeat {
-        /// The sender's life.
+        /// The sender's incarnation.
         incarnation: u64,
-        /// Numbers the beat.
+        /// The number of the heartbeat.
         number: u64,
-        /// The duties that it holds or wants, a bit each.
+        /// The duties that the sender holds or requests, one bit each.
         claims: u64,
-        /// The sessions that it has, in one hash.
+        /// A hash of the sender's sessions.
         sessions_hash: u64,
-        /// The newest list that it has.
+        /// The newest backend list that the sender has.
         list_stamp: (u64, Host),
-        /// The highest number of a list that it ever heard of: proxies remember lists of before a start of all registries.
+        /// The highest number of a backend list the sender ever heard of: proxies remember lists from before
+        /// a restart of all registries.
         highest_list: u64,
     },
-    /// To a beat: the claims that the sender lets stand.
+    /// The response to a heartbeat: the claims that the sender grants.
     HeartbeatAck {
-        /// Which beat.
+        /// The number of the heartbeat.
         number: u64,
-        /// Of which life.
+        /// The incarnation that sent it.
         incarnation: u64,
-        /// Claims that stand.
+        /// The granted claims.
         granted: u64,
-        /// The sender's time of day, in ms since 1970, while there are maintenance hours to be kept.
+        /// The sender's time of day, in ms since 1970, as long as maintenance hours are configured.
         wall_clock: Option<u64>,
     },
     /// All sessions of the sender.
     Sessions {
-        /// Who has one.
+        /// The proxies with a session.
         proxies: Vec<ProxyInfo>,
-        /// Who had one and went silent: they may be on their own, each with the part of one of so many.
+        /// Proxies that went silent, and the number of shares: each may be granting itself one share of so
+        /// many.
         silent: Vec<(Host, u32)>,
-        /// Who has one and spends by itself all the same, and of which keys: their holders do not reach it.
+        /// Proxies with a session that nevertheless grant themselves units, and of which keys: they cannot
+        /// reach the holders of those.
         self_granted: Vec<(Host, u64)>,
     },
-    /// Tell me all your sessions.
+    /// Asks for all sessions of the receiver.
     RequestSessions,
-    /// A newer list.
+    /// A newer backend list.
     BackendList(BackendList),
-    /// Tell me your list.
+    /// Asks for the receiver's backend list.
     RequestBackendList,
-    /// A proxy of the sender's asks its region's relay for units.
+    /// A proxy of the sender requests units from the relay of its region.
     RequestUnitsFromRelay {
         /// The proxy.
         from: Host,
-        /// Whose.
+        /// The tenant whose units are requested.
         tenant: String,
         /// How many.
         units: f64,
-        /// For the next window.
+        /// They are for the next window.
         next_window: bool,
-        /// Requests a ms that come to the proxy, smoothed.
+        /// Smoothed rate of requests arriving at the proxy, per ms.
         demand: f64,
     },
-    /// A relay asks the holder for units.
+    /// A relay requests units from the holder.
     RequestUnits {
-        /// The relay's registry.
+        /// The registry of the relay.
         from: Host,
-        /// Whose.
+        /// The tenant whose units are requested.
         tenant: String,
         /// How many.
         units: f64,
-        /// For the next window.
+        /// They are for the next window.
         next_window: bool,
-        /// Requests a ms that come to its proxies, smoothed.
+        /// Smoothed rate of requests arriving at its proxies, per ms.
         demand: f64,
     },
-    /// Units for a proxy of the receiver's, or for its relay.
+    /// Units for a proxy of the receiver, or for its relay.
     Grant(Host, Grant),
     /// Units that a proxy did not spend.
     ReturnUnits {
-        /// Whose.
+        /// The tenant whose units they are.
         tenant: String,
         /// How many.
         units: f64,
-        /// Of which window.
+        /// Their window.
         window: u64,
     },
-    /// A reader at the sender's wants to know what the receiver saw happen. The number comes back with the answer.
+    /// A reader at the sender requests events observed by the receiver. The number is copied into the
+    /// response.
     RequestEvents(u64, EventQuery),
-    /// That.
+    /// The response to [`RequestEvents`](Self::RequestEvents).
     Events(u64, EventPage),
-    /// An operator at the sender's asks for a request, by the hash of its id.
+    /// An operator at the sender looks up a request by the hash of its id. The first number is copied into
+    /// the response.
     LookUpRequest(u64, u64),
-    /// What each proxy with a session at the sender knows of it, as JSON.
+    /// What each proxy with a session at the sender knows of the request, as JSON.
     RequestRecords(u64, Vec<(Host, String)>),
 }
--- a/system/messages/src/session.rs
+++ b/system/messages/src/session.rs
@@ -1,11 +1,12 @@
-//! Words between a proxy and the registry that it has its session with, and what proxies pass on to each other.
+//! Messages between a proxy and the registry of its session, and among proxies.
 
 use crate::Host;
 use crate::store::NamedEntry;
 use bitcode::{Decode, Encode};
 
-/// Contact with the majority of the core that is older than this, in ms, counts as lost: five beats of registries, of which one may be
-/// late by the longest way. A registry says how old its own is, and a proxy goes elsewhere.
+/// The age, in ms, from which contact with the majority of the core counts as lost: five heartbeats of
+/// registries, one of which may be late by the longest network delay. A registry reports the age of its
+/// contact, and proxies leave it beyond this.
 pub const CONTACT_LEASE: f64 = 1500.0;
 
 /// A proxy.
@@ -13,119 +14,125 @@
 pub struct ProxyInfo {
     /// The machine.
     pub host: Host,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Its zone.
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// The port that clients are sent to.
+    /// The port on which it serves clients.
     pub port: u16,
-    /// Whether it takes clients.
+    /// Whether it accepts clients.
     pub ready: bool,
-    /// Nodes that are being drained and where it has nothing at work.
+    /// Draining nodes at which it has no work left.
     pub idle_nodes: Vec<String>,
 }
 
-/// One backend as the platform lists it.
+/// A backend as listed by the platform.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub struct Backend {
-    /// Its life.
+    /// Identifies the instance; a restarted backend has another one.
     pub id: String,
-    /// What it serves.
+    /// The service it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// The number of requests it processes at once.
     pub slots: u32,
-    /// It finishes its work and must be sent nothing new.
+    /// It finishes its current work and must not be sent new requests.
     pub draining: bool,
-    /// For how long it stays cold, in ms, as of when the list was read.
+    /// For how long it stays cold, in ms, counted from the reading of the list.
     pub cold_ms: u32,
 }
 
-/// The platform's list, as it was read once.
+/// The platform's list of backends as of one reading.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Default)]
 pub struct BackendList {
-    /// Counts up with each reading, over all readers; the reader tells two of the same apart.
+    /// The number of the reading, increasing over all readers, and the reader, which distinguishes equal
+    /// numbers.
     pub stamp: (u64, Host),
     /// All backends.
     pub backends: Vec<Backend>,
 }
 
-/// From a proxy to a registry.
+/// A message from a proxy to a registry.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub enum ProxyToRegistry {
-    /// A session begins.
+    /// Opens a session.
     Hello(ProxyInfo),
-    /// Still here. What this proxy holds of the items and of the list.
+    /// The periodic state of the proxy: what it holds of the items and of the backend list.
     Heartbeat {
-        /// Whether it takes clients.
+        /// Whether it accepts clients.
         ready: bool,
-        /// All its items in one hash.
+        /// A hash of all its items.
         items_hash: u64,
-        /// The list that it has.
+        /// The stamp of its backend list.
         list_stamp: (u64, Host),
-        /// The keys of quotas that it spends by itself, since it is told that nobody grants them.
+        /// The keys of quotas from which it grants itself units, since it was told that no holder grants
+        /// them.
         self_granted: u64,
     },
-    /// Units of a tenant, for the window at hand or the one after.
+    /// Requests units of a tenant, for the current window or the next one.
     RequestUnits {
-        /// Whose.
+        /// The tenant whose units are requested.
         tenant: String,
         /// How many.
         units: f64,
-        /// For the next window.
+        /// They are for the next window.
         next_window: bool,
-        /// Requests a ms that come here, smoothed: shares of what is scarce follow it.
+        /// Smoothed rate of requests arriving at the proxy, per ms. Scarce units are shared in proportion to
+        /// it.
         demand: f64,
     },
-    /// Units that were not spent.
+    /// Returns units that were not spent.
     ReturnUnits {
-        /// Whose.
+        /// The tenant whose units they are.
         tenant: String,
         /// How many.
         units: f64,
-        /// Of which window.
+        /// Their window.
         window: u64,
     },
-    /// All nodes that are being drained and where this proxy has nothing at work now.
+    /// All draining nodes at which this proxy now has no work left.
     IdleNodes(Vec<String>),
-    /// What this life of the proxy has counted of failure orders: of whom each names (named, failed, untouched), and how all other
-    /// requests ended (served, refused, otherwise) before its time and in it.
+    /// What this incarnation of the proxy has counted for each failure order: the requests it selects (named,
+    /// failed, untouched), and how all other requests ended (served, refused, otherwise) before the order's
+    /// time and during it.
     FailureCounts(Vec<(String, [u64; 3], [[u64; 3]; 2])>),
-    /// What this proxy did with a request that was asked for, as JSON; empty if it knows nothing of it.
+    /// The response to [`RegistryToProxy::LookUpRequest`]: what this proxy did with the request, as JSON;
+    /// empty if it does not know it.
     RequestRecord(u64, String),
-    /// The session ends in order.
+    /// Closes the session.
     EndSession,
-    /// A session begins, of a proxy that holds a copy already: its items by parts. It is sent what differs.
+    /// Opens a session for a proxy that already holds a copy, with the checksums of the copy's parts. It is
+    /// sent the parts that differ.
     Resume(ProxyInfo, Vec<u64>),
-    /// What this proxy holds, by parts: the answer to [`RegistryToProxy::RequestDigest`].
+    /// The response to [`RegistryToProxy::RequestDigest`]: the checksums of the parts of this proxy's copy.
     Digest(Vec<u64>),
 }
 
-/// What was leased.
+/// A grant of quota units.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub struct Grant {
-    /// Whose.
+    /// The tenant they are for.
     pub tenant: String,
-    /// How many units; 0 when all are spent.
+    /// The number of units; 0 if all are spent.
     pub units: f64,
-    /// Which window.
+    /// The window they are for.
     pub window: u64,
-    /// How long until it begins, in ms; 0 when it is at hand.
+    /// The time until the window begins, in ms; 0 if it is current.
     pub begins_in: f64,
-    /// How long until it ends, in ms.
+    /// The time until the window ends, in ms.
     pub ends_in: f64,
-    /// What was asked for was for the next window.
+    /// The request was for the next window.
     pub next_window: bool,
-    /// Nobody grants at the moment: the holder has just changed.
+    /// No units are granted at the moment: the holder has just changed.
     pub closed: bool,
 }
 
-/// A registry and where it is.
+/// A registry and its location.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq)]
 pub struct RegistryInfo {
     /// The machine.
@@ -134,60 +141,63 @@
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// The sender hears it: a proxy that has a session with the sender does not leave it for one that it does not hear.
+    /// The sender is in contact with it. A proxy with a session at the sender does not leave it for a
+    /// registry the sender cannot reach.
     pub reachable: bool,
 }
 
-/// From a registry to a proxy.
+/// A message from a registry to a proxy.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub enum RegistryToProxy {
-    /// Items: all that there are, or those that are new.
+    /// Items: all of them, or new ones.
     Items {
-        /// All.
+        /// These are all items.
         complete: bool,
-        /// A quorum vouches for all of them as of now.
+        /// A quorum currently confirms that all of them are up to date.
         up_to_date: bool,
         /// The entries.
         entries: Vec<NamedEntry>,
     },
     /// The list of backends.
     BackendList(BackendList),
-    /// All proxies, and how many there are for shares: those that are silent count for a while. 0: nobody knows yet.
+    /// All proxies, and how many share what is scarce: silent ones count for a while. 0 means that it is not
+    /// known yet.
     Proxies(Vec<ProxyInfo>, u32),
     /// The registries.
     Registries(Vec<RegistryInfo>),
-    /// Units.
+    /// Quota units.
     Grant(Grant),
-    /// An operator asks for a request, by the hash of its id. The first number comes back with the answer.
+    /// An operator looks up a request by the hash of its id. The first number is copied into the response.
     LookUpRequest(u64, u64),
-    /// True time lies between these, in ms since 1970: what is drained is drained until a moment.
+    /// The earliest and latest possible true time, in ms since 1970: drains end at a point in time.
     Time(f64, f64),
-    /// Still here.
+    /// Sent periodically.
     Heartbeat {
-        /// How long ago, in ms, the sender was last in contact with a majority of the core and held a copy as new as a quorum's.
+        /// How long ago, in ms, the sender was last in contact with a majority of the core and held a copy as
+        /// new as a quorum's.
         contact_age: u32,
     },
-    /// The proxy's items are not what they should be: what it holds is asked for, by parts.
+    /// The proxy's items differ from what they should be: asks for the checksums of their parts.
     RequestDigest,
 }
 
-/// From proxy to proxy: one whose session is down asks a few others for what it lacks.
+/// A message among proxies: a proxy without a session asks a few others for what it lacks.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub enum ProxyMessage {
-    /// What the sender holds: its items by parts, and its list.
+    /// What the sender holds.
     Digest {
-        /// Hashes of the items, by part of their names.
+        /// The checksums of the parts of its items.
         items: Vec<u64>,
-        /// The list.
+        /// The stamp of its backend list.
         list_stamp: (u64, Host),
     },
-    /// Items of the parts that differ, the list if it is newer, and the members.
+    /// The items of the parts that differ, the backend list if it is newer, and the proxies.
     Update {
         /// Chosen entries.
         entries: Vec<NamedEntry>,
-        /// A newer list.
+        /// A newer backend list.
         backend_list: Option<BackendList>,
-        /// All proxies, and how many there are for shares.
+        /// All proxies, and how many share what is scarce.
         proxies: (Vec<ProxyInfo>, u32),
     },
 }
--- a/system/messages/src/store.rs
+++ b/system/messages/src/store.rs
@@ -1,125 +1,127 @@
-//! Words among stores, and between a store and its machine's registry.
+//! Messages among config stores, and between a config store and the registry of its host.
 
 use crate::Host;
 use crate::feed;
 use bitcode::{Decode, Encode};
 
-/// Whose turn it is to write. Higher ones go before; two seats never have the same.
+/// A leader's term. Higher terms take precedence; no two members ever lead the same term.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Term {
-    /// Counts up.
+    /// Increases with each new term.
     pub number: u64,
-    /// The seat that writes.
+    /// The member that leads.
     pub leader: Host,
 }
 
-/// When an entry was written: the order of all entries of one name.
+/// When an entry was written. Orders all entries of one name.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Stamp {
-    /// By whose turn.
+    /// The term in which it was written.
     pub term: Term,
-    /// Which write of that turn.
+    /// The number of the write within the term.
     pub sequence: u64,
 }
 
 impl Stamp {
-    /// The first stamp after this one. Who holds all that was written before it holds this write too.
+    /// The first stamp after this one. A copy that holds everything written before it also holds this write.
     #[must_use]
     pub fn next(self) -> Self {
         Self { sequence: self.sequence + 1, ..self }
     }
 }
 
-/// What is known of one name.
+/// The stored state of one name.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq, Hash, Default)]
 pub struct Entry {
     /// When it was written.
     pub stamp: Stamp,
-    /// The version that the operator gave.
+    /// The revision that the operator assigned.
     pub revision: u64,
-    /// The host of a route; empty for all else.
+    /// The host name of a route; empty for other items. For a failure order, the proxies that share it.
     pub host: String,
-    /// The item as it was sent; none when it was dropped.
+    /// The item as it was sent; none if it was removed.
     pub body: Option<String>,
-    /// Versions before this one that were given to a content, in rising order: a call that arrives again is known by it.
+    /// Earlier revisions and their contents, in ascending order. A repeated call is recognised by them.
     pub history: Vec<RevisionRecord>,
 }
 
-/// A version number and the content that it was given to.
+/// A revision number and the content it was assigned to.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, Hash)]
 pub struct RevisionRecord {
-    /// The operator's number.
+    /// The operator's revision number.
     pub revision: u64,
-    /// The hash of what was sent under it.
+    /// The hash of the content sent under it.
     pub content_hash: u64,
 }
 
-/// A call that one store passes on to another. The life of the sender is part of it: an answer to a former life of a process is
-/// never taken for one to this life.
+/// Identifies a call that one store forwards to another. It includes the sender's incarnation, so that a
+/// response to an earlier incarnation is never taken for one to the current process.
 #[derive(Clone, Copy, Debug, Decode, Encode, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId {
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// The number of the call in that life.
+    /// The number of the call within that incarnation.
     pub number: u64,
 }
 
-/// An entry and its name.
+/// A name and its entry.
 pub type NamedEntry = (String, Entry);
 
-/// A change that an operator asks for.
+/// A change requested by an operator.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq, Hash)]
 pub struct Change {
-    /// The item's name, with its kind before it.
+    /// The item's name, prefixed with its kind.
     pub name: String,
-    /// Its version.
+    /// Its revision.
     pub revision: u64,
-    /// The host of a route; empty for all else.
+    /// The host name of a route; empty for other items.
     pub host: String,
-    /// The item; none to drop it.
+    /// The item; none to remove it.
     pub body: Option<String>,
 }
 
-/// What a caller wants of the store.
+/// A request to the store.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Items are to change, all or none.
+    /// Changes items, all or none.
     Change(Vec<Change>),
-    /// A zone is to be emptied, or taken back. The number is the version that the store which took the call knew then: evacuations
-    /// have no version of the operator's, and a call that was held up must not undo the one after it.
+    /// Evacuates a zone (true) or ends its evacuation (false). The number is the revision known to the store
+    /// that accepted the call: operators assign no revisions to evacuations, and a delayed call must not undo
+    /// a later one.
     Evacuate(String, bool, Option<u64>),
-    /// All items that stand.
+    /// Reads all current items.
     Read,
-    /// A step of a maintenance order: records to be written or dropped, if all that has a say in it is still as it was when the step
-    /// was decided (its versions in one number).
+    /// A step of a maintenance order: writes or removes records, provided that everything the decision
+    /// depended on is unchanged (its versions combined into one number).
     MaintenanceStep(u64, Vec<(String, Option<String>)>),
-    /// Something that the system itself wants to know after its next start.
+    /// Records something that the system itself needs to know after its next start.
     Note(String, String),
 }
 
-/// How that went.
+/// The result of a [`StoreRequest`]. Its `Debug` text is logged.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq)]
 pub enum StoreResponse {
-    /// It is done and stays done.
+    /// The request is durably complete.
     Done,
-    /// It is done: a copy that holds all that was chosen before this is new enough.
+    /// The request is complete: a copy that holds everything chosen before this stamp is up to date.
     Fresh(Stamp),
-    /// The items that stand.
+    /// The current items.
     Items(Vec<NamedEntry>),
-    /// It can't be: why.
+    /// The request is invalid, with the reason.
     Invalid(String),
-    /// Another version stands in its way.
+    /// It conflicts with another revision.
     Conflict(String),
-    /// An older version than is remembered of its item: whether it was ever taken is not known. It has no effect.
+    /// The revision is older than the remembered history of its item, so it is unknown whether it was ever
+    /// applied. The request has no effect.
     Forgotten,
-    /// Nothing is known of how it went or will go.
+    /// The outcome is unknown.
     Unclear,
 }
 
-/// How many parts the digest of a proxy's items has.
+/// The number of parts in the digest of a proxy's items.
 pub const DIGEST_PARTS: usize = 32;
 
-/// A seat and where it is.
+/// A config store and its location.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Member {
     /// The machine.
@@ -130,162 +132,163 @@
     pub region: String,
 }
 
-/// The list of seats.
+/// The list of voting members.
 #[derive(Clone, Debug, Decode, Encode, PartialEq, Eq, Default, Hash)]
 pub struct MemberList {
-    /// Counts up with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// Those who vote.
+    /// The members that vote.
     pub members: Vec<Member>,
 }
 
 /// A part of a snapshot: entries in the order of their names.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub struct SnapshotChunk {
-    /// As it was asked.
+    /// Copied from the request.
     pub since: Stamp,
-    /// As it was asked.
+    /// Copied from the request.
     pub after: String,
-    /// What the sender holds as chosen.
+    /// Chosen entries held by the sender.
     pub entries: Vec<NamedEntry>,
-    /// Where to go on; none if this was the last.
+    /// The name to continue after; none if this is the last chunk.
     pub next: Option<String>,
-    /// The sender held all that was chosen before this.
+    /// The sender holds everything chosen before this stamp.
     pub position: Stamp,
 }
 
-/// Words among stores.
+/// A message among config stores.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub enum StoreMessage {
-    /// I am here, and not (yet) a seat.
+    /// Sent by a store that is not (yet) a voting member.
     Announce {
-        /// Who and where.
+        /// The sender and its location.
         member: Member,
-        /// It holds all that was chosen before this.
+        /// It holds everything chosen before this stamp.
         position: Stamp,
     },
-    /// Every so often: I am here. What I hold, of whom I know that it writes, and whether I am about to leave.
+    /// The periodic state of a member: what it holds, which leader it knows and whether it is about to leave.
     Heartbeat {
-        /// The list of seats that the sender knows.
+        /// The version of the member list known to the sender.
         members_version: u64,
-        /// The turn that the sender last promised.
+        /// The term that the sender last promised.
         promised: Term,
-        /// Whether it votes: it has not forgotten anything.
+        /// Whether it votes: it has not lost any state.
         voting: bool,
-        /// It goes soon.
+        /// It is about to leave.
         leaving: bool,
-        /// It does not know yet what became of something that it had taken when it started.
+        /// It does not know yet whether something it had accepted before its start was chosen.
         unconfirmed: bool,
-        /// The stamp after the newest entry that it holds as chosen: all writes before it are chosen.
+        /// The stamp after the newest chosen entry it holds: all writes before it are chosen.
         newest: Stamp,
-        /// All its chosen entries in one hash.
+        /// A hash of all its chosen entries.
         digest: u64,
     },
-    /// May I write from now on? I hold all that was chosen before this stamp.
+    /// Asks to lead a term. The sender holds everything chosen before the stamp.
     Prepare(Term, Stamp),
-    /// Yes; I take nothing of earlier turns any more.
+    /// Grants a [`Prepare`](Self::Prepare): the sender accepts nothing from earlier terms any more.
     Promise {
-        /// Whose turn.
+        /// The promised term.
         term: Term,
-        /// The turn whose first write the sender took last.
+        /// The term whose first write the sender accepted last.
         joined: Term,
-        /// What the sender holds as chosen, from the stamp on that the receiver said.
+        /// Chosen entries held by the sender, from the stamp of the request on.
         chosen: Vec<NamedEntry>,
-        /// There is more of that than one message bears: the receiver has to catch up before it can write.
+        /// The chosen entries exceed one message: the receiver has to catch up before it can write.
         more: bool,
-        /// What it took and does not know to be chosen.
+        /// Accepted entries not known to be chosen.
         pending: Vec<NamedEntry>,
     },
-    /// My turn begins. Who takes this holds all that was chosen before it.
+    /// The first write of a term. A member that accepts it holds everything chosen before.
     BeginTerm {
-        /// Whose turn.
+        /// The term that begins.
         term: Term,
-        /// What may have been chosen in earlier turns, written again.
+        /// Entries that may have been chosen in earlier terms, written again.
         entries: Vec<NamedEntry>,
-        /// What the sender holds as chosen, in one hash.
+        /// A hash of the chosen entries held by the sender.
         digest: u64,
-        /// Of that, what the receiver lacked by its last word; none before it has told.
+        /// Those that the receiver lacked according to its last message; none until it has sent one.
         missing: Option<Vec<NamedEntry>>,
     },
-    /// Take this: a write of a turn after its first.
+    /// A write of a term after its first.
     Accept {
-        /// Whose turn and which write.
+        /// The term and the number of the write.
         stamp: Stamp,
-        /// What is written.
+        /// The written entries.
         entries: Vec<NamedEntry>,
-        /// Below this one the turn's writes are chosen.
+        /// The term's writes below this number are chosen.
         chosen: u64,
     },
-    /// Taken and safe.
+    /// The write is accepted and durable.
     Accepted(Stamp),
-    /// Not taken: a higher turn was promised.
+    /// The write is rejected: a higher term was promised.
     Rejected(Term),
-    /// Not taken: the first write of this turn is missing here, or something that was chosen before it. I hold all that was chosen
-    /// before this stamp.
+    /// The write is rejected: the receiver lacks the first write of this term, or something chosen before it.
+    /// It holds everything chosen before the stamp.
     Behind(Term, Stamp),
-    /// The turn's writes up to this one are chosen.
+    /// The term's writes up to and including this one are chosen.
     Chosen(Stamp),
-    /// The list of seats, as it was chosen last.
+    /// The member list as last chosen.
     MemberList(Entry),
-    /// You lack more than one message bears: fetch it from me.
+    /// The receiver lacks more than fits into one message and has to fetch it from the sender.
     CatchUp,
-    /// What do you hold as chosen with this stamp or a later one, of the names after this one?
+    /// Asks for the chosen entries with this stamp or a later one and names after the given one.
     Fetch {
-        /// The asker holds all that was chosen before this.
+        /// The sender holds everything chosen before this stamp.
         since: Stamp,
-        /// The last name that it was told of; empty at the begin.
+        /// The last name it received; empty at the beginning.
         after: String,
     },
-    /// That, as far as one message bears it.
+    /// The response to [`Fetch`](Self::Fetch), as far as it fits into one message.
     Chunk(SnapshotChunk),
-    /// I have a seat and no memory: what did you promise, and what do you hold? I have all that was chosen before this.
+    /// Sent by a member that has lost its state: asks what the receiver promised and holds. The sender holds
+    /// everything chosen before the stamp.
     Recover(Stamp),
-    /// That.
+    /// The response to [`Recover`](Self::Recover).
     RecoveryState {
-        /// The turn that the sender last promised.
+        /// The term that the sender last promised.
         promised: Term,
-        /// The turn whose first write it took last.
+        /// The term whose first write it accepted last.
         joined: Term,
-        /// What it holds as chosen, from the stamp on that the receiver said.
+        /// Chosen entries it holds, from the stamp of the request on.
         chosen: Vec<NamedEntry>,
-        /// There is more of that than one message bears: the receiver has to catch up first.
+        /// The chosen entries exceed one message: the receiver has to catch up first.
         more: bool,
-        /// What it took and does not know to be chosen.
+        /// Accepted entries not known to be chosen.
         pending: Vec<NamedEntry>,
     },
-    /// A call that I took, for who writes.
+    /// A call that the sender received, for the leader.
     Forward(CallId, StoreRequest),
-    /// How that went.
+    /// The result of a forwarded call.
     ForwardResponse(CallId, StoreResponse),
 }
 
-/// From a registry to its machine's store.
+/// A message from a registry to the store of its host.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub enum RegistryToStore {
     /// A call from outside.
     Call(u64, StoreRequest),
-    /// What the registry saw happen, to be kept for readers that come after its life.
+    /// Events that the registry observed, to be stored for readers after the end of its process.
     SaveEvents(Vec<feed::Event>),
-    /// A reader wants events of earlier lives.
+    /// A reader asks for events of earlier incarnations.
     ReadEvents(u64, feed::EventQuery),
 }
 
-/// From a store to its machine's registry.
+/// A message from a store to the registry of its host.
 #[derive(Clone, Debug, Decode, Encode, PartialEq)]
 pub enum StoreToRegistry {
-    /// How a call went.
+    /// The result of a call.
     Response(u64, StoreResponse),
-    /// Events that were kept; none if the place after which they were wanted is not known here.
+    /// Stored events; none if the position after which they were requested is unknown here.
     SavedEvents(u64, Option<feed::EventPage>),
-    /// Chosen entries: all of them, or those that are new. `fresh` if a quorum was heard lately and none held more.
+    /// Chosen entries: all of them, or new ones.
     Items {
-        /// All that there are.
+        /// These are all entries.
         complete: bool,
         /// The entries.
         entries: Vec<NamedEntry>,
     },
-    /// Whether this copy is as new as a quorum's.
+    /// Whether this copy is as new as a quorum's: a quorum was heard recently, and none of it held more.
     UpToDate(bool),
-    /// The seats.
+    /// The voting members.
     Members(MemberList),
 }
--- a/system/messages/src/tests.rs
+++ b/system/messages/src/tests.rs
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn the_bytes_of_a_word_stay_as_they_are() {
+fn the_encoding_of_a_message_is_stable() {
     // A change of these bytes needs a new PROTOCOL_VERSION.
     assert_eq!(hash(&encode_frame(&accept())), 5082943336319844485, "{:02x?}", encode_frame(&accept()));
 }
 
 #[test]
-fn a_frame_is_read_back_and_anything_else_is_refused() {
+fn a_frame_round_trips_and_malformed_frames_are_rejected() {
     let frame = encode_frame(&accept());
     let body = &frame[4..];
     assert_eq!(frame_length(frame[..4].try_into().unwrap()), Ok(body.len()));
