--- a/system/config/src/call.rs
+++ b/system/config/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of the operator: read into changes, and all items laid out again.
+//! Operators' calls: parsed into changes, and the current items rendered in the same form.
 
 use crate::{InvalidConfig, LIMITS_KEY, parse_item};
 use fennelscale_messages::store::{self, Change};
@@ -7,19 +7,19 @@
 use std::collections::hash_map::{Entry, HashMap};
 use std::fmt::Write as _;
 
-/// The most items of one call. Guards the store against a call that would keep every seat busy for long.
-const MOST: usize = 20_000;
+/// The most items of one call. Protects the store from a call that would keep every member busy for long.
+const MAX_ITEMS: usize = 20_000;
 
-/// Lists of the operators' orders, beside those of the configuration.
-const ORDERS: [(&str, &str); 3] =
+/// The lists of operators' orders, besides those of the configuration, and the kinds of their items.
+const ORDER_LISTS: [(&str, &str); 3] =
     [("maintenanceContracts", "c:"), ("workOrders", "w:"), ("failureOrders", "f:")];
 
-fn wrong(what: &str) -> InvalidConfig {
+fn invalid(what: &str) -> InvalidConfig {
     InvalidConfig(what.to_owned())
 }
 
-/// Items of one list: their texts, as they were sent.
-fn list<'a>(of: &'a LazyValue<'_>, name: &str) -> Result<Vec<LazyValue<'a>>, InvalidConfig> {
+/// The items of a list, as they were sent.
+fn items_of<'a>(of: &'a LazyValue<'_>, name: &str) -> Result<Vec<LazyValue<'a>>, InvalidConfig> {
     let Some(value) = of.get(name).filter(|v| !v.is_null()) else { return Ok(Vec::new()) };
     if !value.is_array() {
         return Err(InvalidConfig(format!("{name}: a list is wanted")));
@@ -36,50 +36,52 @@
         .ok_or_else(|| InvalidConfig(format!("{what}: revision: eight hexadecimal digits are wanted")))
 }
 
-fn named(item: &LazyValue<'_>, kind: &str) -> Result<String, InvalidConfig> {
+fn item_name(item: &LazyValue<'_>, kind: &str) -> Result<String, InvalidConfig> {
     let value = item.get("name");
     let name = value.as_ref().and_then(|n| n.as_str()).filter(|n| !n.is_empty());
-    name.map(|n| format!("{kind}{n}")).ok_or_else(|| wrong("an item without a name"))
+    name.map(|n| format!("{kind}{n}")).ok_or_else(|| invalid("an item without a name"))
 }
 
-/// Reads a call into changes, each item checked by itself.
+/// Parses a call into changes and checks each item by itself.
 ///
 /// # Errors
-/// When it can't be read whole or an item can't be.
+/// When the call is malformed or an item is invalid.
 pub fn parse_call(body: &[u8]) -> Result<Vec<Change>, InvalidConfig> {
-    let text = std::str::from_utf8(body).map_err(|_| wrong("the body is not UTF-8"))?;
-    // Read whole once: what is cut short must not pass because no pointer goes there.
+    let text = std::str::from_utf8(body).map_err(|_| invalid("the body is not UTF-8"))?;
+    // Parsed completely once: a truncated call must not pass because no pointer reaches its end.
     let whole: Result<LazyValue<'_>, _> = sonic_rs::from_str(text);
     let whole = whole.map_err(|error| InvalidConfig(format!("the body is not JSON: {error}")))?;
     if sonic_rs::from_str::<sonic_rs::Value>(text).is_err() || !whole.is_object() {
-        return Err(wrong("the body is not one JSON object"));
+        return Err(invalid("the body is not one JSON object"));
     }
     let mut changes = Vec::new();
     if let Some(upsert) = whole.get("upsert").filter(|u| !u.is_null()) {
         let mut item = |kind: &str, host: &str, item: &LazyValue<'_>| {
-            let name = if kind == LIMITS_KEY { kind.to_owned() } else { named(item, kind)? };
+            let name = if kind == LIMITS_KEY { kind.to_owned() } else { item_name(item, kind)? };
             let revision = revision(item, &name)?;
             let body = item.as_raw_str();
             parse_item(&name, host, body)?;
             changes.push(Change { name, revision, host: host.to_owned(), body: Some(body.to_owned()) });
             Ok::<_, InvalidConfig>(())
         };
-        for service in list(&upsert, "backendPools")? {
+        for service in items_of(&upsert, "backendPools")? {
             item("s:", "", &service)?;
         }
-        for tenant in list(&upsert, "tenants")? {
+        for tenant in items_of(&upsert, "tenants")? {
             item("t:", "", &tenant)?;
         }
-        for listener in list(&upsert, "listeners")? {
+        for listener in items_of(&upsert, "listeners")? {
             let host = listener.get("hostname");
-            let host =
-                host.as_ref().and_then(|h| h.as_str()).ok_or_else(|| wrong("a listener without hostname"))?;
-            for rule in list(&listener, "policy")? {
+            let host = host
+                .as_ref()
+                .and_then(|h| h.as_str())
+                .ok_or_else(|| invalid("a listener without hostname"))?;
+            for rule in items_of(&listener, "policy")? {
                 item("r:", host, &rule)?;
             }
         }
-        for (name, kind) in ORDERS {
-            for one in list(&upsert, name)? {
+        for (name, kind) in ORDER_LISTS {
+            for one in items_of(&upsert, name)? {
                 item(kind, "", &one)?;
             }
         }
@@ -89,25 +91,25 @@
     }
     if let Some(remove) = whole.get("remove").filter(|r| !r.is_null()) {
         let kinds = [("routes", "r:"), ("tenants", "t:"), ("backendPools", "s:"), ("services", "s:")];
-        for (name, kind) in kinds.into_iter().chain(ORDERS) {
-            for item in list(&remove, name)? {
-                let name = named(&item, kind)?;
+        for (name, kind) in kinds.into_iter().chain(ORDER_LISTS) {
+            for item in items_of(&remove, name)? {
+                let name = item_name(&item, kind)?;
                 let revision = revision(&item, &name)?;
                 changes.push(Change { name, revision, host: String::new(), body: None });
             }
         }
     }
-    if changes.len() > MOST {
+    if changes.len() > MAX_ITEMS {
         return Err(InvalidConfig(format!(
-            "{} items in one call, at most {MOST}: send them in parts",
+            "{} items in one call, at most {MAX_ITEMS}: send them in parts",
             changes.len()
         )));
     }
-    newest(changes)
+    newest_revisions(changes)
 }
 
-/// Of a name that stands several times in a call, set and dropped, the highest version holds.
-fn newest(changes: Vec<Change>) -> Result<Vec<Change>, InvalidConfig> {
+/// Keeps the highest revision of each name that occurs several times in a call, whether set or removed.
+fn newest_revisions(changes: Vec<Change>) -> Result<Vec<Change>, InvalidConfig> {
     let mut newest: Vec<Change> = Vec::with_capacity(changes.len());
     let mut places: HashMap<String, usize> = HashMap::new();
     for change in changes {
@@ -133,10 +135,10 @@
     Ok(newest)
 }
 
-/// All items that stand, laid out as calls are, each as it was sent.
+/// Renders all current items in the form of a call, each as it was sent.
 pub fn render_items<'a>(entries: impl Iterator<Item = (&'a str, &'a store::Entry)>) -> String {
     let (mut tenants, mut services, mut limits) = (Vec::new(), Vec::new(), None);
-    let mut orders = ORDERS.map(|_| Vec::new());
+    let mut orders = ORDER_LISTS.map(|_| Vec::new());
     let mut hosts: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for (name, entry) in entries {
         let Some(body) = entry.body.as_deref() else { continue };
@@ -146,7 +148,7 @@
             Some(("s:", _)) => services.push(body),
             Some(("l:", _)) => limits = Some(body),
             Some((kind, _)) => {
-                if let Some(at) = ORDERS.iter().position(|(_, known)| *known == kind) {
+                if let Some(at) = ORDER_LISTS.iter().position(|(_, known)| *known == kind) {
                     orders[at].push(body);
                 }
             }
@@ -165,8 +167,8 @@
         let _ = write!(text, "{comma}{{\"hostname\":{host},\"policy\":[{}]}}", rules.join(","));
     }
     let _ = write!(text, "],\"backendPools\":[{}]", services.join(","));
-    // Lists that operators without such orders never sent are not laid out for them.
-    for ((name, _), items) in ORDERS.iter().zip(orders).filter(|(_, items)| !items.is_empty()) {
+    // Operators without such orders do not get lists that they never sent.
+    for ((name, _), items) in ORDER_LISTS.iter().zip(orders).filter(|(_, items)| !items.is_empty()) {
         let _ = write!(text, ",\"{name}\":[{}]", items.join(","));
     }
     text.push('}');
--- a/system/config/src/claims.rs
+++ b/system/config/src/claims.rs
@@ -1,8 +1,9 @@
-//! What several items may claim, and who has it: places of routes, keys of tenants.
+//! Keys that only one item may hold, and their holders: path prefixes of routes and API keys of tenants.
 //!
-//! The store lets no two items that stand claim the same. A copy hears of items one by one and by more than one way, so for a moment it
-//! may know the new holder of a claim and an older version of the former one. All claims are kept: the newest holds, and when it goes the next one
-//! does. Who holds follows from the newest items alone, not from the order in which they came.
+//! The store lets no two current items claim the same key. A copy receives items one by one and over more
+//! than one path, so for a moment it may know the new holder of a key and an older revision of the former
+//! one. All claims are kept: the newest holds the key, and when it is removed the next one does. The holder
+//! follows from the newest items alone, not from the order in which they arrived.
 
 use fennelscale_messages::store::Stamp;
 use std::borrow::Borrow;
@@ -10,14 +11,14 @@
 use std::hash::Hash;
 use std::rc::Rc;
 
-/// One item's claim.
+/// An item's claim to a key.
 #[derive(Clone, Debug)]
 struct Claim<T> {
     stamp: Stamp,
     claimant: Rc<T>,
 }
 
-/// Claimants by what they claim, the newest of each first.
+/// Claims by key, the newest of each first.
 #[derive(Clone, Debug)]
 pub(crate) struct Claims<T>(HashMap<String, Vec<Claim<T>>>);
 
@@ -28,14 +29,14 @@
 }
 
 impl<T> Claims<T> {
-    /// An item claims something from its write on.
+    /// Adds an item's claim to a key, made by the write with this stamp.
     pub(crate) fn add(&mut self, key: &str, stamp: Stamp, claimant: &Rc<T>) {
         let claims = self.0.entry(key.to_owned()).or_default();
         let newer = claims.partition_point(|claim| claim.stamp > stamp);
         claims.insert(newer, Claim { stamp, claimant: claimant.clone() });
     }
 
-    /// An item claims it no more.
+    /// Removes an item's claim to a key.
     pub(crate) fn remove(&mut self, key: &str, claimant: &Rc<T>) {
         let Some(claims) = self.0.get_mut(key) else { return };
         claims.retain(|claim| !Rc::ptr_eq(&claim.claimant, claimant));
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Who has it.
+    /// The holder of a key: the item with the newest claim.
     pub(crate) fn holder<Q>(&self, key: &Q) -> Option<&Rc<T>>
     where
         String: Borrow<Q>,
@@ -53,12 +54,12 @@
         self.0.get(key)?.first().map(|claim| &claim.claimant)
     }
 
-    /// Whether nobody claims anything.
+    /// Whether there are no claims.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// What more than one item claims now.
+    /// The number of keys claimed by more than one item.
     pub(crate) fn contested(&self) -> usize {
         self.0.values().filter(|claims| claims.len() > 1).count()
     }
--- a/system/config/src/item.rs
+++ b/system/config/src/item.rs
@@ -1,16 +1,16 @@
-//! What an item says, read and checked by itself.
+//! The content of an item, parsed and checked by itself.
 
-use crate::{InvalidConfig, failures, maintenance};
+use crate::{InvalidConfig, failure_order, maintenance};
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 
-/// What repeating a request may do.
+/// Whether requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// At most once for each try of a client.
+    /// A request runs at most once for each try of a client.
     NonIdempotent,
-    /// The same, with large bodies.
+    /// As [`NonIdempotent`](Self::NonIdempotent), with large bodies.
     Upload,
 }
 
@@ -19,25 +19,25 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Its version, as it was sent.
+    /// Its revision, as it was sent.
     pub revision: String,
-    /// Its host, in small letters.
+    /// Its host name, in lower case.
     pub host: String,
-    /// What a path begins with; begins and ends with a slash.
+    /// The prefix of its paths; begins and ends with a slash.
     pub path_prefix: String,
-    /// What repeating may do.
+    /// Whether requests may be repeated.
     pub kind: RouteKind,
-    /// An answer within this many ms has its full worth.
+    /// A response within this many ms has its full value.
     pub target_latency: f64,
-    /// The most ms that a request is held.
+    /// The most ms that a request may take.
     pub timeout: f64,
-    /// The most backends that a try is sent to.
+    /// The most backends that a client's try is sent to.
     pub max_attempts: u32,
-    /// 0 is highest.
+    /// The priority; 0 is highest.
     pub priority: u32,
-    /// No key is needed.
+    /// Requests need no API key.
     pub public: bool,
-    /// Where requests go, with weights.
+    /// The services that requests go to, with weights.
     pub services: Vec<(String, f64)>,
     /// The regions that may serve it; empty for all.
     pub allowed_regions: Vec<String>,
@@ -48,13 +48,13 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its keys.
+    /// Its API keys.
     pub api_keys: Vec<String>,
-    /// Goes before that of a route.
+    /// Overrides the priority of a route.
     pub priority: Option<u32>,
-    /// Requests a second; 0 for no limit.
+    /// Requests per second; 0 for no limit.
     pub rate_per_s: f64,
-    /// Requests on top.
+    /// Requests allowed in a burst on top of the rate.
     pub burst: f64,
     /// The regions that may serve it; empty for all.
     pub allowed_regions: Vec<String>,
@@ -65,30 +65,30 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Where its backends tell how they are.
+    /// The path of its backends' health check.
     pub health_path: String,
-    /// Connections that one of its backends takes from all together.
+    /// The connections that one of its backends accepts from all proxies together.
     pub max_connections: u32,
     /// How long a backend is cold after its start, in ms.
     pub cold_start: f64,
-    /// Requests a second that a cold backend bears.
+    /// Requests per second that a cold backend can serve.
     pub cold_per_s: f64,
 }
 
-/// What clients may send.
+/// Limits on what clients send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a head.
+    /// Bytes of a request head.
     pub max_header_bytes: usize,
-    /// Bytes of a body.
+    /// Bytes of a request body.
     pub max_body_bytes: usize,
-    /// Until a head is whole, in ms.
+    /// Time until a head is complete, in ms.
     pub header_timeout: f64,
-    /// Without a request, in ms.
+    /// Time of a connection without a request, in ms.
     pub idle_timeout: f64,
 }
 
-/// What an item says.
+/// The content of an item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ParsedItem {
     /// A route.
@@ -99,81 +99,83 @@
     Service(Service),
     /// The limits.
     Limits(Limits),
-    /// A zone is to get nothing.
+    /// The evacuation of a zone.
     Evacuation,
-    /// Hours in which nodes may be drained.
+    /// The hours in which nodes may be drained.
     MaintenanceContract(Box<fennelscale_maintenance::hours::Contract>),
-    /// Nodes that are to be drained in them.
+    /// Nodes to be drained within the hours of a contract.
     WorkOrder(Box<fennelscale_maintenance::order::Order>),
-    /// Nodes that are drained now.
+    /// The nodes that a work order drains now.
     Drain(fennelscale_maintenance::night::Drain),
-    /// The record of an order's night.
+    /// The record of a work order's progress.
     MaintenanceRecord,
-    /// Requests that are to be failed on purpose.
+    /// Requests that are to fail on purpose.
     FailureOrder(Box<fennelscale_fault_injection::Order>),
 }
 
-/// The longest time-out, in ms.
-const LONGEST_TIMEOUT: f64 = 600_000.0;
-/// An aim is less than this beyond the time-out, in ms.
-const AIM_BEYOND: f64 = 60_000.0;
+/// The longest timeout of a route.
+const MAX_TIMEOUT_MS: f64 = 600_000.0;
+/// A target latency must exceed the timeout by less than this.
+const MAX_TARGET_BEYOND_TIMEOUT_MS: f64 = 60_000.0;
 
-pub(crate) struct Item<'a> {
-    what: &'a str,
+/// The JSON of an item, with its name for error messages.
+pub(crate) struct ItemJson<'a> {
+    name: &'a str,
     value: Value,
 }
 
-impl Item<'_> {
-    pub(crate) fn wrong(&self, field: &str, want: &str) -> InvalidConfig {
-        InvalidConfig(format!("{}: {field}: {want}", self.what))
+impl ItemJson<'_> {
+    pub(crate) fn invalid(&self, field: &str, expected: &str) -> InvalidConfig {
+        InvalidConfig(format!("{}: {field}: {expected}", self.name))
     }
 
-    pub(crate) fn at(&self, path: &[&str]) -> Option<&Value> {
+    pub(crate) fn get(&self, path: &[&str]) -> Option<&Value> {
         self.value.pointer(path).filter(|value| !value.is_null())
     }
 
-    pub(crate) fn text(&self, path: &[&str]) -> Result<String, InvalidConfig> {
-        let text = self.at(path).and_then(|value| value.as_str());
-        let text =
-            text.filter(|t| !t.is_empty()).ok_or_else(|| self.wrong(&path.join("."), "a text is wanted"))?;
+    pub(crate) fn string(&self, path: &[&str]) -> Result<String, InvalidConfig> {
+        let text = self.get(path).and_then(|value| value.as_str());
+        let text = text
+            .filter(|t| !t.is_empty())
+            .ok_or_else(|| self.invalid(&path.join("."), "a text is wanted"))?;
         Ok(text.to_owned())
     }
 
     pub(crate) fn number(&self, path: &[&str], fallback: Option<f64>) -> Result<f64, InvalidConfig> {
-        let wrong = || self.wrong(&path.join("."), "a number of 0 or more is wanted");
-        match self.at(path) {
-            None => fallback.ok_or_else(wrong),
-            Some(value) => value.as_f64().filter(|n| n.is_finite() && *n >= 0.0).ok_or_else(wrong),
+        let invalid = || self.invalid(&path.join("."), "a number of 0 or more is wanted");
+        match self.get(path) {
+            None => fallback.ok_or_else(invalid),
+            Some(value) => value.as_f64().filter(|n| n.is_finite() && *n >= 0.0).ok_or_else(invalid),
         }
     }
 
     pub(crate) fn flag(&self, path: &[&str]) -> Result<bool, InvalidConfig> {
-        match self.at(path) {
+        match self.get(path) {
             None => Ok(false),
             Some(value) => {
-                value.as_bool().ok_or_else(|| self.wrong(&path.join("."), "true or false is wanted"))
+                value.as_bool().ok_or_else(|| self.invalid(&path.join("."), "true or false is wanted"))
             }
         }
     }
 
-    pub(crate) fn span(&self, path: &[&str], fallback: Option<f64>) -> Result<f64, InvalidConfig> {
-        let wrong = || self.wrong(&path.join("."), "a time like 1500ms or 2.5s is wanted");
-        match self.at(path) {
-            None => fallback.ok_or_else(wrong),
-            Some(value) => value.as_str().and_then(span).ok_or_else(wrong),
+    pub(crate) fn duration(&self, path: &[&str], fallback: Option<f64>) -> Result<f64, InvalidConfig> {
+        let invalid = || self.invalid(&path.join("."), "a time like 1500ms or 2.5s is wanted");
+        match self.get(path) {
+            None => fallback.ok_or_else(invalid),
+            Some(value) => value.as_str().and_then(parse_duration).ok_or_else(invalid),
         }
     }
 
-    pub(crate) fn texts(&self, path: &[&str]) -> Result<Vec<String>, InvalidConfig> {
-        let wrong = || self.wrong(&path.join("."), "a list of texts is wanted");
-        let Some(value) = self.at(path) else { return Ok(Vec::new()) };
-        let list = value.as_array().ok_or_else(wrong)?;
-        list.iter().map(|v| v.as_str().map(str::to_owned).ok_or_else(wrong)).collect()
+    pub(crate) fn strings(&self, path: &[&str]) -> Result<Vec<String>, InvalidConfig> {
+        let invalid = || self.invalid(&path.join("."), "a list of texts is wanted");
+        let Some(value) = self.get(path) else { return Ok(Vec::new()) };
+        let list = value.as_array().ok_or_else(invalid)?;
+        list.iter().map(|v| v.as_str().map(str::to_owned).ok_or_else(invalid)).collect()
     }
 }
 
-/// A time as a text, in ms.
-fn span(text: &str) -> Option<f64> {
+/// Parses a duration with its unit, in ms.
+fn parse_duration(text: &str) -> Option<f64> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1.0),
         None => (text.strip_suffix('s')?, 1000.0),
@@ -182,14 +184,14 @@
     number.parse::<f64>().ok().filter(|n| digits && n.is_finite()).map(|n| n * unit)
 }
 
-/// What an item says.
+/// Parses an item and checks it by itself.
 ///
 /// # Errors
-/// When it can't be.
+/// When the item is invalid.
 pub fn parse_item(name: &str, host: &str, body: &str) -> Result<ParsedItem, InvalidConfig> {
     let malformed = |error: sonic_rs::Error| InvalidConfig(format!("{name}: {error}"));
     let value: Value = sonic_rs::from_str(body).map_err(malformed)?;
-    let item = Item { what: name, value };
+    let item = ItemJson { name, value };
     match name.split_at_checked(2) {
         Some(("r:", name)) => route(name, host, &item).map(|route| ParsedItem::Route(Box::new(route))),
         Some(("t:", name)) => tenant(name, &item).map(ParsedItem::Tenant),
@@ -207,95 +209,97 @@
         }
         Some(("n:", _)) => Ok(ParsedItem::MaintenanceRecord),
         Some(("f:", name)) => {
-            failures::order(name, host, &item).map(|order| ParsedItem::FailureOrder(Box::new(order)))
+            failure_order::order(name, host, &item).map(|order| ParsedItem::FailureOrder(Box::new(order)))
         }
         _ => Err(InvalidConfig(format!("{name}: no such kind of item"))),
     }
 }
 
-fn route(name: &str, host: &str, item: &Item<'_>) -> Result<Route, InvalidConfig> {
+fn route(name: &str, host: &str, item: &ItemJson<'_>) -> Result<Route, InvalidConfig> {
     if host.is_empty() {
-        return Err(item.wrong("hostname", "a text is wanted"));
+        return Err(item.invalid("hostname", "a text is wanted"));
     }
-    let kind = match item.text(&["routeType"])?.as_str() {
+    let kind = match item.string(&["routeType"])?.as_str() {
         "idempotent" => RouteKind::Idempotent,
         "non_idempotent" => RouteKind::NonIdempotent,
         "upload" => RouteKind::Upload,
-        _ => return Err(item.wrong("routeType", "one of idempotent, non_idempotent, upload is wanted")),
+        _ => return Err(item.invalid("routeType", "one of idempotent, non_idempotent, upload is wanted")),
     };
-    let prefix = item.text(&["matchCriteria", "pathPrefix"])?;
-    if !prefix.starts_with('/') || !prefix.ends_with('/') {
-        return Err(item.wrong("matchCriteria.pathPrefix", "must begin and end with a slash"));
+    let path_prefix = item.string(&["matchCriteria", "pathPrefix"])?;
+    if !path_prefix.starts_with('/') || !path_prefix.ends_with('/') {
+        return Err(item.invalid("matchCriteria.pathPrefix", "must begin and end with a slash"));
     }
-    let timeout = item.span(&["action", "timeout"], None)?;
-    if timeout <= 0.0 || timeout > LONGEST_TIMEOUT {
-        return Err(item.wrong("action.timeout", "must be over 0 and ten minutes at most"));
+    let timeout = item.duration(&["action", "timeout"], None)?;
+    if timeout <= 0.0 || timeout > MAX_TIMEOUT_MS {
+        return Err(item.invalid("action.timeout", "must be over 0 and ten minutes at most"));
     }
-    let aim = item.span(&["targetLatency"], Some(timeout))?;
-    if aim >= timeout + AIM_BEYOND {
-        return Err(item.wrong("targetLatency", "must be less than a minute over the time-out"));
+    let target_latency = item.duration(&["targetLatency"], Some(timeout))?;
+    if target_latency >= timeout + MAX_TARGET_BEYOND_TIMEOUT_MS {
+        return Err(item.invalid("targetLatency", "must be less than a minute over the time-out"));
     }
-    let services = match item.at(&["action", "trafficSplit"]).and_then(|split| split.as_array()) {
+    let services = match item.get(&["action", "trafficSplit"]).and_then(|split| split.as_array()) {
         Some(split) if !split.is_empty() => {
-            let wrong = || item.wrong("action.trafficSplit", "services with weights of 0 or more are wanted");
+            let invalid =
+                || item.invalid("action.trafficSplit", "services with weights of 0 or more are wanted");
             let part = |part: &Value| {
                 let service = part.get("service").and_then(|s| s.as_str())?;
                 let weight = part.get("weight").and_then(|w| w.as_f64())?;
                 (weight.is_finite() && weight >= 0.0).then(|| (service.to_owned(), weight))
             };
-            let parts: Vec<_> = split.iter().map(|p| part(p).ok_or_else(wrong)).collect::<Result<_, _>>()?;
+            let parts: Vec<_> =
+                split.iter().map(|p| part(p).ok_or_else(invalid)).collect::<Result<_, _>>()?;
             if parts.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-                return Err(item.wrong("action.trafficSplit", "one weight at least must be over 0"));
+                return Err(item.invalid("action.trafficSplit", "one weight at least must be over 0"));
             }
             parts
         }
-        _ => vec![(item.text(&["action", "service"])?, 1.0)],
+        _ => vec![(item.string(&["action", "service"])?, 1.0)],
     };
     Ok(Route {
         name: name.to_owned(),
-        revision: item.text(&["revision"]).unwrap_or_default(),
+        revision: item.string(&["revision"]).unwrap_or_default(),
         host: host.to_ascii_lowercase(),
-        path_prefix: prefix,
+        path_prefix,
         kind,
-        target_latency: aim,
+        target_latency,
         timeout,
         max_attempts: item.number(&["action", "maxAttempts"], Some(1.0))?.max(1.0) as u32,
         priority: item.number(&["priority"], Some(0.0))? as u32,
         public: item.flag(&["public"])?,
         services,
-        allowed_regions: item.texts(&["action", "allowedRegions"])?,
+        allowed_regions: item.strings(&["action", "allowedRegions"])?,
     })
 }
 
-fn tenant(name: &str, item: &Item<'_>) -> Result<Tenant, InvalidConfig> {
+fn tenant(name: &str, item: &ItemJson<'_>) -> Result<Tenant, InvalidConfig> {
     let rate = item.number(&["ratePerS"], Some(0.0))?;
     Ok(Tenant {
         name: name.to_owned(),
-        api_keys: item.texts(&["apiKeys"])?,
-        priority: item.at(&["priority"]).and_then(|p| p.as_u64()).map(|p| p as u32),
+        api_keys: item.strings(&["apiKeys"])?,
+        priority: item.get(&["priority"]).and_then(|p| p.as_u64()).map(|p| p as u32),
         rate_per_s: rate,
         burst: item.number(&["burst"], Some(rate))?,
-        allowed_regions: item.texts(&["allowedRegions"])?,
+        allowed_regions: item.strings(&["allowedRegions"])?,
     })
 }
 
-fn service(name: &str, item: &Item<'_>) -> Result<Service, InvalidConfig> {
+fn service(name: &str, item: &ItemJson<'_>) -> Result<Service, InvalidConfig> {
     Ok(Service {
         name: name.to_owned(),
-        health_path: item.text(&["healthCheckPath"]).unwrap_or_else(|_| "/health".into()),
+        health_path: item.string(&["healthCheckPath"]).unwrap_or_else(|_| "/health".into()),
         max_connections: item.number(&["maxConnections"], Some(100.0))? as u32,
-        cold_start: item.span(&["coldStart"], Some(0.0))?,
+        cold_start: item.duration(&["coldStart"], Some(0.0))?,
         cold_per_s: item.number(&["coldPerS"], Some(0.0))?,
     })
 }
 
-fn limits(item: &Item<'_>) -> Result<Limits, InvalidConfig> {
-    let usual = Limits::default();
+fn limits(item: &ItemJson<'_>) -> Result<Limits, InvalidConfig> {
+    let defaults = Limits::default();
     Ok(Limits {
-        max_header_bytes: item.number(&["maxHeaderBytes"], Some(usual.max_header_bytes as f64))? as usize,
-        max_body_bytes: item.number(&["maxBodyBytes"], Some(usual.max_body_bytes as f64))? as usize,
-        header_timeout: item.span(&["headerTimeout"], Some(usual.header_timeout))?,
-        idle_timeout: item.span(&["idleTimeout"], Some(usual.idle_timeout))?,
+        max_header_bytes: item.number(&["maxHeaderBytes"], Some(defaults.max_header_bytes as f64))? as usize,
+        max_body_bytes: item.number(&["maxBodyBytes"], Some(defaults.max_body_bytes as f64))? as usize,
+        header_timeout: item.duration(&["headerTimeout"], Some(defaults.header_timeout))?,
+        idle_timeout: item.duration(&["idleTimeout"], Some(defaults.idle_timeout))?,
     })
 }
 
--- a/system/config/src/lib.rs
+++ b/system/config/src/lib.rs
@@ -1,30 +1,32 @@
-//! Items of the configuration: calls are read into changes, each item is kept as it was sent, what it says is checked and
-//! compiled into a table of routes.
+//! Configuration items: calls are parsed into changes, each item is stored as it was sent, and its content is
+//! checked and compiled into a routing table.
 //!
-//! An item's name bears its kind: `r:` routes, `t:` tenants, `s:` services, `l:` the limits, `e:` evacuations, `c:` contracts of
-//! maintenance hours, `w:` work orders, `d:` what these have drained, `n:` the record of it, `f:` failure orders. JSON is read by pointers: fields that nobody here asks for are kept and passed over. No I/O, no clock.
+//! The name of an item is prefixed with its kind: `r:` routes, `t:` tenants, `s:` services, `l:` the limits,
+//! `e:` evacuations, `c:` maintenance contracts, `w:` work orders, `d:` nodes drained by these, `n:` their
+//! records, `f:` failure orders. JSON is read by pointers: unknown fields are stored and ignored. There is no
+//! I/O and no clock.
 
 mod call;
 mod claims;
-mod failures;
+mod config_index;
+mod failure_order;
 mod item;
 mod maintenance;
-mod standing;
-mod table;
+mod routing_table;
 
 pub use call::{parse_call, render_items};
+pub use config_index::{ConfigIndex, ItemChanges};
 pub use item::{Limits, ParsedItem, Route, RouteKind, Service, Tenant, parse_item};
-pub use standing::{ConfigIndex, ItemChanges};
-pub use table::RoutingTable;
+pub use routing_table::RoutingTable;
 
 use fennelscale_maintenance::order::MOST_ORDERS;
 use fennelscale_messages::store::{DIGEST_PARTS, Entry, NamedEntry};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The name of the item that is there once.
+/// The name of the limits, of which there is one item.
 pub const LIMITS_KEY: &str = "l:limits";
 
-/// Why a call can't be, for who sent it.
+/// Why a call is invalid, as told to its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidConfig(pub String);
 
@@ -34,21 +36,21 @@
     }
 }
 
-/// An entry in one number: two copies that hold the same are of the same sum.
+/// A hash of the name and the stamp of an entry.
 pub fn entry_hash((name, entry): (&str, &Entry)) -> u64 {
     let stamp = entry.stamp;
-    let of = fennelscale_messages::hash(name.as_bytes());
-    let at = fennelscale_messages::mix(stamp.term.number ^ u64::from(stamp.term.leader.0) << 32)
+    let name_hash = fennelscale_messages::hash(name.as_bytes());
+    let stamp_hash = fennelscale_messages::mix(stamp.term.number ^ u64::from(stamp.term.leader.0) << 32)
         ^ fennelscale_messages::mix(stamp.sequence.wrapping_add(0x9e37_79b9_7f4a_7c15));
-    fennelscale_messages::mix(of ^ at)
+    fennelscale_messages::mix(name_hash ^ stamp_hash)
 }
 
-/// The part of a digest that a name is in.
+/// The part of a digest to which a name belongs.
 pub fn digest_part(name: &str) -> usize {
     (fennelscale_messages::hash(name.as_bytes()) >> 40) as usize % DIGEST_PARTS
 }
 
-/// All entries in one number for each part.
+/// The combined hash of the entries in each part.
 pub fn digest<'a>(entries: impl IntoIterator<Item = (&'a String, &'a Entry)>) -> Vec<u64> {
     let mut digest = vec![0; DIGEST_PARTS];
     for (name, entry) in entries {
@@ -57,52 +59,52 @@
     digest
 }
 
-/// A hash of what was sent, by which a call that arrives again is known.
+/// A hash of what was sent, by which a repeated call is recognised.
 pub fn content_hash(host: &str, body: Option<&str>) -> u64 {
     let body = body.map_or(1, |body| fennelscale_messages::hash(body.as_bytes()));
     fennelscale_messages::mix(fennelscale_messages::hash(host.as_bytes()) ^ body)
 }
 
-/// Whether items that are each in order are so together.
+/// Checks items, each of which is valid by itself, for consistency with each other.
 ///
 /// # Errors
-/// When a route names a service that is not there, two routes share a place, two tenants a key, or an order names a contract
-/// that is not there.
+/// When a route names a service that does not exist, two routes share a host and path prefix, two tenants
+/// share a key, an order names a contract that does not exist, or there are too many orders.
 pub fn check_consistency<'a>(
-    facts: impl Iterator<Item = (&'a str, &'a ParsedItem)> + Clone,
+    items: impl Iterator<Item = (&'a str, &'a ParsedItem)> + Clone,
 ) -> Result<(), InvalidConfig> {
-    let services: HashSet<&str> = facts
+    let services: HashSet<&str> = items
         .clone()
         .filter_map(|(_, fact)| match fact {
             ParsedItem::Service(service) => Some(service.name.as_str()),
             _ => None,
         })
         .collect();
-    let mut places: HashMap<(&str, &str), &str> = HashMap::new();
+    let mut routes: HashMap<(&str, &str), &str> = HashMap::new();
     let mut keys: HashMap<&str, &str> = HashMap::new();
-    let (mut orders, mut contracts, mut failures) = (Vec::new(), HashSet::new(), 0);
-    for (name, fact) in facts {
+    let (mut work_orders, mut contracts, mut failure_orders) = (Vec::new(), HashSet::new(), 0);
+    for (name, fact) in items {
         match fact {
             ParsedItem::Route(route) => {
                 if let Some((service, _)) =
                     route.services.iter().find(|(s, _)| !services.contains(s.as_str()))
                 {
-                    return Err(standing::no_service(name, service));
+                    return Err(config_index::missing_service(name, service));
                 }
-                if let Some(other) = places.insert((&route.host, &route.path_prefix), name) {
-                    return Err(standing::shared_place(other, name, &route.host, &route.path_prefix));
+                if let Some(other) = routes.insert((&route.host, &route.path_prefix), name) {
+                    return Err(config_index::duplicate_route(other, name, &route.host, &route.path_prefix));
                 }
             }
             ParsedItem::Tenant(tenant) => {
                 for key in &tenant.api_keys {
                     if let Some(other) = keys.insert(key, name).filter(|other| *other != name) {
-                        return Err(standing::shared_key(other, name));
+                        return Err(config_index::duplicate_key(other, name));
                     }
                 }
             }
-            ParsedItem::WorkOrder(order) => orders.push(order),
+            ParsedItem::WorkOrder(order) => work_orders.push(order),
             ParsedItem::MaintenanceContract(contract) => drop(contracts.insert(contract.name.as_str())),
-            ParsedItem::FailureOrder(_) => failures += 1,
+            ParsedItem::FailureOrder(_) => failure_orders += 1,
             ParsedItem::Service(_)
             | ParsedItem::Limits(_)
             | ParsedItem::Evacuation
@@ -110,28 +112,28 @@
             | ParsedItem::MaintenanceRecord => {}
         }
     }
-    if failures > fennelscale_fault_injection::MOST_ORDERS {
-        return Err(standing::too_many_failures(failures));
+    if failure_orders > fennelscale_fault_injection::MOST_ORDERS {
+        return Err(config_index::too_many_failure_orders(failure_orders));
     }
-    if orders.len() > MOST_ORDERS {
-        return Err(standing::too_many_orders(orders.len()));
+    if work_orders.len() > MOST_ORDERS {
+        return Err(config_index::too_many_work_orders(work_orders.len()));
     }
-    match orders.iter().find(|order| !contracts.contains(order.contract.as_str())) {
+    match work_orders.iter().find(|order| !contracts.contains(order.contract.as_str())) {
         None => Ok(()),
-        Some(order) => Err(standing::no_contract(&order.name, &order.contract)),
+        Some(order) => Err(config_index::missing_contract(&order.name, &order.contract)),
     }
 }
 
-/// A copy of items: of each name the newest entry, and all of them in one number.
+/// A copy of the items: the newest entry of each name, and checksums of the entries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ItemCopy {
     entries: BTreeMap<String, Entry>,
-    sum: u64,
-    parts: [u64; DIGEST_PARTS],
+    checksum: u64,
+    part_checksums: [u64; DIGEST_PARTS],
 }
 
 impl ItemCopy {
-    /// Takes an entry if it is newer than what is there. Whether it is.
+    /// Stores an entry if it is newer than the known one. Returns whether it was stored.
     pub fn merge(&mut self, name: &str, entry: &Entry) -> bool {
         let known = self.entries.get(name);
         if known.is_some_and(|known| known.stamp >= entry.stamp) {
@@ -139,30 +141,31 @@
         }
         let before = known.map_or(0, |known| entry_hash((name, known)));
         let change = before ^ entry_hash((name, entry));
-        self.sum ^= change;
-        self.parts[digest_part(name)] ^= change;
+        self.checksum ^= change;
+        self.part_checksums[digest_part(name)] ^= change;
         self.entries.insert(name.to_owned(), entry.clone());
         true
     }
 
-    /// All entries by their names.
+    /// All entries by name.
     pub fn entries(&self) -> &BTreeMap<String, Entry> {
         &self.entries
     }
 
-    /// All entries in one number: copies that hold the same have the same.
+    /// The checksum of all entries: copies that hold the same entries have the same checksum.
     pub fn checksum(&self) -> u64 {
-        self.sum
+        self.checksum
     }
 
-    /// All entries in one number for each part of their names.
+    /// The checksum of the entries in each part of the digest.
     pub fn part_checksums(&self) -> &[u64; DIGEST_PARTS] {
-        &self.parts
+        &self.part_checksums
     }
 
-    /// The entries of the parts in which another copy holds something else.
+    /// The entries of the parts whose checksums differ from those of another copy.
     pub fn entries_in_differing_parts(&self, theirs: &[u64]) -> Vec<NamedEntry> {
-        let differs = |name: &str| theirs.get(digest_part(name)) != Some(&self.parts[digest_part(name)]);
+        let differs =
+            |name: &str| theirs.get(digest_part(name)) != Some(&self.part_checksums[digest_part(name)]);
         let entries = self.entries.iter().filter(|(name, _)| differs(name));
         entries.map(|(name, entry)| (name.clone(), entry.clone())).collect()
     }
--- a/system/config/src/maintenance.rs
+++ b/system/config/src/maintenance.rs
@@ -1,35 +1,35 @@
-//! Contracts of maintenance hours and work orders, read and checked by themselves.
+//! Maintenance contracts and work orders, parsed and checked by themselves.
 
 use crate::InvalidConfig;
-use crate::item::Item;
+use crate::item::ItemJson;
 use fennelscale_maintenance::hours::{self, Between, Contract, Rule};
 use fennelscale_maintenance::order::{MOST_NODES, Most, Order, Wanted};
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 use std::collections::BTreeMap;
 
-/// The most rules and exceptions of one contract: each is looked at whenever hours are.
-const MOST_RULES: usize = 64;
-/// The longest time that a node is out, and that it is given to go back in, in ms.
-const LONGEST: f64 = 24.0 * 3_600_000.0;
-/// The shortest time to go back in: beats, a step, and news to all, in ms.
-const LEAST_BACK: f64 = 6000.0;
+/// The most rules and exceptions of one contract: all of them are evaluated whenever its hours are.
+const MAX_RULES: usize = 64;
+/// The longest time that a node may be out, and that it may be given to return.
+const MAX_DURATION_MS: f64 = 24.0 * 3_600_000.0;
+/// The shortest time to return: heartbeats, a maintenance step and the update of all proxies.
+const MIN_RETURN_TIME_MS: f64 = 6000.0;
 
-fn list<'a>(item: &'a Item<'_>, path: &str) -> Result<&'a [Value], InvalidConfig> {
-    match item.at(&[path]) {
+fn rule_list<'a>(item: &'a ItemJson<'_>, path: &str) -> Result<&'a [Value], InvalidConfig> {
+    match item.get(&[path]) {
         None => Ok(&[]),
         Some(value) => match value.as_array() {
-            Some(list) if list.len() <= MOST_RULES => Ok(list.as_slice()),
-            _ => Err(item.wrong(path, &format!("a list of {MOST_RULES} at most is wanted"))),
+            Some(list) if list.len() <= MAX_RULES => Ok(list.as_slice()),
+            _ => Err(item.invalid(path, &format!("a list of {MAX_RULES} at most is wanted"))),
         },
     }
 }
 
-fn text<'a>(value: &'a Value, name: &str) -> Result<&'a str, String> {
+fn string_field<'a>(value: &'a Value, name: &str) -> Result<&'a str, String> {
     value.get(name).and_then(|v| v.as_str()).ok_or_else(|| format!("{name}: a text is wanted"))
 }
 
 fn between(value: &Value) -> Result<Between, String> {
-    let (from, to) = (hours::time(text(value, "from")?)?, hours::time(text(value, "to")?)?);
+    let (from, to) = (hours::time(string_field(value, "from")?)?, hours::time(string_field(value, "to")?)?);
     if from == to {
         Err("from and to: two different times are wanted".into())
     } else {
@@ -49,96 +49,100 @@
 }
 
 fn exception(value: &Value) -> Result<(jiff::civil::Date, Vec<Between>), String> {
-    let date = hours::date(text(value, "date")?)?;
+    let date = hours::date(string_field(value, "date")?)?;
     let spans =
         value.get("hours").and_then(|v| v.as_array()).ok_or("hours: a list is wanted, empty for none")?;
     Ok((date, spans.iter().map(between).collect::<Result<_, _>>()?))
 }
 
-fn approver(item: &Item<'_>) -> Result<Option<String>, InvalidConfig> {
-    match item.at(&["approvedBy"]) {
+fn approver(item: &ItemJson<'_>) -> Result<Option<String>, InvalidConfig> {
+    match item.get(&["approvedBy"]) {
         None => Ok(None),
         Some(value) => {
-            let text = value.as_str().ok_or_else(|| item.wrong("approvedBy", "a text is wanted"))?;
+            let text = value.as_str().ok_or_else(|| item.invalid("approvedBy", "a text is wanted"))?;
             Ok((!text.trim().is_empty()).then(|| text.to_owned()))
         }
     }
 }
 
-/// A contract.
-pub(crate) fn contract(name: &str, item: &Item<'_>) -> Result<Contract, InvalidConfig> {
-    let zone = hours::zone(&item.text(&["timeZone"])?).map_err(|text| item.wrong("timeZone", &text))?;
-    let rules = list(item, "hours")?.iter().map(rule).collect::<Result<_, _>>();
-    let exceptions = list(item, "exceptions")?.iter().map(exception).collect::<Result<Vec<_>, _>>();
-    let exceptions = exceptions.map_err(|text| item.wrong("exceptions", &text))?;
+/// Parses a maintenance contract.
+pub(crate) fn contract(name: &str, item: &ItemJson<'_>) -> Result<Contract, InvalidConfig> {
+    let zone = hours::zone(&item.string(&["timeZone"])?).map_err(|text| item.invalid("timeZone", &text))?;
+    let rules = rule_list(item, "hours")?.iter().map(rule).collect::<Result<_, _>>();
+    let exceptions = rule_list(item, "exceptions")?.iter().map(exception).collect::<Result<Vec<_>, _>>();
+    let exceptions = exceptions.map_err(|text| item.invalid("exceptions", &text))?;
     let dates = exceptions.len();
     let exceptions: BTreeMap<_, _> = exceptions.into_iter().collect();
     if exceptions.len() < dates {
-        return Err(item.wrong("exceptions", "each date may stand once"));
+        return Err(item.invalid("exceptions", "each date may stand once"));
     }
-    let places = item.texts(&["places"])?;
+    let places = item.strings(&["places"])?;
     if places.is_empty() {
-        return Err(item.wrong("places", "one zone or region at least is wanted"));
+        return Err(item.invalid("places", "one zone or region at least is wanted"));
     }
     Ok(Contract {
         name: name.to_owned(),
         zone,
-        rules: rules.map_err(|text| item.wrong("hours", &text))?,
+        rules: rules.map_err(|text| item.invalid("hours", &text))?,
         exceptions,
         places: places.into_iter().collect(),
         approved_by: approver(item)?,
     })
 }
 
-/// A work order.
-pub(crate) fn order(name: &str, item: &Item<'_>) -> Result<Order, InvalidConfig> {
-    let nodes = item.texts(&["nodes"])?;
+/// Parses a work order.
+pub(crate) fn order(name: &str, item: &ItemJson<'_>) -> Result<Order, InvalidConfig> {
+    let nodes = item.strings(&["nodes"])?;
     if nodes.is_empty() || nodes.len() > MOST_NODES {
-        return Err(item.wrong("nodes", &format!("one node at least and {MOST_NODES} at most are wanted")));
+        return Err(item.invalid("nodes", &format!("one node at least and {MOST_NODES} at most are wanted")));
     }
     let nodes: Vec<_> = nodes
         .iter()
-        .map(|node| node.parse().map_err(|text: String| item.wrong("nodes", &text)))
+        .map(|node| node.parse().map_err(|text: String| item.invalid("nodes", &text)))
         .collect::<Result<_, _>>()?;
     if nodes.iter().enumerate().any(|(at, node)| nodes[..at].contains(node)) {
-        return Err(item.wrong("nodes", "each node may stand once"));
+        return Err(item.invalid("nodes", "each node may stand once"));
     }
-    let state = item.text(&["state"])?;
+    let state = item.string(&["state"])?;
     let wanted = Wanted::ALL.iter().find(|(name, _)| *name == state).map(|(_, wanted)| *wanted);
     let wanted = wanted.ok_or_else(|| {
-        item.wrong("state", &format!("one of {} is wanted", Wanted::ALL.map(|(name, _)| name).join(", ")))
+        item.invalid("state", &format!("one of {} is wanted", Wanted::ALL.map(|(name, _)| name).join(", ")))
     })?;
     let approved_by = approver(item)?;
     if approved_by.is_none() && matches!(wanted, Wanted::Approved | Wanted::Running | Wanted::Paused) {
-        return Err(item.wrong("approvedBy", &format!("an order that is {state} names who has approved it")));
+        return Err(
+            item.invalid("approvedBy", &format!("an order that is {state} names who has approved it"))
+        );
     }
-    let span = |field: &str, least: f64, usual: Option<f64>| {
-        let span = item.span(&[field], usual)?;
-        if (least..=LONGEST).contains(&span) {
-            return Ok(span);
+    let duration = |field: &str, min: f64, default: Option<f64>| {
+        let duration = item.duration(&[field], default)?;
+        if (min..=MAX_DURATION_MS).contains(&duration) {
+            return Ok(duration);
         }
-        Err(item.wrong(field, &format!("{:.0} s at least and a day at most are wanted", least / 1000.0)))
+        Err(item.invalid(field, &format!("{:.0} s at least and a day at most are wanted", min / 1000.0)))
     };
-    let usual = Most::default();
-    let most = |field: &str, usual: usize| {
-        let most = item.number(&["mostOut", field], Some(usual as f64))?;
+    let defaults = Most::default();
+    let most = |field: &str, default: usize| {
+        let most = item.number(&["mostOut", field], Some(default as f64))?;
         if most >= 1.0 && most.fract() == 0.0 && most <= MOST_NODES as f64 {
             return Ok(most as usize);
         }
-        Err(item
-            .wrong(&format!("mostOut.{field}"), &format!("a whole number from 1 to {MOST_NODES} is wanted")))
+        Err(item.invalid(
+            &format!("mostOut.{field}"),
+            &format!("a whole number from 1 to {MOST_NODES} is wanted"),
+        ))
     };
     Ok(Order {
         name: name.to_owned(),
-        contract: item.text(&["contract"])?,
+        contract: item.string(&["contract"])?,
         nodes,
-        length: span("length", 1000.0, None)?,
-        back_before: span("backBefore", LEAST_BACK, Some(30_000.0))?,
+        length: duration("length", 1000.0, None)?,
+        back_before: duration("backBefore", MIN_RETURN_TIME_MS, Some(30_000.0))?,
         most: Most {
-            order: most("order", usual.order)?,
-            zone: most("zone", usual.zone)?,
-            region: most("region", usual.region)?,
-            service: most("service", usual.service)?,
+            order: most("order", defaults.order)?,
+            zone: most("zone", defaults.zone)?,
+            region: most("region", defaults.region)?,
+            service: most("service", defaults.service)?,
         },
         wanted,
         approved_by,
