--- a/system/experiments/src/capacity.rs
+++ b/system/experiments/src/capacity.rs
@@ -4,8 +4,8 @@
 use fennelscale_messages::session::{Backend, BackendList, ProxyInfo, RegistryToProxy};
 use fennelscale_messages::store::{Change, Entry, Member, SnapshotChunk, Stamp, StoreMessage, StoreRequest};
 use fennelscale_messages::{Host, encode_frame};
-use fennelscale_proxy::held::{Held, Place};
-use fennelscale_replication::{Book, Item, Memory, Origin, Out, Progress};
+use fennelscale_proxy::routing_state::{ProxyLocation, RoutingState};
+use fennelscale_replication::{Item, Origin, Output, PersistedState, Progress, Replica};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -121,25 +121,26 @@
 }
 
 /// A store of one seat with a configuration on its disk, which writes.
-fn store(entries: &[(String, Entry)]) -> Book {
+fn store(entries: &[(String, Entry)]) -> Replica {
     let me = Member { host: Host(1), zone: "z".into(), region: "r".into() };
-    let place = fennelscale_replication::Place {
-        me,
+    let place = fennelscale_replication::ReplicaConfig {
+        local: me,
         seeds: vec![Host(1)],
         bootstrap: true,
-        tolerance: (0, 0, 0),
-        life: 1,
+        fault_tolerance: (0, 0, 0),
+        incarnation: 1,
     };
     let item =
         |(name, entry): &(String, Entry)| (name.clone(), Item { chosen: Some(entry.clone()), pending: None });
     let items = entries.iter().map(item).collect();
-    let mut book = Book::new(place, Memory { vows: None, progress: Progress::default(), items }, 0.0);
+    let mut book =
+        Replica::new(place, PersistedState { acceptor: None, progress: Progress::default(), items }, 0.0);
     let mut now = 0.0;
     while !book.is_voting() {
         now += 100.0;
         book.tick(now);
-        book.writes();
-        book.outs();
+        book.take_writes();
+        book.take_outputs();
     }
     book
 }
@@ -159,18 +160,18 @@
     let begun = Instant::now();
     for revision in 2..2 + CHANGES {
         let ask = StoreRequest::Change(vec![item(revision as usize * 7 % items, revision)]);
-        book.call(10_000.0, Origin::Registry(revision), ask);
-        black_box(book.writes());
-        let outs = book.outs();
-        assert!(outs.iter().any(|out| matches!(out, Out::Answer(..))), "a change is acknowledged");
+        book.submit(10_000.0, Origin::Registry(revision), ask);
+        black_box(book.take_writes());
+        let outs = book.take_outputs();
+        assert!(outs.iter().any(|out| matches!(out, Output::Answer(..))), "a change is acknowledged");
     }
     point("store: us a change", begun.elapsed().as_secs_f64() * 1e6 / CHANGES as f64);
     let (mut after, mut chunks, mut bytes) = (String::new(), 0.0, 0.0);
     let begun = Instant::now();
     loop {
-        book.word(10_000.0, Host(2), StoreMessage::Fetch { since: Stamp::default(), after });
-        let sent = book.outs().into_iter().find_map(|out| match out {
-            Out::Send(_, StoreMessage::Chunk(chunk)) => Some(chunk),
+        book.receive(10_000.0, Host(2), StoreMessage::Fetch { since: Stamp::default(), after });
+        let sent = book.take_outputs().into_iter().find_map(|out| match out {
+            Output::Send(_, StoreMessage::Chunk(chunk)) => Some(chunk),
             _ => None,
         });
         let Some(SnapshotChunk { since, after: of, entries, next, position }) = sent else { break };
@@ -194,9 +195,15 @@
     points
 }
 
-fn held() -> Held {
+fn held() -> RoutingState {
     let zones = [("z0".to_owned(), "r0".to_owned())].into();
-    Held::new(Place { me: Host(1), zone: "z0".into(), region: "r0".into(), zones, lag: 800.0 })
+    RoutingState::new(ProxyLocation {
+        host: Host(1),
+        zone: "z0".into(),
+        region: "r0".into(),
+        zone_regions: zones,
+        max_list_age: 800.0,
+    })
 }
 
 fn backend(n: usize) -> Backend {
@@ -216,7 +223,7 @@
     let listing = BackendList { stamp: (1, Host(1)), backends: (0..backends).map(backend).collect() };
     let bytes = encode_frame(&RegistryToProxy::BackendList(listing.clone())).len() as f64;
     let mut held = held();
-    held.list(0.0, listing);
+    held.set_backend_list(0.0, listing);
     let begun = Instant::now();
     for service in 0..SERVICES {
         black_box(held.backends(1.0, &format!("s{service}")));
--- a/system/proxy/src/front.rs
+++ b/system/proxy/src/frontend.rs
@@ -1,12 +1,12 @@
 //! The clients' side: connections, their requests, and their answers.
 
+use crate::backend_protocol::{REQUEST_ID, TENANT};
 use crate::decision_input::PLAN;
-use crate::heads::{KEY, passed, patience, single};
-use crate::mislaid::{self, Cut, Fate, Told};
+use crate::failure_injection::{self, Cut, Fate, Told};
+use crate::headers::{KEY, passed, patience, single};
 use crate::proxy::Proxy;
-use crate::speech::{REQUEST_ID, TENANT};
 use bytes::Bytes;
-use doorcourse::{Arrival, RequestBound, RequestId};
+use doorcourse::{Arrival, RequestConstraints, RequestId};
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::{Route, RouteKind, Tenant};
 use fennelscale_dataplane::back::backends::Message;
@@ -214,7 +214,7 @@
         let has_body = !request.body().is_end_stream();
         match fate.what {
             What::CutRequest(share) => {
-                mislaid::read_part(request.into_body(), share).await;
+                failure_injection::read_part(request.into_body(), share).await;
                 return Err(Cut);
             }
             What::Refuse => {
@@ -229,7 +229,7 @@
             What::LoseAnswer | What::CutAnswer(_) | What::SlowAnswer(_) => {}
         }
         let response = self.true_answer(request, guest).await;
-        mislaid::fail(fate, response).await
+        failure_injection::fail(fate, response).await
     }
 
     /// What failure orders do to a request, by what its head says.
@@ -412,11 +412,11 @@
                 plan: PLAN.into(),
                 class,
                 units: 1.0,
-                repeat: false,
-                patience,
-                first: 0,
-                spread: 1,
-                bound: Some(bound),
+                is_retry: false,
+                client_timeout: patience,
+                first_gateway: 0,
+                gateway_count: 1,
+                constraints: Some(bound),
             },
             message,
             until,
@@ -438,7 +438,9 @@
     }
 
     /// Where a request may go: the regions that its route and its tenant both allow.
-    fn bound(&self, route: &Route, tenant: Option<&Tenant>, bytes: usize) -> Result<Arc<RequestBound>, ()> {
+    fn bound(
+        &self, route: &Route, tenant: Option<&Tenant>, bytes: usize,
+    ) -> Result<Arc<RequestConstraints>, ()> {
         let held = self.proxy.held.borrow();
         let of_tenant = tenant.map_or(&[][..], |t| &t.allowed_regions);
         let regions: Vec<&String> = match (route.allowed_regions.as_slice(), of_tenant) {
@@ -451,10 +453,10 @@
                 both
             }
         };
-        let cells = regions.into_iter().map(|region| held.cell(region)).collect();
-        Ok(Arc::new(RequestBound {
+        let cells = regions.into_iter().map(|region| held.region_index(region)).collect();
+        Ok(Arc::new(RequestConstraints {
             cells,
-            most_attempts: route.max_attempts,
+            max_attempts: route.max_attempts,
             bytes: bytes.min(u32::MAX as usize) as u32,
         }))
     }
--- a/system/replication/src/seat.rs
+++ b/system/replication/src/seat.rs
@@ -1,21 +1,21 @@
 //! What a seat takes: promises, writes, what others hold as chosen.
 
 use crate::position::Contiguous;
-use crate::{Book, Out, SEATS, versions};
+use crate::{MEMBERS_KEY, Output, Replica, versions};
 use fennelscale_messages::Host;
 use fennelscale_messages::store::{Entry, NamedEntry, Stamp, StoreMessage, Term};
 
-impl Book {
+impl Replica {
     fn touch(&mut self, name: &str) {
         self.dirty.insert(name.to_owned());
     }
 
     pub(crate) fn promise(&mut self, epoch: Term) {
-        debug_assert!(epoch >= self.vows.promised, "a promise is never taken back");
+        debug_assert!(epoch >= self.acceptor.promised, "a promise is never taken back");
         self.round = self.round.max(epoch.number);
-        if self.vows.promised != epoch {
-            self.vows.promised = epoch;
-            self.dirty_vows = true;
+        if self.acceptor.promised != epoch {
+            self.acceptor.promised = epoch;
+            self.dirty_acceptor = true;
         }
     }
 
@@ -40,13 +40,13 @@
         if !self.votes || !self.is_seat(from) || epoch.leader != from {
             return;
         }
-        if epoch <= self.vows.promised {
-            let promised = self.vows.promised;
+        if epoch <= self.acceptor.promised {
+            let promised = self.acceptor.promised;
             return self.send(from, StoreMessage::Rejected(promised));
         }
         self.step_down(epoch);
         self.promise(epoch);
-        let (joined, tail, pending) = (self.vows.joined, self.tail(since), self.pending());
+        let (joined, tail, pending) = (self.acceptor.joined, self.tail(since), self.pending());
         let more = tail.is_none();
         self.send(
             from,
@@ -59,8 +59,8 @@
         if !self.votes || !self.is_seat(from) || epoch.leader != from {
             return false;
         }
-        if epoch < self.vows.promised {
-            let promised = self.vows.promised;
+        if epoch < self.acceptor.promised {
+            let promised = self.acceptor.promised;
             self.send(from, StoreMessage::Rejected(promised));
             return false;
         }
@@ -73,7 +73,7 @@
     }
 
     /// A turn begins. What its writer holds as chosen is not written again, so a seat joins only once it holds that too: what
-    /// whoever joined does not hold was never chosen, and that is what later turns go by ([`Book::base`]).
+    /// whoever joined does not hold was never chosen, and that is what later turns go by ([`Replica::base`]).
     pub(crate) fn on_begin(
         &mut self, from: Host, epoch: Term, entries: Vec<NamedEntry>, digest: u64,
         lacked: Option<Vec<NamedEntry>>,
@@ -81,7 +81,7 @@
         if !self.may_take(from, epoch) {
             return;
         }
-        if self.vows.joined != epoch {
+        if self.acceptor.joined != epoch {
             match lacked {
                 Some(lacked) => self.merge(lacked),
                 None if digest != self.digest => return self.send_behind(from, epoch),
@@ -101,7 +101,7 @@
         if !self.may_take(from, stamp.term) {
             return;
         }
-        if self.vows.joined != stamp.term {
+        if self.acceptor.joined != stamp.term {
             return self.send_behind(from, stamp.term);
         }
         // First what is chosen of this turn: this write may be the next one of a name that waits to be.
@@ -113,9 +113,9 @@
     /// Takes a write. The first of a turn holds all of earlier turns that may have been chosen: the rest is void.
     pub(crate) fn take(&mut self, stamp: Stamp, entries: Vec<NamedEntry>) {
         self.promise(stamp.term);
-        if stamp.sequence == 0 && self.vows.joined != stamp.term {
-            self.vows.joined = stamp.term;
-            self.dirty_vows = true;
+        if stamp.sequence == 0 && self.acceptor.joined != stamp.term {
+            self.acceptor.joined = stamp.term;
+            self.dirty_acceptor = true;
             self.contiguous = Contiguous::default();
             let before = |name: &&String| {
                 self.items[*name].pending.as_ref().is_some_and(|p| p.stamp.term < stamp.term)
@@ -123,7 +123,7 @@
             let void: Vec<String> = self.pending.iter().filter(before).cloned().collect();
             void.iter().for_each(|name| self.set_pending(name, None));
         }
-        if self.vows.joined == stamp.term {
+        if self.acceptor.joined == stamp.term {
             self.contiguous.take(stamp.sequence);
         }
         for (name, entry) in entries {
@@ -137,7 +137,7 @@
 
     /// Writes of a turn below this one are chosen.
     pub(crate) fn choose(&mut self, epoch: Term, below: u64) {
-        if epoch != self.vows.joined {
+        if epoch != self.acceptor.joined {
             return;
         }
         let ready = |name: &&String| {
@@ -174,10 +174,10 @@
         }
         self.touch(&name);
         self.refact(&name);
-        if name == SEATS {
+        if name == MEMBERS_KEY {
             self.take_seats();
             let seats = self.seats.clone();
-            self.out.push(Out::Seats(seats));
+            self.out.push(Output::Members(seats));
         } else {
             self.news.push((name, versions::published(&entry)));
         }
