--- a/system/config-store/src/disk.rs
+++ b/system/config-store/src/disk.rs
@@ -1,11 +1,13 @@
-//! The store's own state on disk: `fjall`, one record for each item and one for the promises, as `bitcode`, each with a
-//! check sum of its own, and one that says of all of them together what they are.
+//! The store's state on disk: a `fjall` database with one record for each item, one for the acceptor state
+//! and one for the progress, encoded with `bitcode` and each with its own checksum, and a digest of all
+//! records together.
 //!
-//! Every write of one step is one batch, synced before this returns: what was promised is there. A write that was not synced may come back
-//! in any form; the library's check sum covers the records of a batch but not the number by which a later record goes before an
-//! earlier one. So each batch brings the digest of all records as they are after it, and files whose records are not what their digest
-//! says hold a write in part. Journals are bounded by the
-//! machine's disk, which two programs share.
+//! All writes of a step form one batch, which is synced before the call returns: what was promised is on the
+//! disk. A write that was not synced may come back in any form; the library's checksum covers the records of
+//! a batch, but not the sequence number by which a later record takes precedence over an earlier one. Each
+//! batch therefore includes the digest of all records after it, and files whose records do not match their
+//! digest hold a partial write. The size of the journals is bounded by the disk of the machine, which two
+//! programs share.
 
 use fennelscale_replication::{AcceptorState, DiskWrites, Item, PersistedState, Progress};
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
@@ -14,77 +16,77 @@
 use std::io::{Read as _, Write as _};
 use std::path::{Path, PathBuf};
 
-/// The record of the promises. Items' names have a colon in second place.
-const VOWS: &str = "vows";
-/// The record of how far the copy goes. Files from before it was written have none: such a copy counts as one that is complete up to
-/// nowhere, and learns that from others.
-const PROGRESS: &str = "progress";
-/// The record of the digest. Files from before it was written have none.
-const DIGEST: &str = "digest";
-/// The journal takes this part of the disk.
+/// The key of the acceptor state. It cannot be an item's name: those have a colon as their second character.
+const ACCEPTOR_KEY: &str = "vows";
+/// The key of the copy's progress. Older files have no such record: their copy counts as having no progress,
+/// and learns it from other members.
+const PROGRESS_KEY: &str = "progress";
+/// The key of the digest. Older files have no such record.
+const DIGEST_KEY: &str = "digest";
+/// The journals may take the size of the disk divided by this.
 const JOURNAL_SHARE: u64 = 4;
-/// The least journal that the library takes.
-const JOURNAL_LEAST: u64 = 64 << 20;
-const CACHE: u64 = 1 << 20;
-/// One write is not longer than this: a call is 8 MB at most, and each of its items is kept once as sent.
-const LONGEST_WRITE: usize = 16 << 20;
+/// The smallest journal size that the library accepts, in bytes.
+const MIN_JOURNAL_SIZE: u64 = 64 << 20;
+const CACHE_SIZE: u64 = 1 << 20;
+/// The longest write, in bytes: a call has at most 8 MB, and each of its items is stored once as sent.
+const MAX_WRITE_SIZE: usize = 16 << 20;
 
-/// The store's files.
+/// The files of the store.
 pub struct Disk {
     database: Database,
     records: Keyspace,
-    sums: RefCell<Sums>,
+    hashes: RefCell<RecordHashes>,
 }
 
-/// What the records are: each one's share of the digest, and that.
+/// The hash of each record and the digest, which combines them.
 #[derive(Default)]
-struct Sums {
-    of: HashMap<String, u64>,
+struct RecordHashes {
+    by_name: HashMap<String, u64>,
     digest: u64,
 }
 
-impl Sums {
+impl RecordHashes {
     fn set(&mut self, name: &str, record: &[u8]) {
         let share = fennelscale_messages::mix(
             fennelscale_messages::hash(name.as_bytes()) ^ fennelscale_messages::hash(record),
         );
-        self.digest ^= share ^ self.of.insert(name.to_owned(), share).unwrap_or(0);
+        self.digest ^= share ^ self.by_name.insert(name.to_owned(), share).unwrap_or(0);
     }
 }
 
-/// Why there is no store on a disk.
+/// Why a store cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The disk is full or fails: what it holds is not known, and is not taken for lost.
-    #[error("the disk takes no writes: {0}")]
+    /// The disk is full or fails. Its contents are unknown, and are not considered lost.
+    #[error("the disk cannot be written: {0}")]
     Failing(String),
-    /// There can be no files there.
+    /// The folder cannot hold the files.
     #[error("{0}")]
     Unusable(miette::Report),
 }
 
-/// Why a store's files cannot be read.
+/// Why the files of a store cannot be read.
 #[derive(Debug, thiserror::Error)]
-enum Unreadable {
-    /// The disk is full or fails: that says nothing of the files.
-    #[error("disk: {0}")]
+enum ReadError {
+    /// The disk is full or fails, which says nothing about the files.
+    #[error("disk failure: {0}")]
     Disk(String),
-    /// The library will not have them.
-    #[error("files: {0}")]
+    /// The library rejects them.
+    #[error("database: {0}")]
     Files(String),
-    /// It reads them, and a record is not what was written.
+    /// The library reads them, but a record is corrupt.
     #[error("record {0}")]
     Record(String),
-    /// Each record is one that was written; together they are none of the states that were.
-    #[error("records of a write in part")]
-    Part,
+    /// Each record is valid, but together they do not form a state that was written.
+    #[error("the records hold a partial write")]
+    PartialWrite,
 }
 
-impl From<fjall::Error> for Unreadable {
+impl From<fjall::Error> for ReadError {
     fn from(error: fjall::Error) -> Self {
         let mut cause: Option<&(dyn std::error::Error + 'static)> = Some(&error);
         while let Some(inner) = cause {
-            if inner.downcast_ref::<std::io::Error>().is_some_and(is_failing) {
+            if inner.downcast_ref::<std::io::Error>().is_some_and(is_disk_failure) {
                 return Self::Disk(error.to_string());
             }
             cause = inner.source();
@@ -93,8 +95,8 @@
     }
 }
 
-/// Whether an error is the disk's, whatever the files hold.
-fn is_failing(error: &std::io::Error) -> bool {
+/// Whether an error is caused by the disk, whatever the files hold.
+fn is_disk_failure(error: &std::io::Error) -> bool {
     use std::io::ErrorKind as Kind;
     const INPUT_OUTPUT: i32 = 5;
     let kinds = [
@@ -107,42 +109,43 @@
     kinds.contains(&error.kind()) || error.raw_os_error() == Some(INPUT_OUTPUT)
 }
 
-/// A value with its check sum before it.
-fn sealed<T: bitcode::Encode>(value: &T) -> Vec<u8> {
+/// Encodes a value with its checksum in front.
+fn encode_record<T: bitcode::Encode>(value: &T) -> Vec<u8> {
     let body = bitcode::encode(value);
     let mut bytes = fennelscale_messages::hash(&body).to_le_bytes().to_vec();
     bytes.extend_from_slice(&body);
     bytes
 }
 
-fn unsealed<T: for<'a> bitcode::Decode<'a>>(bytes: &[u8]) -> Option<T> {
+/// Decodes a value; none if its checksum does not match.
+fn decode_record<T: for<'a> bitcode::Decode<'a>>(bytes: &[u8]) -> Option<T> {
     let (sum, body) = bytes.split_at_checked(8)?;
     (fennelscale_messages::hash(body).to_le_bytes() == sum).then(|| bitcode::decode(body).ok()).flatten()
 }
 
-/// The journal that is written to, below the store's folder.
-fn newest_journal(place: &Path) -> Option<PathBuf> {
+/// The name of the journal that is being written, in the folder of the database.
+fn newest_journal(path: &Path) -> Option<PathBuf> {
     let names =
-        std::fs::read_dir(place).ok()?.filter_map(|entry| Some(PathBuf::from(entry.ok()?.file_name())));
+        std::fs::read_dir(path).ok()?.filter_map(|entry| Some(PathBuf::from(entry.ok()?.file_name())));
     let number = |name: &PathBuf| -> Option<u64> { name.file_stem()?.to_str()?.parse().ok() };
     let journals = names.filter(|name| name.extension().is_some_and(|kind| kind == "jnl"));
     journals.filter(|name| number(name).is_some()).max_by_key(number)
 }
 
-/// What was written to a journal: it is made long at once, with zeros behind what is used.
-fn beginning(journal: &Path) -> std::io::Result<Vec<u8>> {
+/// The used part of a journal: the file is preallocated, with zeros after what was written.
+fn used_part(journal: &Path) -> std::io::Result<Vec<u8>> {
     const BLOCK: usize = 1 << 16;
     let mut file = std::fs::File::open(journal)?;
     let (mut bytes, mut block) = (Vec::new(), vec![0; BLOCK]);
     let (mut zeros, mut blocks) = (0, 0);
     loop {
-        let many = file.read(&mut block)?;
-        if many == 0 {
+        let count = file.read(&mut block)?;
+        if count == 0 {
             break;
         }
-        blocks += many;
-        match block[..many].iter().rposition(|byte| *byte != 0) {
-            None => zeros += many,
+        blocks += count;
+        match block[..count].iter().rposition(|byte| *byte != 0) {
+            None => zeros += count,
             Some(at) => {
                 bytes.resize(bytes.len() + std::mem::take(&mut zeros), 0);
                 bytes.extend_from_slice(&block[..=at]);
@@ -153,21 +156,23 @@
     Ok(bytes)
 }
 
-/// The longest beginning of a journal of so many bytes that opens, if less than one write is behind it.
-fn longest_beginning(
-    length: usize, opens: impl Fn(usize) -> Result<bool, Unreadable>,
-) -> Result<Option<usize>, Unreadable> {
-    let (mut least, mut most) = (length.saturating_sub(LONGEST_WRITE), length);
-    if !opens(least)? {
+/// The length of the longest prefix of a journal that can be opened, if what follows it is less than one
+/// write.
+fn longest_readable_prefix(
+    length: usize, is_readable: impl Fn(usize) -> Result<bool, ReadError>,
+) -> Result<Option<usize>, ReadError> {
+    let (mut min, mut max) = (length.saturating_sub(MAX_WRITE_SIZE), length);
+    if !is_readable(min)? {
         return Ok(None);
     }
-    while most - least > 1 {
-        let middle = least + (most - least) / 2;
-        *(if opens(middle)? { &mut least } else { &mut most }) = middle;
+    while max - min > 1 {
+        let middle = min + (max - min) / 2;
+        *(if is_readable(middle)? { &mut min } else { &mut max }) = middle;
     }
-    Ok(Some(least))
+    Ok(Some(min))
 }
 
+/// Writes a file of a given length that begins with some bytes and continues with zeros.
 fn write_sparse(at: &Path, bytes: &[u8], length: u64) -> std::io::Result<()> {
     let mut file = std::fs::File::create(at)?;
     file.write_all(bytes)?;
@@ -175,15 +180,15 @@
     file.sync_all()
 }
 
-/// Copies a folder but for one file in it.
-fn copy_but(from: &Path, to: &Path, but: &Path) -> std::io::Result<()> {
+/// Copies a folder except for one file in it.
+fn copy_except(from: &Path, to: &Path, except: &Path) -> std::io::Result<()> {
     std::fs::create_dir_all(to)?;
     for entry in std::fs::read_dir(from)? {
         let entry = entry?;
         let name = PathBuf::from(entry.file_name());
         if entry.file_type()?.is_dir() {
-            copy_but(&entry.path(), &to.join(&name), Path::new(""))?;
-        } else if name != but {
+            copy_except(&entry.path(), &to.join(&name), Path::new(""))?;
+        } else if name != except {
             std::fs::copy(entry.path(), to.join(&name))?;
         }
     }
@@ -191,126 +196,135 @@
 }
 
 impl Disk {
-    /// Opens the files in a folder, of a disk of so many bytes, and reads what they hold. Files that do not check out count
-    /// as an empty disk: the copy is learned again from a quorum.
+    /// Opens the files in a folder on a disk of the given size and reads their contents. Corrupt files count
+    /// as an empty disk: the copy is recovered from a quorum.
     ///
     /// # Errors
-    /// When there can be no files there, or the disk fails.
-    pub fn open(folder: &Path, size: u64) -> Result<(Self, PersistedState), OpenError> {
+    /// When the folder cannot hold the files, or the disk fails.
+    pub fn open(folder: &Path, disk_size: u64) -> Result<(Self, PersistedState), OpenError> {
         let report = |error: &dyn std::fmt::Display| {
             let at = folder.display();
             OpenError::Unusable(miette::miette!(
-                help = "check that the folder is there, may be written and has room",
+                help = "check that the folder exists, is writable and has free space",
                 "store at {at}: {error}"
             ))
         };
         let failed = |error: std::io::Error| {
-            if is_failing(&error) { OpenError::Failing(error.to_string()) } else { report(&error) }
+            if is_disk_failure(&error) { OpenError::Failing(error.to_string()) } else { report(&error) }
         };
         std::fs::create_dir_all(folder).map_err(failed)?;
-        let place = folder.join("items");
-        match Self::read(&place, size) {
+        let path = folder.join("items");
+        match Self::read(&path, disk_size) {
             Ok(read) => Ok(read),
-            Err(Unreadable::Disk(error)) => Err(OpenError::Failing(error)),
+            Err(ReadError::Disk(error)) => Err(OpenError::Failing(error)),
             Err(error) => {
-                // A record that is whole and does not check out is no torn end.
-                if let Unreadable::Files(_) | Unreadable::Part = error {
-                    match Self::without_torn_end(&place, size) {
+                // A complete but corrupt record is not a torn write.
+                if let ReadError::Files(_) | ReadError::PartialWrite = error {
+                    match Self::recover_torn_journal(&path, disk_size) {
                         Ok(Some(read)) => return Ok(read),
-                        // Nothing is known of the files as long as no trial can be made.
+                        // As long as no trial can be made, nothing is known about the files.
                         Err(error) => return Err(OpenError::Failing(error.to_string())),
                         Ok(None) => {}
                     }
                 }
-                // Loud, and kept aside for whoever wants to look at it; it votes on nothing before it has learned.
-                tracing::error!(event = "store-unreadable", folder = %place.display(), error = %error);
+                // Logged as an error and kept aside for inspection; the store does not vote before it has
+                // recovered.
+                tracing::error!(event = "store-unreadable", folder = %path.display(), error = %error);
                 let aside = folder.join(format!("unreadable-{}", std::process::id()));
-                std::fs::rename(&place, &aside).map_err(failed)?;
-                Self::read(&place, size).map_err(|error| report(&error))
+                std::fs::rename(&path, &aside).map_err(failed)?;
+                Self::read(&path, disk_size).map_err(|error| report(&error))
             }
         }
     }
 
-    /// Opens files whose last write, which was not synced, was torn by a loss of power so that the library will have none of them: with the
-    /// longest beginning of the journal that it reads. Every synced write is in it. Trials are made on copies, since to open is to
-    /// write. None where more would go than one write can be: that is no torn end.
+    /// Opens files that the library rejects because a power loss tore the last write, which was not synced.
+    /// The journal is cut to the longest prefix that the library reads, which includes every synced write.
+    /// Trials are made on copies, since opening the files writes to them. Returns none if more than one write
+    /// would be cut off: that is not a torn write.
     ///
     /// # Errors
     /// When the disk has no room for a trial, or fails.
-    fn without_torn_end(place: &Path, size: u64) -> Result<Option<(Self, PersistedState)>, Unreadable> {
-        let failed = |error: std::io::Error| Unreadable::Disk(error.to_string());
-        let Some(journal) = newest_journal(place) else { return Ok(None) };
-        let bytes = beginning(&place.join(&journal)).map_err(failed)?;
-        let length = std::fs::metadata(place.join(&journal)).map_err(failed)?.len();
-        let trial = place.with_extension("trial");
-        let opens = |many: usize| {
+    fn recover_torn_journal(
+        path: &Path, disk_size: u64,
+    ) -> Result<Option<(Self, PersistedState)>, ReadError> {
+        let failed = |error: std::io::Error| ReadError::Disk(error.to_string());
+        let Some(journal) = newest_journal(path) else { return Ok(None) };
+        let bytes = used_part(&path.join(&journal)).map_err(failed)?;
+        let length = std::fs::metadata(path.join(&journal)).map_err(failed)?.len();
+        let trial = path.with_extension("trial");
+        let is_readable = |count: usize| {
             let _ = std::fs::remove_dir_all(&trial);
-            copy_but(place, &trial, &journal).map_err(failed)?;
-            write_sparse(&trial.join(&journal), &bytes[..many], length).map_err(failed)?;
-            match Self::read(&trial, size) {
+            copy_except(path, &trial, &journal).map_err(failed)?;
+            write_sparse(&trial.join(&journal), &bytes[..count], length).map_err(failed)?;
+            match Self::read(&trial, disk_size) {
                 Ok(_) => Ok(true),
-                Err(error @ Unreadable::Disk(_)) => Err(error),
+                Err(error @ ReadError::Disk(_)) => Err(error),
                 Err(_) => Ok(false),
             }
         };
-        let longest = longest_beginning(bytes.len(), opens);
+        let longest = longest_readable_prefix(bytes.len(), is_readable);
         let _ = std::fs::remove_dir_all(&trial);
         let Some(kept) = longest? else { return Ok(None) };
-        write_sparse(&place.join(&journal), &bytes[..kept], length).map_err(failed)?;
-        let Ok(read) = Self::read(place, size) else { return Ok(None) };
+        write_sparse(&path.join(&journal), &bytes[..kept], length).map_err(failed)?;
+        let Ok(read) = Self::read(path, disk_size) else { return Ok(None) };
         tracing::error!(event = "journal-cut", kept, dropped = bytes.len() - kept);
         Ok(Some(read))
     }
 
-    fn read(place: &Path, size: u64) -> Result<(Self, PersistedState), Unreadable> {
-        let journal = (size / JOURNAL_SHARE).max(JOURNAL_LEAST);
-        let database = Database::builder(place)
+    fn read(path: &Path, disk_size: u64) -> Result<(Self, PersistedState), ReadError> {
+        let max_journal_size = (disk_size / JOURNAL_SHARE).max(MIN_JOURNAL_SIZE);
+        let database = Database::builder(path)
             .worker_threads(1)
-            .cache_size(CACHE)
-            .max_journaling_size(journal)
+            .cache_size(CACHE_SIZE)
+            .max_journaling_size(max_journal_size)
             .open()?;
         let records = database.keyspace("records", KeyspaceCreateOptions::default)?;
-        let mut memory = PersistedState::default();
-        let (mut sums, mut digest) = (Sums::default(), None);
+        let mut state = PersistedState::default();
+        let (mut hashes, mut digest) = (RecordHashes::default(), None);
         for record in records.iter() {
             let (key, value) = record.into_inner()?;
-            let name = std::str::from_utf8(&key).map_err(|_| Unreadable::Record("without a name".into()))?;
-            let broken = || Unreadable::Record(format!("{name} does not check out"));
-            if name == DIGEST {
-                digest = Some(unsealed::<u64>(&value).ok_or_else(broken)?);
+            let name =
+                std::str::from_utf8(&key).map_err(|_| ReadError::Record("name is not UTF-8".into()))?;
+            let broken = || ReadError::Record(format!("{name} is corrupt"));
+            if name == DIGEST_KEY {
+                digest = Some(decode_record::<u64>(&value).ok_or_else(broken)?);
                 continue;
             }
-            sums.set(name, &value);
+            hashes.set(name, &value);
             match name {
-                VOWS => memory.acceptor = Some(unsealed::<AcceptorState>(&value).ok_or_else(broken)?),
-                PROGRESS => memory.progress = unsealed::<Progress>(&value).ok_or_else(broken)?,
-                _ => drop(memory.items.insert(name.to_owned(), unsealed::<Item>(&value).ok_or_else(broken)?)),
+                ACCEPTOR_KEY => {
+                    state.acceptor = Some(decode_record::<AcceptorState>(&value).ok_or_else(broken)?)
+                }
+                PROGRESS_KEY => state.progress = decode_record::<Progress>(&value).ok_or_else(broken)?,
+                _ => drop(
+                    state.items.insert(name.to_owned(), decode_record::<Item>(&value).ok_or_else(broken)?),
+                ),
             }
         }
-        if digest.is_some_and(|digest| digest != sums.digest) {
-            return Err(Unreadable::Part);
+        if digest.is_some_and(|digest| digest != hashes.digest) {
+            return Err(ReadError::PartialWrite);
         }
-        Ok((Self { database, records, sums: RefCell::new(sums) }, memory))
+        Ok((Self { database, records, hashes: RefCell::new(hashes) }, state))
     }
 
-    /// Brings writes to the disk. They are safe when this returns.
+    /// Writes a batch. It is durable when this returns.
     ///
     /// # Errors
-    /// When the disk is full or fails: nothing of them may be promised then.
+    /// When the disk is full or fails: nothing of the batch may be promised.
     pub fn write(&self, writes: &DiskWrites) -> Result<(), String> {
         if writes.acceptor.is_none() && writes.progress.is_none() && writes.items.is_empty() {
             return Ok(());
         }
         let mut batch = self.database.batch();
-        let mut sums = self.sums.borrow_mut();
-        let vows = writes.acceptor.iter().map(|vows| (VOWS, sealed(vows)));
-        let items = writes.items.iter().map(|(name, item)| (name.as_str(), sealed(item)));
-        let progress = writes.progress.iter().map(|progress| (PROGRESS, sealed(progress)));
-        for (name, record) in vows.chain(progress).chain(items) {
-            sums.set(name, &record);
+        let mut hashes = self.hashes.borrow_mut();
+        let acceptor = writes.acceptor.iter().map(|acceptor| (ACCEPTOR_KEY, encode_record(acceptor)));
+        let items = writes.items.iter().map(|(name, item)| (name.as_str(), encode_record(item)));
+        let progress = writes.progress.iter().map(|progress| (PROGRESS_KEY, encode_record(progress)));
+        for (name, record) in acceptor.chain(progress).chain(items) {
+            hashes.set(name, &record);
             batch.insert(&self.records, name, record);
         }
-        batch.insert(&self.records, DIGEST, sealed(&sums.digest));
+        batch.insert(&self.records, DIGEST_KEY, encode_record(&hashes.digest));
         batch.commit().map_err(|error| error.to_string())?;
         self.database.persist(PersistMode::SyncAll).map_err(|error| error.to_string())
     }
--- a/system/config-store/src/lib.rs
+++ b/system/config-store/src/lib.rs
@@ -1,11 +1,12 @@
-//! `fennelscale-config-store`: the store of configuration (the field's term: a replicated configuration store). Every core machine runs one. It
-//! holds a copy of every item on its disk, takes calls from its machine's registry, and tells that what is chosen.
+//! `fennelscale-config-store`: the replicated configuration store. Every core machine runs one. It holds a
+//! copy of every item on its disk, accepts calls from the registry of its machine and reports chosen entries
+//! to it.
 
-mod diary;
 mod disk;
+mod event_log;
 mod store;
 
-use diary::Diary;
+use event_log::EventLog;
 use fennelscale_host::link::{Peers, Writer, hear, split};
 use fennelscale_host::{link, spawn, start};
 use fennelscale_messages::Host;
@@ -25,62 +26,64 @@
     run
 );
 
-/// Time passes for the machine this often.
+/// The interval at which the replica's clock advances.
 const TICK: Duration = Duration::from_millis(100);
-/// After SIGTERM the others are told and may take over what this one does.
-const FAREWELL: Duration = Duration::from_millis(700);
-/// A member that has to hand over first does so within this part of the grace period, or goes as it is.
-const HANDS_OVER: f64 = 0.8;
-
-/// A disk that took no write is tried again this often.
-const REOPEN: Duration = Duration::from_secs(1);
+/// The time after SIGTERM in which the other members, having been notified, may take over from this one.
+const HANDOVER_DELAY: Duration = Duration::from_millis(700);
+/// The share of the grace period in which a member completes its handover; after that it leaves without.
+const HANDOVER_SHARE: f64 = 0.8;
+/// The interval of attempts to reopen a disk that failed a write.
+const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
 
 struct ConfigStore {
     store: RefCell<Store>,
-    /// What the registry of this machine saw happen.
-    diary: RefCell<Diary>,
+    /// Events observed by the registry of this machine.
+    event_log: RefCell<EventLog>,
     peers: Peers,
-    /// The registry of this machine.
+    /// The connection to the registry of this machine.
     registry: RefCell<Option<Writer>>,
-    born: Instant,
+    started: Instant,
 }
 
 async fn run(settings: Settings, mut signals: start::Signals) -> miette::Result<()> {
-    let unusable = |field: &str| {
-        miette::miette!(help = "the store runs on machines that have it", "settings field {field} is missing")
+    let missing = |field: &str| {
+        miette::miette!(help = "the config store requires this setting", "settings field {field} is missing")
     };
-    let folder = settings.data.as_ref().ok_or_else(|| unusable("dataDirectory"))?;
-    let host = Host::from_ip(settings.ip).ok_or_else(|| unusable("ipAddress (IPv4)"))?;
-    let life = fennelscale_messages::mix(u64::from(std::process::id()) ^ start::life());
-    let place = ReplicaConfig {
+    let folder = settings.data.as_ref().ok_or_else(|| missing("dataDirectory"))?;
+    let host = Host::from_ip(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
+    let incarnation = fennelscale_messages::mix(u64::from(std::process::id()) ^ start::life());
+    let config = ReplicaConfig {
         local: Member { host, zone: settings.zone.clone(), region: settings.region.clone() },
         seeds: settings.seeds.iter().filter_map(|seed| Host::from_ip(seed.ip())).collect(),
         bootstrap: settings.bootstrap,
         fault_tolerance: (settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions),
-        incarnation: life >> 24,
+        incarnation: incarnation >> 24,
     };
-    let store = Store::open(place, folder, settings.limits.disk, 0.0)?;
-    let others = start::listen(settings.own(Port::Depot)).await?;
+    let store = Store::open(config, folder, settings.limits.disk, 0.0)?;
+    let peer_listener = start::listen(settings.own(Port::Depot)).await?;
     let grace = settings.bounds.grace;
     let store = Rc::new(ConfigStore {
         store: RefCell::new(store),
-        diary: RefCell::new(Diary::new(folder.join("events"))),
+        event_log: RefCell::new(EventLog::new(folder.join("events"))),
         peers: Peers::new(host, settings.own(Port::Depot).port()),
         registry: RefCell::default(),
-        born: Instant::now(),
+        started: Instant::now(),
     });
-    if store.store.borrow().book().is_none() {
+    if store.store.borrow().replica().is_none() {
         spawn(store.clone().reopen());
     }
-    let heard = store.clone();
-    hear(others, move |from, word: StoreMessage| heard.with(|book, now| book.receive(now, from, word)));
-    // The registry of this machine is the one caller; it listens, as it may start later or again.
-    let at = settings.own(Port::Shelf);
-    let calls = store.clone();
+    let receiving = store.clone();
+    hear(peer_listener, move |from, message: StoreMessage| {
+        receiving.step(|replica, now| replica.receive(now, from, message))
+    });
+    // The registry of this machine is the only caller. The store connects to it, since it may start later or
+    // restart.
+    let registry_address = settings.own(Port::Shelf);
+    let serving = store.clone();
     spawn(async move {
         loop {
-            if let Ok(stream) = link::dial(at).await {
-                calls.clone().serve(stream).await;
+            if let Ok(stream) = link::dial(registry_address).await {
+                serving.clone().serve_registry(stream).await;
             }
             sleep(TICK).await;
         }
@@ -89,14 +92,15 @@
     spawn(async move {
         loop {
             sleep(TICK).await;
-            ticking.with(|book, now| book.tick(now));
+            ticking.step(|replica, now| replica.tick(now));
         }
     });
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
             _ = signals.hangup.recv() => {
-                // What changes here (seeds, tolerance) is for machines that start; those that run know the list of seats.
+                // Changed settings (seeds, tolerance) apply at a start; a running store knows the list of
+                // members.
                 let _ = start::again();
             }
         }
@@ -106,12 +110,12 @@
 }
 
 impl ConfigStore {
-    /// Gives the machine an input; what it writes is safe before anything of it is sent.
-    fn with(self: &Rc<Self>, input: impl FnOnce(&mut Replica, f64)) {
+    /// Passes an input to the replica. Its writes are durable before any of its outputs is sent.
+    fn step(self: &Rc<Self>, input: impl FnOnce(&mut Replica, f64)) {
         let now = self.now();
-        let outs = self.store.borrow_mut().with(now, input);
-        match outs {
-            Ok(outs) => self.carry_out(outs),
+        let outputs = self.store.borrow_mut().step(now, input);
+        match outputs {
+            Ok(outputs) => self.apply_outputs(outputs),
             Err(error) => {
                 tracing::error!(event = "disk-failed", error);
                 self.report(&StoreToRegistry::UpToDate(false));
@@ -120,23 +124,24 @@
         }
     }
 
-    fn carry_out(&self, outs: Vec<Output>) {
-        for out in outs {
+    fn apply_outputs(&self, outputs: Vec<Output>) {
+        for out in outputs {
             match out {
-                Output::Send(to, word) => self.peers.send(to, &word),
-                Output::Answer(id, told) => self.report(&StoreToRegistry::Response(id, told)),
+                Output::Send(to, message) => self.peers.send(to, &message),
+                Output::Answer(id, response) => self.report(&StoreToRegistry::Response(id, response)),
                 Output::Chosen(entries) => self.report(&StoreToRegistry::Items { complete: false, entries }),
-                Output::Members(seats) => self.report(&StoreToRegistry::Members(seats)),
-                Output::UpToDate(fresh) => self.report(&StoreToRegistry::UpToDate(fresh)),
+                Output::Members(members) => self.report(&StoreToRegistry::Members(members)),
+                Output::UpToDate(up_to_date) => self.report(&StoreToRegistry::UpToDate(up_to_date)),
                 Output::Log(event, about) => tracing::info!(event, about),
             }
         }
     }
 
-    /// Until the disk takes writes again this store promises nothing and answers nothing; then it goes on from what is there.
+    /// Reopens the disk. Until it accepts writes again, this store promises and answers nothing; then it
+    /// continues from the state on the disk.
     async fn reopen(self: Rc<Self>) {
         loop {
-            sleep(REOPEN).await;
+            sleep(REOPEN_INTERVAL).await;
             let now = self.now();
             let opened = self.store.borrow_mut().reopen(now);
             match opened {
@@ -148,41 +153,42 @@
         self.report_all();
     }
 
-    /// Tells the registry all that this store holds.
+    /// Reports everything that this store holds to the registry.
     fn report_all(&self) {
-        let reports = self.store.borrow().book().map(|book| {
-            let items = StoreToRegistry::Items { complete: true, entries: book.published_entries() };
+        let reports = self.store.borrow().replica().map(|replica| {
+            let items = StoreToRegistry::Items { complete: true, entries: replica.published_entries() };
             [
-                StoreToRegistry::Members(book.members().clone()),
+                StoreToRegistry::Members(replica.members().clone()),
                 items,
-                StoreToRegistry::UpToDate(book.is_up_to_date()),
+                StoreToRegistry::UpToDate(replica.is_up_to_date()),
             ]
         });
         reports.iter().flatten().for_each(|report| self.report(report));
     }
 
-    /// Tells the others, and goes when nothing is left to hand over: until then this member votes.
+    /// Notifies the other members and returns when nothing is left to hand over: until then this member
+    /// votes.
     async fn leave(self: &Rc<Self>, grace: Duration) {
-        let until = Instant::now() + grace.mul_f64(HANDS_OVER);
-        self.with(|book, now| book.begin_leave(now));
-        sleep(FAREWELL).await;
-        let mut said = None;
+        let deadline = Instant::now() + grace.mul_f64(HANDOVER_SHARE);
+        self.step(|replica, now| replica.begin_leave(now));
+        sleep(HANDOVER_DELAY).await;
+        let mut logged = None;
         loop {
-            let waits = self.store.borrow().book().and_then(|book| book.leave_blocker(self.now()));
-            if waits.is_none() || Instant::now() >= until {
-                tracing::info!(event = "leaves", unfinished = waits);
+            let blocker = self.store.borrow().replica().and_then(|replica| replica.leave_blocker(self.now()));
+            if blocker.is_none() || Instant::now() >= deadline {
+                tracing::info!(event = "leaves", unfinished = blocker);
                 return;
             }
-            if waits != said {
-                tracing::info!(event = "waits-to-leave", why = waits);
-                said = waits;
+            if blocker != logged {
+                tracing::info!(event = "waits-to-leave", why = blocker);
+                logged = blocker;
             }
             sleep(TICK).await;
         }
     }
 
     fn now(&self) -> f64 {
-        self.born.elapsed().as_secs_f64() * 1000.0
+        self.started.elapsed().as_secs_f64() * 1000.0
     }
 
     fn report(&self, report: &StoreToRegistry) {
@@ -191,30 +197,30 @@
         }
     }
 
-    async fn serve(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_registry(self: Rc<Self>, stream: TcpStream) {
         let (mut reader, writer) = split(stream);
         *self.registry.borrow_mut() = Some(writer);
         self.report_all();
-        while let Ok(order) = reader.next::<RegistryToStore>().await {
-            match order {
-                RegistryToStore::Call(id, _) if self.store.borrow().book().is_none() => {
+        while let Ok(message) = reader.next::<RegistryToStore>().await {
+            match message {
+                RegistryToStore::Call(id, _) if self.store.borrow().replica().is_none() => {
                     self.report(&StoreToRegistry::Response(id, StoreResponse::Unclear));
                 }
-                RegistryToStore::Call(id, ask) => {
-                    self.with(|book, now| book.submit(now, Origin::Registry(id), ask))
+                RegistryToStore::Call(id, request) => {
+                    self.step(|replica, now| replica.submit(now, Origin::Registry(id), request))
                 }
-                // Nothing is promised of events: without them the store goes on.
+                // Events are stored on a best-effort basis: a failure does not stop the store.
                 RegistryToStore::SaveEvents(events) => {
-                    if let Err(error) = self.diary.borrow_mut().keep(&events) {
+                    if let Err(error) = self.event_log.borrow_mut().append(&events) {
                         tracing::warn!(event = "events-not-kept", count = events.len(), error = %error);
                     }
                 }
-                RegistryToStore::ReadEvents(id, wanted) => {
-                    let told = self.diary.borrow().read(&wanted).unwrap_or_else(|error| {
+                RegistryToStore::ReadEvents(id, query) => {
+                    let page = self.event_log.borrow().read(&query).unwrap_or_else(|error| {
                         tracing::warn!(event = "events-unreadable", error = %error);
                         None
                     });
-                    self.report(&StoreToRegistry::SavedEvents(id, told));
+                    self.report(&StoreToRegistry::SavedEvents(id, page));
                 }
             }
         }
--- a/system/config-store/src/store.rs
+++ b/system/config-store/src/store.rs
@@ -1,30 +1,31 @@
-//! The state machine and its disk: what a step writes is synced before anything of it is told.
+//! The replica and its disk: the writes of a step are synced before any of its outputs is released.
 //!
-//! A disk that takes no write ends the state machine, not the process: what it holds in memory is ahead of the disk, and may not be
-//! promised. The store is then *suspended*: it votes on nothing and answers nothing. It goes on from what the disk holds once that takes
-//! a write again, as after a kill.
+//! A failed write ends the replica, not the process: its state in memory is ahead of the disk and must not be
+//! promised. The store is then *suspended*: it votes on nothing and answers nothing. Once the disk accepts a
+//! write again, the store continues from the state on the disk, as after a kill.
 
 use crate::disk::{Disk, OpenError};
 use fennelscale_replication::{DiskWrites, Output, Replica, ReplicaConfig};
 use std::path::{Path, PathBuf};
 
-/// A store.
+/// A replica with its disk, or a suspended store.
 pub struct Store {
-    place: ReplicaConfig,
+    config: ReplicaConfig,
     folder: PathBuf,
-    /// Bytes of the disk.
-    size: u64,
-    /// None while the disk takes no writes.
+    /// The size of the disk in bytes.
+    disk_size: u64,
+    /// None while the store is suspended.
     running: Option<(Replica, Disk)>,
 }
 
 impl Store {
-    /// Opens the files in a folder, of a disk of so many bytes. Where that disk is full or fails the store starts suspended.
+    /// Opens the files in a folder on a disk of the given size. If the disk is full or fails, the store
+    /// starts suspended.
     ///
     /// # Errors
-    /// When there can be no files there.
-    pub fn open(place: ReplicaConfig, folder: &Path, size: u64, now: f64) -> miette::Result<Self> {
-        let mut store = Self { place, folder: folder.to_path_buf(), size, running: None };
+    /// When the folder cannot hold the files.
+    pub fn open(config: ReplicaConfig, folder: &Path, disk_size: u64, now: f64) -> miette::Result<Self> {
+        let mut store = Self { config, folder: folder.to_path_buf(), disk_size, running: None };
         match store.start(now) {
             Ok(running) => store.running = Some(running),
             Err(OpenError::Failing(error)) => tracing::error!(event = "disk-failed", error),
@@ -34,42 +35,48 @@
     }
 
     fn start(&self, now: f64) -> Result<(Replica, Disk), OpenError> {
-        let (disk, memory) = Disk::open(&self.folder, self.size)?;
-        tracing::info!(event = "disk-read", items = memory.items.len(), blank = memory.acceptor.is_none());
-        Ok((Replica::new(self.place.clone(), memory, now), disk))
+        let (disk, persisted) = Disk::open(&self.folder, self.disk_size)?;
+        tracing::info!(
+            event = "disk-read",
+            items = persisted.items.len(),
+            blank = persisted.acceptor.is_none()
+        );
+        Ok((Replica::new(self.config.clone(), persisted, now), disk))
     }
 
-    /// The state machine; none while the disk takes no writes.
-    pub fn book(&self) -> Option<&Replica> {
-        self.running.as_ref().map(|(book, _)| book)
+    /// The replica; none while suspended.
+    pub fn replica(&self) -> Option<&Replica> {
+        self.running.as_ref().map(|(replica, _)| replica)
     }
 
-    /// Gives the state machine an input. What it wants done, once what it writes is safe; nothing while suspended.
+    /// Passes an input to the replica and returns its outputs once its writes are durable; none while
+    /// suspended.
     ///
     /// # Errors
-    /// When the disk did not take the write: the store is suspended.
-    pub fn with(&mut self, now: f64, input: impl FnOnce(&mut Replica, f64)) -> Result<Vec<Output>, String> {
-        let Some((book, disk)) = self.running.as_mut() else { return Ok(Vec::new()) };
-        input(book, now);
-        if let Err(error) = disk.write(&book.take_writes()) {
+    /// When the write failed: the store is suspended.
+    pub fn step(&mut self, now: f64, input: impl FnOnce(&mut Replica, f64)) -> Result<Vec<Output>, String> {
+        let Some((replica, disk)) = self.running.as_mut() else { return Ok(Vec::new()) };
+        input(replica, now);
+        if let Err(error) = disk.write(&replica.take_writes()) {
             self.running = None;
             return Err(error);
         }
-        // What the first start asks for is on the disk by now. A disk that comes back empty later is one that was lost.
-        self.place.bootstrap = false;
-        Ok(book.take_outputs())
+        // The bootstrap state is on the disk by now. A disk that is empty at a later reopening has lost its
+        // state.
+        self.config.bootstrap = false;
+        Ok(replica.take_outputs())
     }
 
-    /// Tries to go on from what is on the disk.
+    /// Tries to continue from the state on the disk.
     ///
     /// # Errors
-    /// When the disk still takes no write.
+    /// When the disk still fails writes.
     pub fn reopen(&mut self, now: f64) -> Result<(), String> {
-        let (book, disk) = self.start(now).map_err(|error| error.to_string())?;
-        // A record that is written in any case: shows whether there is room.
-        let progress = Some(book.progress());
+        let (replica, disk) = self.start(now).map_err(|error| error.to_string())?;
+        // Writes a record that always exists, to find out whether the disk accepts writes.
+        let progress = Some(replica.progress());
         disk.write(&DiskWrites { progress, ..DiskWrites::default() })?;
-        self.running = Some((book, disk));
+        self.running = Some((replica, disk));
         Ok(())
     }
 }
