--- a/system/config-store/src/lib.rs
+++ b/system/config-store/src/lib.rs
@@ -30,7 +30,7 @@
 const TICK: Duration = Duration::from_millis(100);
 /// The time after SIGTERM in which the other members, having been notified, may take over from this one.
 const HANDOVER_DELAY: Duration = Duration::from_millis(700);
-/// The share of the grace period in which a member completes its handover; after that it leaves without.
+/// The share of the grace period in which a member completes its handover; after that it leaves anyway.
 const HANDOVER_SHARE: f64 = 0.8;
 /// The interval of attempts to reopen a disk that failed a write.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
--- a/system/config/src/failure_order.rs
+++ b/system/config/src/failure_order.rs
@@ -64,8 +64,8 @@
         Err(item
             .invalid("what.time", &format!("over 0 and {:.0} s at most are wanted", MAX_HOLD_MS / 1000.0)))
     };
-    let share = |usual: f64| {
-        let share = item.number(&["what", "share"], Some(usual))?;
+    let share = |default: f64| {
+        let share = item.number(&["what", "share"], Some(default))?;
         if share <= 1.0 {
             Ok(share)
         } else {
--- a/system/config/src/item.rs
+++ b/system/config/src/item.rs
@@ -84,7 +84,7 @@
     pub max_body_bytes: usize,
     /// Time until a head is complete, in ms.
     pub header_timeout: f64,
-    /// Time of a connection without a request, in ms.
+    /// How long a connection may be without a request, in ms.
     pub idle_timeout: f64,
 }
 
@@ -115,7 +115,7 @@
 
 /// The longest timeout of a route.
 const MAX_TIMEOUT_MS: f64 = 600_000.0;
-/// A target latency must exceed the timeout by less than this.
+/// A target latency may exceed the timeout, but by less than this.
 const MAX_TARGET_BEYOND_TIMEOUT_MS: f64 = 60_000.0;
 
 /// The JSON of an item, with its name for error messages.
