--- a/system/membership/benches/bytes.rs
+++ b/system/membership/benches/bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes between processes a second while nothing fails, in virtual time, for small and large deployments: among registries, and from
-//! registries to proxies. `cargo bench -p fennelscale-membership`.
+//! Bytes between processes a second while nothing fails, in virtual time, for small and large deployments:
+//! among registries, and from registries to proxies. `cargo bench -p fennelscale-membership`.
 
 #[allow(dead_code, reason = "each user of the world uses its part")]
 #[path = "../tests/world/mod.rs"]
--- a/system/membership/src/copies.rs
+++ b/system/membership/src/copies.rs
@@ -1,136 +1,144 @@
-//! Copies of the items: for how long the store's word on this registry's copy holds, and whether a proxy's copy follows it.
+//! Copies of the configuration: how long the store's confirmation of this registry's copy is valid, and
+//! whether a proxy's copy keeps up with it.
 //!
-//! # What holds
+//! # Invariants
 //!
-//! - A copy is vouched for by the store's last word for [`CONTACT_LEASE`] and no longer: a store that hangs cannot take its word back.
-//! - A proxy whose sum is one that this copy had a moment ago ([`FOLLOWS`]) lacks nothing but what is on its way to it. Only one with
-//!   another sum, in two beats running, is compared with, part by part, and sent the parts that differ.
-//! - Comparisons with one proxy are [`FIRST_PAUSE`] apart and each time twice as far, up to [`LONGEST_PAUSE`]: what is sent again never keeps a link so
-//!   full that it has to be sent again.
+//! - A copy counts as fresh for [`CONTACT_LEASE`] after the store's last confirmation and no longer: a store
+//!   that hangs cannot revoke its confirmation.
+//! - A proxy whose digest is one that this copy had within [`RECENT_DIGEST_AGE`] lacks only changes that are
+//!   in transit. Only a proxy with another digest in two consecutive heartbeats is compared with, part by
+//!   part, and sent the parts that differ.
+//! - Comparisons with one proxy are [`MIN_COMPARE_INTERVAL`] apart, with exponential backoff up to
+//!   [`MAX_COMPARE_INTERVAL`]: resent data never fills a link so that it has to be sent again.
 
 use crate::Millis;
 use fennelscale_messages::news::CONTACT_LEASE;
 use std::collections::VecDeque;
 
-/// A sum that this copy had is followed for so long after the next change: the longest way twice, and a full link.
-pub const FOLLOWS: Millis = 1500.0;
-/// Between the first two comparisons with a proxy, ...
-const FIRST_PAUSE: Millis = 1000.0;
-/// ... and at the most.
-const LONGEST_PAUSE: Millis = 8000.0;
-/// The most sums that are remembered; with more changes than that in a moment a proxy may be compared with in vain.
-const MOST_SUMS: usize = 4096;
+/// How long after the next change an earlier digest counts as recent: twice the longest network delay, plus a
+/// full link.
+pub const RECENT_DIGEST_AGE: Millis = 1500.0;
+/// Interval between the first two comparisons with a proxy.
+const MIN_COMPARE_INTERVAL: Millis = 1000.0;
+/// Maximum interval between comparisons with a proxy.
+const MAX_COMPARE_INTERVAL: Millis = 8000.0;
+/// Maximum of remembered digests; with more changes than this at a time, a proxy may be compared with
+/// needlessly.
+const MAX_RECENT_DIGESTS: usize = 4096;
 
-/// What the store says of its copy, and when it said so.
+/// Whether the store confirmed that the copy is as new as a quorum's, and when.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Vouched {
+pub(crate) struct Freshness {
     fresh: bool,
-    /// When it was last said to be as new as a quorum's.
-    at: Millis,
+    /// The last confirmation.
+    confirmed_at: Millis,
 }
 
-impl Vouched {
-    /// Nothing has been said since then.
-    pub(crate) fn never(born: Millis) -> Self {
-        Self { fresh: false, at: born }
+impl Freshness {
+    /// No confirmation since the start.
+    pub(crate) fn unconfirmed(started_at: Millis) -> Self {
+        Self { fresh: false, confirmed_at: started_at }
     }
 
-    /// The store says whether the copy is as new as a quorum's.
-    pub(crate) fn told(&mut self, now: Millis, fresh: bool) {
+    /// The store reports whether the copy is as new as a quorum's.
+    pub(crate) fn update(&mut self, now: Millis, fresh: bool) {
         self.fresh = fresh;
         if fresh {
-            self.at = now;
+            self.confirmed_at = now;
         }
     }
 
-    /// When the copy was last known to be as new as a quorum's.
-    pub(crate) fn last(&self) -> Millis {
-        self.at
+    /// When the copy was last confirmed to be as new as a quorum's.
+    pub(crate) fn confirmed_at(&self) -> Millis {
+        self.confirmed_at
     }
 
-    /// Whether the word still holds.
-    pub(crate) fn holds(&self, now: Millis) -> bool {
-        self.fresh && now - self.at <= CONTACT_LEASE
+    /// Whether the copy is confirmed and the confirmation has not expired.
+    pub(crate) fn is_fresh(&self, now: Millis) -> bool {
+        self.fresh && now - self.confirmed_at <= CONTACT_LEASE
     }
 }
 
-/// What a proxy's sum says of its copy.
+/// What a proxy's digest says of its copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// It is the same.
+pub(crate) enum CopyStatus {
+    /// The copies are equal.
     Current,
-    /// It was the same a moment ago; the rest is on its way.
+    /// The copy equals a recent state; the rest is in transit.
     Following,
-    /// It never was the same, or too long ago.
+    /// The copy equals no recent state.
     Differing,
 }
 
-/// The sums that this copy had lately, and until when.
+/// The digests that this copy had recently, with the time at which each was superseded.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RecentSums(VecDeque<(Millis, u64)>);
+pub(crate) struct RecentDigests(VecDeque<(Millis, u64)>);
 
-impl RecentSums {
-    /// The copy has another sum from now on.
-    pub(crate) fn superseded(&mut self, now: Millis, sum: u64) {
-        while self.0.len() >= MOST_SUMS || self.0.front().is_some_and(|(at, _)| now - at > FOLLOWS) {
+impl RecentDigests {
+    /// A digest of the copy is replaced by another one.
+    pub(crate) fn supersede(&mut self, now: Millis, digest: u64) {
+        while self.0.len() >= MAX_RECENT_DIGESTS
+            || self.0.front().is_some_and(|(at, _)| now - at > RECENT_DIGEST_AGE)
+        {
             self.0.pop_front();
         }
-        self.0.push_back((now, sum));
+        self.0.push_back((now, digest));
     }
 
-    /// How a copy with a sum stands to this one, whose sum is `own`.
-    pub(crate) fn standing(&self, now: Millis, own: u64, sum: u64) -> Standing {
-        let recent = |(at, known): &(Millis, u64)| *known == sum && now - at <= FOLLOWS;
-        if own == sum {
-            Standing::Current
+    /// Compares a copy with a digest with this one, whose digest is `local`.
+    pub(crate) fn compare(&self, now: Millis, local: u64, digest: u64) -> CopyStatus {
+        let recent = |(at, known): &(Millis, u64)| *known == digest && now - at <= RECENT_DIGEST_AGE;
+        if local == digest {
+            CopyStatus::Current
         } else if self.0.iter().any(recent) {
-            Standing::Following
+            CopyStatus::Following
         } else {
-            Standing::Differing
+            CopyStatus::Differing
         }
     }
 }
 
-/// What is known of one proxy's copy.
+/// The state of comparisons with one proxy's copy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Comparison {
-    /// It differed at its last beat.
+    /// The copy differed at the last heartbeat.
     differs: bool,
-    /// It was compared with and has not followed since.
+    /// The copy was compared with and has not caught up since.
     lags: bool,
-    /// The next comparison is not before this, and the one after it this much later.
+    /// Earliest time of the next comparison.
     next_at: Millis,
-    pause: Millis,
+    /// Interval between the last comparison and the next.
+    interval: Millis,
 }
 
-/// What follows from a beat.
+/// What follows from a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Compared {
-    /// The proxy is asked for its copy, part by part.
-    pub(crate) asks: bool,
-    /// It began to lag, or it does so no longer.
-    pub(crate) lags: Option<bool>,
+pub(crate) struct ComparisonResult {
+    /// The proxy is to be asked for its digests, part by part.
+    pub(crate) needs_digests: bool,
+    /// The copy began to lag (`true`) or has caught up (`false`).
+    pub(crate) lag_change: Option<bool>,
 }
 
 impl Comparison {
-    /// A beat says how the proxy's copy stands.
-    pub(crate) fn beat(&mut self, now: Millis, standing: Standing) -> Compared {
-        if standing != Standing::Differing {
+    /// Records the status of the proxy's copy as of a heartbeat.
+    pub(crate) fn heartbeat(&mut self, now: Millis, status: CopyStatus) -> ComparisonResult {
+        if status != CopyStatus::Differing {
             let lagged = self.lags;
             *self = Self::default();
-            return Compared { asks: false, lags: lagged.then_some(false) };
+            return ComparisonResult { needs_digests: false, lag_change: lagged.then_some(false) };
         }
-        let again = std::mem::replace(&mut self.differs, true);
-        if !again || now < self.next_at {
-            return Compared::default();
+        let differed_before = std::mem::replace(&mut self.differs, true);
+        if !differed_before || now < self.next_at {
+            return ComparisonResult::default();
         }
-        self.pause = (2.0 * self.pause).clamp(FIRST_PAUSE, LONGEST_PAUSE);
-        self.next_at = now + self.pause;
+        self.interval = (2.0 * self.interval).clamp(MIN_COMPARE_INTERVAL, MAX_COMPARE_INTERVAL);
+        self.next_at = now + self.interval;
         let began = !std::mem::replace(&mut self.lags, true);
-        Compared { asks: true, lags: began.then_some(true) }
+        ComparisonResult { needs_digests: true, lag_change: began.then_some(true) }
     }
 
-    /// Whether it differed at its last beat.
+    /// Whether the copy differed at the last heartbeat.
     pub(crate) fn differs(&self) -> bool {
         self.differs
     }
--- a/system/membership/src/duties.rs
+++ b/system/membership/src/duties.rs
@@ -1,96 +1,100 @@
-//! DutyLeases: each is a key that one registry holds at a time. In the literature's terms: leases by majority, kept in memory.
+//! Duties: exclusive tasks, each held by one registry at a time through a majority lease that is kept in
+//! memory.
 //!
-//! A registry claims keys in its beats. Each seat lets one claim of a key stand at a time, for [`GRANT_DURATION`] from the beat; the
-//! claimant acts for [`HOLDER_DURATION`] from when it *sent* a beat that a majority let stand. Both run by steady clocks from events in
-//! that order, so a claim has been over at its holder for `GRANT_DURATION - HOLDER_DURATION` before a seat lets another stand; two majorities
-//! share a seat. A seat that starts anew may have let a claim stand that it does not know of: it lets none stand for [`GRANT_DURATION`].
+//! A registry claims duties in its heartbeats. Each voter grants one claim of a duty at a time, for
+//! [`GRANT_DURATION`] from the receipt of the heartbeat; the claimant acts for [`HOLDER_DURATION`] from when
+//! it *sent* a heartbeat that a majority granted. Both are measured by monotonic clocks and sending precedes
+//! receipt, so a claim has expired at its holder for `GRANT_DURATION - HOLDER_DURATION` before a voter grants
+//! another; and two majorities share a voter. A voter that restarts may have granted a claim that it no
+//! longer knows of, so it grants none for [`GRANT_DURATION`].
 
 use crate::Millis;
 use fennelscale_messages::Host;
 pub use fennelscale_quota_lease::{SHARDS, bit_of};
 use std::collections::BTreeMap;
 
-/// A claim that was let stand stays so long.
+/// How long a voter's grant excludes other claimants.
 pub const GRANT_DURATION: Millis = 1500.0;
-/// Its holder acts on it for so long. The difference covers a pause between the look at the fence and the effect.
+/// How long the holder acts on a grant. The difference covers a pause between the check of the lease and the
+/// effect.
 pub const HOLDER_DURATION: Millis = 1100.0;
-/// The key of reading the platform's list.
+/// The duty of reading the platform's backend list.
 pub const LIST_DUTY: u64 = 1 << SHARDS;
-/// Beats whose answers may still come.
+/// Maximum of heartbeats that may still be answered.
 const MAX_PENDING_HEARTBEATS: usize = 16;
 
-/// Keys that a registry is the first for, among those that are there: each key goes to the highest draw.
-pub fn preferred_duties(me: Host, others: &[Host]) -> u64 {
-    let draw = |host: Host, key: u64| fennelscale_messages::mix(u64::from(host.0) << 8 ^ key);
+/// The duties that a registry is preferred for among the reachable ones, by rendezvous hashing.
+pub fn preferred_duties(local_host: Host, others: &[Host]) -> u64 {
+    let weight = |host: Host, key: u64| fennelscale_messages::mix(u64::from(host.0) << 8 ^ key);
     (0..=SHARDS)
-        .filter(|key| others.iter().all(|o| draw(*o, *key) < draw(me, *key)))
+        .filter(|key| others.iter().all(|other| weight(*other, *key) < weight(local_host, *key)))
         .fold(0, |all, key| all | 1 << key)
 }
 
-/// The keys as one registry sees them, as claimant and as seat.
+/// The duties as one registry sees them, as claimant and as voter.
 #[derive(Clone, Debug)]
 pub struct DutyLeases {
     claims: u64,
-    /// When beats were sent.
-    sent: BTreeMap<u64, Millis>,
-    /// Until when which seat lets which of the claims stand.
-    stand: BTreeMap<Host, [Millis; SHARDS as usize + 1]>,
+    /// When each heartbeat was sent, by its number.
+    heartbeats: BTreeMap<u64, Millis>,
+    /// For each voter, until when its grant of each duty may be acted on.
+    grants: BTreeMap<Host, [Millis; SHARDS as usize + 1]>,
     held: u64,
-    since: [Millis; SHARDS as usize + 1],
-    /// As a seat: whose claim stands, and until when.
-    voted: [(Host, Millis); SHARDS as usize + 1],
+    held_since: [Millis; SHARDS as usize + 1],
+    /// As a voter: the claimant that each duty is granted to, and until when.
+    votes: [(Host, Millis); SHARDS as usize + 1],
 }
 
 impl DutyLeases {
-    /// Nothing claimed; as a seat it may have let claims stand until now.
+    /// No claims; as a voter it may have granted claims up to `now`.
     pub fn new(now: Millis) -> Self {
-        let voted = [(Host::default(), now + GRANT_DURATION); SHARDS as usize + 1];
+        let votes = [(Host::default(), now + GRANT_DURATION); SHARDS as usize + 1];
         Self {
             claims: 0,
-            sent: BTreeMap::new(),
-            stand: BTreeMap::new(),
+            heartbeats: BTreeMap::new(),
+            grants: BTreeMap::new(),
             held: 0,
-            since: [f64::MAX; SHARDS as usize + 1],
-            voted,
+            held_since: [f64::MAX; SHARDS as usize + 1],
+            votes,
         }
     }
 
-    /// What is claimed.
+    /// The claimed duties, one bit each.
     pub fn claims(&self) -> u64 {
         self.claims
     }
 
-    pub(crate) fn claim(&mut self, claims: u64) {
+    pub(crate) fn set_claims(&mut self, claims: u64) {
         self.claims = claims;
     }
 
-    pub(crate) fn sent(&mut self, number: u64, now: Millis) {
-        self.sent.insert(number, now);
-        while self.sent.len() > MAX_PENDING_HEARTBEATS {
-            self.sent.pop_first();
+    pub(crate) fn record_heartbeat(&mut self, number: u64, now: Millis) {
+        self.heartbeats.insert(number, now);
+        while self.heartbeats.len() > MAX_PENDING_HEARTBEATS {
+            self.heartbeats.pop_first();
         }
     }
 
-    /// When a beat was sent that may still be answered.
+    /// When a heartbeat was sent, if it may still be answered.
     pub(crate) fn sent_at(&self, number: u64) -> Option<Millis> {
-        self.sent.get(&number).copied()
+        self.heartbeats.get(&number).copied()
     }
 
-    /// A seat's word on a beat.
-    pub(crate) fn heard(&mut self, seat: Host, number: u64, granted: u64) {
-        let Some(&sent) = self.sent.get(&number) else { return };
-        let stand = self.stand.entry(seat).or_insert([f64::MIN; SHARDS as usize + 1]);
-        for (key, until) in stand.iter_mut().enumerate() {
+    /// Records a voter's answer to a heartbeat.
+    pub(crate) fn record_grant(&mut self, voter: Host, number: u64, granted: u64) {
+        let Some(&sent) = self.heartbeats.get(&number) else { return };
+        let grants = self.grants.entry(voter).or_insert([f64::MIN; SHARDS as usize + 1]);
+        for (key, until) in grants.iter_mut().enumerate() {
             if granted & 1 << key != 0 {
                 *until = until.max(sent + HOLDER_DURATION);
             }
         }
     }
 
-    /// As a seat: which of a claimant's claims stand.
+    /// As a voter: grants those of a claimant's claims that no other claimant holds, and returns them.
     pub fn vote(&mut self, now: Millis, claimant: Host, claims: u64) -> u64 {
         let mut granted = 0;
-        for (key, (host, until)) in self.voted.iter_mut().enumerate() {
+        for (key, (host, until)) in self.votes.iter_mut().enumerate() {
             if claims & 1 << key != 0 && (*host == claimant || now >= *until) {
                 (*host, *until) = (claimant, now + GRANT_DURATION);
                 granted |= 1 << key;
@@ -99,18 +103,19 @@
         granted
     }
 
-    /// What is held now.
+    /// The duties held now, one bit each.
     pub fn held(&self, now: Millis, majority: usize) -> u64 {
-        let stands = |key: usize| self.stand.values().filter(|stand| now < stand[key]).count() >= majority;
+        let is_granted =
+            |key: usize| self.grants.values().filter(|grants| now < grants[key]).count() >= majority;
         (0..=SHARDS as usize)
-            .filter(|key| self.claims & 1 << key != 0 && stands(*key))
+            .filter(|key| self.claims & 1 << key != 0 && is_granted(*key))
             .fold(0, |all, key| all | 1 << key)
     }
 
-    /// Notes what is held now; tells what has come and gone.
-    pub(crate) fn changed(&mut self, now: Millis, held: u64) -> (u64, u64) {
+    /// Records the duties held now and returns those gained and those lost.
+    pub(crate) fn update_held(&mut self, now: Millis, held: u64) -> (u64, u64) {
         let (gained, lost) = (held & !self.held, self.held & !held);
-        for (key, since) in self.since.iter_mut().enumerate() {
+        for (key, since) in self.held_since.iter_mut().enumerate() {
             if gained & 1 << key != 0 {
                 *since = now;
             }
@@ -119,8 +124,8 @@
         (gained, lost)
     }
 
-    /// Since when a key is held.
-    pub(crate) fn since(&self, bit: u64) -> Millis {
-        if self.held & bit == 0 { f64::MAX } else { self.since[bit.trailing_zeros() as usize] }
+    /// Since when a duty is held; `f64::MAX` if it is not.
+    pub(crate) fn held_since(&self, bit: u64) -> Millis {
+        if self.held & bit == 0 { f64::MAX } else { self.held_since[bit.trailing_zeros() as usize] }
     }
 }
--- a/system/membership/src/feed.rs
+++ b/system/membership/src/feed.rs
@@ -1,11 +1,12 @@
-//! The event feed: what the mesh did, for other tools. Each registry keeps the events that it saw, newest last, so many at most,
-//! and has its machine's store keep them for longer than its life; a reader's answer is made of what all registries have
-//! ([`crate::streams`]).
+//! The event feed: what the mesh did, for other tools. Each registry keeps the events that it saw, newest
+//! last, so many at most, and has its machine's store keep them for longer than its life; a reader's answer
+//! is made of what all registries have ([`crate::streams`]).
 //!
-//! - An event's `id` is made of what happened, not of who saw it: two registries that saw one change tell one event, and a
-//!   reader knows repeats by it. Delivery is at least once.
-//! - A place that is older than what is kept, or of nobody's life, begins at the oldest that is there and says that events may be
-//!   missed; so does the step from one life to the next, since the last second before an end may not have been kept.
+//! - An event's `id` is made of what happened, not of who saw it: two registries that saw one change tell one
+//!   event, and a reader knows repeats by it. Delivery is at least once.
+//! - A place that is older than what is kept, or of nobody's life, begins at the oldest that is there and
+//!   says that events may be missed; so does the step from one life to the next, since the last second before
+//!   an end may not have been kept.
 //! - Readers ask; nobody waits for them. A slow one costs nothing and is told what it missed.
 
 use crate::Millis;
@@ -31,7 +32,8 @@
     events: VecDeque<Event>,
     /// Up to this one the store has been given them, and when some were last offered to it.
     kept: (u64, Millis),
-    /// Refused calls: the second at hand, how many were told in it, how many were not told since the last that was.
+    /// Refused calls: the second at hand, how many were told in it, how many were not told since the last
+    /// that was.
     refused: (u64, u32, u32),
 }
 
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -1,16 +1,19 @@
-//! The registry: sessions of proxies, who is a member, duties and who holds each, what the holder of a duty does.
+//! The state machine of a registry: proxy sessions, cluster membership, duties held by majority lease, and
+//! the work of the holder of each duty.
 //!
-//! # What holds
+//! # Invariants
 //!
-//! - A proxy is a member while its session with one registry stands; registries tell each other their sessions ([`members`]).
-//! - A duty is held by one registry at a time ([`duties`]): a majority of the seats let its claim stand, each for longer than
-//!   the holder acts on it, by steady clocks. A registry that has just started lets no claim stand until any it may have let
-//!   stand before is over.
-//! - Lists of backends are ordered by their stamps; an older one changes nothing ([`RegistryState::listing`]).
+//! - A proxy is a member while it has a session with at least one registry; registries exchange their session
+//!   lists ([`members`]).
+//! - A duty is held by one registry at a time ([`duties`]): a majority of the voters grants its claim, each
+//!   for longer than the holder acts on the grant, measured by monotonic clocks. A registry that has just
+//!   started grants no claim until every grant that it may have given before the restart has expired.
+//! - Backend lists are ordered by their stamps; an older list is ignored ([`RegistryState::backend_list`]).
 //!
-//! # What the caller owes
+//! # Requirements on the caller
 //!
-//! Carries out [`RegistryState::outs`] after each input. `now` never goes back. Words to one registry go out in order or not at all.
+//! The caller executes [`RegistryState::take_outputs`] after each input and passes a `now` that never
+//! decreases. Messages to one registry are delivered in order or not at all.
 
 mod contact;
 mod copies;
@@ -42,192 +45,202 @@
 /// Milliseconds of a clock that never goes back.
 pub type Millis = f64;
 
-/// Between two beats of registries.
+/// Interval between heartbeats of a registry.
 pub const HEARTBEAT_INTERVAL: Millis = 300.0;
-/// A registry or a proxy that was not heard for this long is not there: four beats, and the longest way.
+/// A registry or a proxy that has been silent for this long counts as unreachable: four heartbeats plus the
+/// longest network delay.
 pub const PEER_TIMEOUT: Millis = 1400.0;
-/// Proxies say that they are no longer on their own within this.
+/// Proxies report within this time that they no longer spend quota without grants.
 const RECONNECT_DELAY: Millis = 1000.0;
-/// The list of backends is read this often by who has the duty, ...
+/// How often the holder of the list duty reads the backend list.
 pub const LIST_INTERVAL: Millis = 700.0;
-/// ... and this often by each who knows of nobody that has it.
+/// How often a registry that knows of no holder of the list duty reads it.
 pub const FALLBACK_LIST_INTERVAL: Millis = 2000.0;
 
-/// A list that was read so long after a zone was taken back shows which of its backends are cold: it is told also where it says
-/// the same as the one before. Longer than the platform's usual lag, and the way of its answer.
+/// A list read this long after a zone's evacuation ended shows which of its backends are cold, so it is sent
+/// even if it equals the previous one. Longer than the platform's usual lag plus the delay of its response.
 pub const RETURNED_ZONE_DELAY: Millis = 1600.0;
 
-/// A registry that has heard of no list for so long after its start reads one itself.
+/// A registry that has received no list this long after its start reads one itself.
 pub const FIRST_LIST_DELAY: Millis = 250.0;
 
-/// A registry goes by the number of proxies that the store kept for so long after its start.
+/// A registry relies on the stored number of proxies for this long after its start.
 pub const STARTUP_PERIOD: Millis = 8000.0;
-/// That number is kept anew when it differs by more than this part.
+/// The stored number is updated when it differs from the current one by more than this fraction.
 const PROXY_COUNT_TOLERANCE: f64 = 0.15;
-/// The name under which the store keeps it.
+/// The key under which the store keeps that number.
 pub const PROXY_COUNT_NAME: &str = "fleet";
 
-/// What the host does.
+/// An action for the host process to execute.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Sends a word to a registry.
+    /// Sends a message to a registry.
     SendToRegistry(Host, Word),
-    /// Sends a word to a proxy.
+    /// Sends a message to a proxy.
     SendToProxy(Host, Rc<Down>),
-    /// Reads the platform's list and tells [`RegistryState::list_read`].
+    /// Reads the platform's backend list and passes it to [`RegistryState::on_list_read`].
     ReadBackendList,
-    /// Has the store keep how many proxies there are, for registries that start anew.
+    /// Writes the number of proxies to the store, for registries that restart.
     StoreProxyCount(u32),
-    /// Ends a proxy's session: another line of it has taken its place, or it was silent.
+    /// Ends a proxy's session: a newer connection has replaced it, or it was silent.
     CloseSession(Host),
-    /// Has the store write a step of a maintenance order, and tells [`RegistryState::stepped`].
+    /// Writes a step of a maintenance order to the store and calls [`RegistryState::on_maintenance_answer`].
     WriteMaintenanceStep(maintenance::StepWrite),
-    /// Gives the store events to keep, and tells [`RegistryState::kept`] if it took them.
+    /// Sends events to the store and calls [`RegistryState::on_events_stored`] if they were sent.
     StoreEvents(Vec<Event>),
-    /// Looks up what a reader at another registry wants, also what the store has of earlier lives, and sends it with that number.
+    /// Reads the events that a reader at another registry asks for, including those stored by earlier
+    /// incarnations, and sends them with this query number.
     ReadEvents(Host, u64, Wanted),
-    /// Another registry's part of what a reader here wants.
+    /// Another registry's answer to an event query of this registry.
     DeliverEvents(Host, u64, Told),
-    /// Asks the proxies here for a request and sends that registry what they know, with that number.
+    /// Asks the proxies with a session here about a request and sends their answers to that registry, with
+    /// this query number.
     ReadRequestTrace(Host, u64, u64),
-    /// What proxies of another registry know of a request.
+    /// Answers of another registry's proxies to a request query of this registry.
     DeliverRequestTrace(Host, u64, Vec<(Host, String)>),
-    /// What a proxy here knows of it.
+    /// The answer of a proxy with a session here to a request query.
     DeliverProxyTrace(Host, u64, String),
-    /// A line for the log.
+    /// A log line: event name and text.
     Log(&'static str, String),
 }
 
 #[derive(Clone, Debug)]
 struct Peer {
-    heard: Millis,
-    life: u64,
+    last_heard: Millis,
+    incarnation: u64,
     claims: u64,
 }
 
-/// One registry.
+/// The state of one registry.
 #[derive(Clone, Debug)]
 pub struct RegistryState {
-    me: Host,
-    life: u64,
-    born: Millis,
-    zones: (String, String),
+    local_host: Host,
+    incarnation: u64,
+    started_at: Millis,
+    /// Zone and region.
+    location: (String, String),
     seats: Seats,
     peers: BTreeMap<Host, Peer>,
     members: Members,
     duties: DutyLeases,
-    counts: Counts,
-    relay: Relay,
-    /// The registries that proxies of other registries ask this relay by.
-    ways: BTreeMap<Host, Host>,
-    terms: BTreeMap<String, Terms>,
-    items: Copied,
-    /// Sums that the copy had lately.
-    sums: copies::RecentSums,
-    vouched: copies::Vouched,
-    /// Whether proxies were told last that the copy is vouched for.
-    told_fresh: bool,
-    /// What was sent to proxies because their copies differed: comparisons asked for, and entries.
-    resent: (u64, u64),
-    listing: Listing,
-    /// The highest number of a list that was heard of. Guards against lists that begin to count anew when all registries have
-    /// started again: a proxy that lived on would take none of them.
-    highest: u64,
-    read_at: Millis,
-    /// The registries that were heard when proxies were told last.
-    told_heard: Vec<Host>,
-    /// The newest list that was here when the reading under way began, and when it began.
-    read_from: (u64, Host),
-    read_began: Millis,
-    /// A list that is read from then on is told in any case: a zone was taken back.
-    tell_list_from: Option<Millis>,
-    beat_at: Millis,
-    number: u64,
-    /// How many proxies there were, by the store, and since when that has not been so.
-    noted: f64,
-    /// The store's copy was as new as a quorum's once in this life: what it says of the number of proxies counts, also if that
-    /// is nothing.
-    informed: bool,
-    differs: Option<Millis>,
+    quota_counts: Counts,
+    quota_relay: Relay,
+    /// The registry through which each proxy without a session here reaches this relay.
+    relay_routes: BTreeMap<Host, Host>,
+    quota_terms: BTreeMap<String, Terms>,
+    config: Copied,
+    /// Recent digests of `config`.
+    recent_digests: copies::RecentDigests,
+    freshness: copies::Freshness,
+    /// Whether proxies were last told that the copy is fresh.
+    announced_fresh: bool,
+    /// Comparisons requested and entries resent because the copies of proxies differed.
+    resend_counts: (u64, u64),
+    backend_list: Listing,
+    /// The highest list number known. After a restart of all registries, numbering continues above it: a
+    /// proxy that kept running would reject lists with lower numbers.
+    highest_list_number: u64,
+    next_list_read: Millis,
+    /// The reachable registries that proxies were last told of.
+    announced_reachable: Vec<Host>,
+    /// Stamp of the newest list when the current read began, and the time at which it began.
+    list_before_read: (u64, Host),
+    list_read_started: Millis,
+    /// A list whose read starts at or after this time is sent even if unchanged: a zone's evacuation has
+    /// ended.
+    force_list_after: Option<Millis>,
+    next_heartbeat: Millis,
+    heartbeat_number: u64,
+    /// The number of proxies in the store.
+    stored_proxy_count: f64,
+    /// The store's copy was as new as a quorum's at least once in this incarnation, so its number of proxies
+    /// is authoritative, even if absent.
+    store_was_fresh: bool,
+    /// Since when the stored number of proxies has differed.
+    count_differs_since: Option<Millis>,
     feed: Feed,
-    /// Tenants whose quota is spent, by the holder of their count: since when none had to be told so.
-    spent: quota_events::Exhausted,
-    hours: MaintenanceState,
-    /// What proxies with a session here have counted of failure orders.
-    met: failure_counts::ReportedCounts,
-    out: Vec<Output>,
+    /// Tenants with exhausted quota whose count is held here, with the time of the last refusal.
+    exhausted_quotas: quota_events::Exhausted,
+    maintenance: MaintenanceState,
+    /// Failure order counts reported by proxies with a session here.
+    failure_counts: failure_counts::ReportedCounts,
+    outputs: Vec<Output>,
 }
 
 impl RegistryState {
-    /// A registry that knows its place (zone and region) and nothing else.
-    pub fn new(me: Host, life: u64, zone: &str, region: &str, bootstrap: bool, now: Millis) -> Self {
+    /// Creates a registry that knows only its own location. With `bootstrap` it grants claims at once, since
+    /// no earlier incarnation can have granted any.
+    pub fn new(
+        local_host: Host, incarnation: u64, zone: &str, region: &str, bootstrap: bool, now: Millis,
+    ) -> Self {
         Self {
-            me,
-            life,
-            born: now,
-            zones: (zone.to_owned(), region.to_owned()),
+            local_host,
+            incarnation,
+            started_at: now,
+            location: (zone.to_owned(), region.to_owned()),
             seats: Seats::default(),
             peers: BTreeMap::new(),
             members: Members::default(),
             duties: DutyLeases::new(if bootstrap { f64::MIN } else { now }),
-            counts: Counts::default(),
-            relay: Relay::default(),
-            ways: BTreeMap::new(),
-            terms: BTreeMap::new(),
-            items: Copied::default(),
-            sums: copies::RecentSums::default(),
-            vouched: copies::Vouched::never(now),
-            told_fresh: false,
-            resent: (0, 0),
-            listing: Listing::default(),
-            highest: 0,
-            read_at: now,
-            told_heard: Vec::new(),
-            read_from: (0, Host::default()),
-            read_began: now,
-            tell_list_from: None,
-            beat_at: now,
-            number: 0,
-            noted: 0.0,
-            informed: false,
-            differs: None,
-            feed: Feed::new(life),
-            spent: quota_events::Exhausted::default(),
-            hours: MaintenanceState::default(),
-            met: failure_counts::ReportedCounts::default(),
-            out: Vec::new(),
+            quota_counts: Counts::default(),
+            quota_relay: Relay::default(),
+            relay_routes: BTreeMap::new(),
+            quota_terms: BTreeMap::new(),
+            config: Copied::default(),
+            recent_digests: copies::RecentDigests::default(),
+            freshness: copies::Freshness::unconfirmed(now),
+            announced_fresh: false,
+            resend_counts: (0, 0),
+            backend_list: Listing::default(),
+            highest_list_number: 0,
+            next_list_read: now,
+            announced_reachable: Vec::new(),
+            list_before_read: (0, Host::default()),
+            list_read_started: now,
+            force_list_after: None,
+            next_heartbeat: now,
+            heartbeat_number: 0,
+            stored_proxy_count: 0.0,
+            store_was_fresh: false,
+            count_differs_since: None,
+            feed: Feed::new(incarnation),
+            exhausted_quotas: quota_events::Exhausted::default(),
+            maintenance: MaintenanceState::default(),
+            failure_counts: failure_counts::ReportedCounts::default(),
+            outputs: Vec::new(),
         }
     }
 
-    /// What is to be done, in this order.
+    /// Takes the pending actions; they are to be executed in this order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// All proxies that are thought to be there.
+    /// All proxies that are members.
     pub fn members(&self, now: Millis) -> Vec<Member> {
         self.members.all(now)
     }
 
-    /// The newest list of backends.
+    /// The newest backend list.
     pub fn backend_list(&self) -> &Listing {
-        &self.listing
+        &self.backend_list
     }
 
-    /// What this registry saw happen.
+    /// The events recorded by this registry.
     pub fn feed(&self) -> &Feed {
         &self.feed
     }
 
-    /// DutyLeases that are held here.
+    /// The duties held here, one bit each.
     pub fn held_duties(&self, now: Millis) -> u64 {
         self.duties.held(now, self.majority())
     }
 
-    /// Where a client of a place should go: the proxies of its region that take clients, or all if there are none.
+    /// The proxies that a client in a region should use: the ready ones of its region, or all ready ones if
+    /// there are none.
     pub fn resolve(&self, now: Millis, region: &str) -> Vec<Member> {
-        let ready: Vec<Member> = self.members.all(now).into_iter().filter(|m| m.ready).collect();
-        let near: Vec<Member> = ready.iter().filter(|m| m.region == region).cloned().collect();
+        let ready: Vec<Member> = self.members.all(now).into_iter().filter(|member| member.ready).collect();
+        let near: Vec<Member> = ready.iter().filter(|member| member.region == region).cloned().collect();
         if near.is_empty() { ready } else { near }
     }
 
@@ -235,373 +248,410 @@
         self.seats.seats.len() / 2 + 1
     }
 
-    fn others(&self) -> BTreeSet<Host> {
+    fn other_voters(&self) -> BTreeSet<Host> {
         let mut others: BTreeSet<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
-        others.remove(&self.me);
+        others.remove(&self.local_host);
         others
     }
 
-    fn here(&self) -> String {
-        format!("registry {}", self.me)
+    fn registry_label(&self) -> String {
+        format!("registry {}", self.local_host)
     }
 
-    fn alive(&self, host: Host, now: Millis) -> bool {
-        self.peers.get(&host).is_some_and(|peer| now - peer.heard < PEER_TIMEOUT)
+    fn is_reachable(&self, host: Host, now: Millis) -> bool {
+        self.peers.get(&host).is_some_and(|peer| now - peer.last_heard < PEER_TIMEOUT)
     }
 
-    /// The seats, as the store has them chosen.
+    /// The store reports the chosen list of voters.
     pub fn on_seats(&mut self, now: Millis, seats: Seats) {
         if seats.version != self.seats.version {
             let hosts: Vec<String> = seats.seats.iter().map(|seat| seat.host.to_string()).collect();
             self.feed.record(now, Kind::SeatsChanged, "seats", seats.version, hosts.join(" "));
         }
         self.seats = seats;
-        self.tell_registries(now);
-        self.beat_at = now;
+        self.announce_registries(now);
+        self.next_heartbeat = now;
     }
 
-    fn tell_registries(&mut self, now: Millis) {
-        self.told_heard = self.reachable_registries(now);
-        self.tell(&Rc::new(self.registries(now)));
+    fn announce_registries(&mut self, now: Millis) {
+        self.announced_reachable = self.reachable_registries(now);
+        self.send_to_all_proxies(&Rc::new(self.registries_message(now)));
     }
 
-    fn registries(&self, now: Millis) -> Down {
+    fn registries_message(&self, now: Millis) -> Down {
         let place = |host: Host, zone: &str, region: &str| RegistryPlace {
             host,
             zone: zone.to_owned(),
             region: region.to_owned(),
-            heard: host == self.me || self.alive(host, now),
+            heard: host == self.local_host || self.is_reachable(host, now),
         };
         let seats = self.seats.seats.iter().map(|seat| place(seat.host, &seat.zone, &seat.region));
         let mut all: Vec<RegistryPlace> = seats.collect();
-        if !all.iter().any(|known| known.host == self.me) {
-            all.push(place(self.me, &self.zones.0, &self.zones.1));
+        if !all.iter().any(|known| known.host == self.local_host) {
+            all.push(place(self.local_host, &self.location.0, &self.location.1));
         }
         Down::Registries(all)
     }
 
-    /// Time passes; to be told every 50 ms or so.
+    /// Advances time; to be called about every 50 ms.
     pub fn tick(&mut self, now: Millis) {
         for host in self.members.expire(now) {
-            self.out.push(Output::CloseSession(host));
-            self.feed.record_local(now, Kind::MemberSilent, &host.to_string(), self.here());
-            self.out.push(Output::Log("session-silent", format!("proxy={host}")));
+            self.outputs.push(Output::CloseSession(host));
+            self.feed.record_local(now, Kind::MemberSilent, &host.to_string(), self.registry_label());
+            self.outputs.push(Output::Log("session-silent", format!("proxy={host}")));
         }
-        self.look_vouched(now);
-        self.claim(now);
-        if now >= self.beat_at {
-            self.beat_at = now + HEARTBEAT_INTERVAL;
-            self.beat(now);
-            if self.reachable_registries(now) != self.told_heard {
-                self.tell_registries(now);
+        self.update_freshness(now);
+        self.claim_duties(now);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+            self.send_heartbeats(now);
+            if self.reachable_registries(now) != self.announced_reachable {
+                self.announce_registries(now);
             }
-            self.counts.sweep(now);
-            let known: BTreeSet<Host> = self.members.all(now).iter().map(|m| m.host).collect();
-            self.ways.retain(|proxy, _| known.contains(proxy));
-            self.met.retain(|proxy, _| known.contains(proxy));
+            self.quota_counts.sweep(now);
+            let known: BTreeSet<Host> = self.members.all(now).iter().map(|member| member.host).collect();
+            self.relay_routes.retain(|proxy, _| known.contains(proxy));
+            self.failure_counts.retain(|proxy, _| known.contains(proxy));
         }
         let mut sent = Vec::new();
-        self.relay.tick(now, &mut sent);
-        self.relay_sent(now, sent);
-        self.read_list(now);
-        self.tell_members(now);
-        self.note(now);
-        self.keep_hours(now);
-        self.quotas_back(now);
+        self.quota_relay.tick(now, &mut sent);
+        self.send_relay_outputs(now, sent);
+        self.request_list_read(now);
+        self.announce_members(now);
+        self.update_stored_proxy_count(now);
+        self.advance_maintenance(now);
+        self.record_recovered_quotas(now);
         let events = self.feed.events_to_store(now);
         if !events.is_empty() {
-            self.out.push(Output::StoreEvents(events));
+            self.outputs.push(Output::StoreEvents(events));
         }
     }
 
-    /// The store has taken events up to this one.
+    /// The store has received the events up to this number.
     pub fn on_events_stored(&mut self, number: u64) {
         self.feed.mark_stored(number);
     }
 
-    /// An operator's call was refused here.
+    /// An operator's call was rejected by this registry.
     pub fn on_call_refused(&mut self, now: Millis, what: &str, cause: &str) {
         self.feed.record_refused_call(now, what, cause);
     }
 
-    /// This registry's machine.
+    /// The host that this registry runs on.
     pub fn local_host(&self) -> Host {
-        self.me
+        self.local_host
     }
 
-    /// Whether a machine has a registry, by the seats that are known; without any, nobody can say.
+    /// Whether a host runs a registry according to the known voters. True for every host while no voters are
+    /// known.
     pub fn is_registry(&self, host: Host) -> bool {
-        host == self.me
+        host == self.local_host
             || self.seats.seats.is_empty()
             || self.seats.seats.iter().any(|seat| seat.host == host)
     }
 
-    /// Proxies with a session here.
+    /// The proxies with a session here.
     pub fn sessions(&self) -> Vec<Host> {
         self.members.sessions()
     }
 
-    /// Other registries that are heard.
+    /// The other registries that are reachable.
     pub fn reachable_registries(&self, now: Millis) -> Vec<Host> {
-        self.others().into_iter().filter(|host| self.alive(*host, now)).collect()
-    }
-
-    /// How many proxies there are for shares, and how many may be on their own. A registry that has just started knows few: it
-    /// goes by what the store kept. Too many is a smaller share for each, too few would add up to more than there is.
-    fn counted(&self, now: Millis) -> members::ProxyCounts {
-        let counts = self.members.counted(now);
-        let young = now - self.born < STARTUP_PERIOD;
-        let all = if young || self.is_cut(now) { counts.all.max(self.noted) } else { counts.all };
-        members::ProxyCounts { all, ..counts }
+        self.other_voters().into_iter().filter(|host| self.is_reachable(*host, now)).collect()
+    }
+
+    /// Counts the proxies that share quotas and those that may be isolated. A registry that has just started
+    /// knows few proxies and uses the stored number if that is higher: a number too high makes each share
+    /// smaller, one too low would let the shares exceed the quota.
+    fn proxy_counts(&self, now: Millis) -> members::ProxyCounts {
+        let counts = self.members.counts(now);
+        let starting = now - self.started_at < STARTUP_PERIOD;
+        let total = if starting || self.has_lost_contact(now) {
+            counts.total.max(self.stored_proxy_count)
+        } else {
+            counts.total
+        };
+        members::ProxyCounts { total, ..counts }
     }
 
-    /// The same for proxies; 0 as long as nobody can know. A registry that has started with the whole core has one session at first:
-    /// told that it is the only one, that proxy would spend a whole quota alone.
-    pub(crate) fn told_count(&self, now: Millis) -> u32 {
-        if self.informed || self.noted > 0.0 { self.counted(now).all as u32 } else { 0 }
+    /// The number of proxies as proxies are told it; 0 while it is unknown. When all registries start
+    /// together, each has one session at first; a proxy told that it is the only one would spend a whole
+    /// quota alone.
+    pub(crate) fn announced_proxy_count(&self, now: Millis) -> u32 {
+        if self.store_was_fresh || self.stored_proxy_count > 0.0 {
+            self.proxy_counts(now).total as u32
+        } else {
+            0
+        }
     }
 
-    /// Who reads the list also keeps how many proxies there are, where that has changed for good.
-    fn note(&mut self, now: Millis) {
-        let gateways = self.members.counted(now).all;
-        let same = (gateways - self.noted).abs() <= self.noted * PROXY_COUNT_TOLERANCE;
-        if same || self.held_duties(now) & duties::LIST_DUTY == 0 || now - self.born < STARTUP_PERIOD / 2.0 {
-            self.differs = None;
+    /// The holder of the list duty also stores the number of proxies once a change has lasted.
+    fn update_stored_proxy_count(&mut self, now: Millis) {
+        let proxies = self.members.counts(now).total;
+        let unchanged =
+            (proxies - self.stored_proxy_count).abs() <= self.stored_proxy_count * PROXY_COUNT_TOLERANCE;
+        if unchanged
+            || self.held_duties(now) & duties::LIST_DUTY == 0
+            || now - self.started_at < STARTUP_PERIOD / 2.0
+        {
+            self.count_differs_since = None;
             return;
         }
-        let since = *self.differs.get_or_insert(now);
-        // More is kept at once, fewer only when they stay away.
-        let patience =
-            if gateways > self.noted { HEARTBEAT_INTERVAL } else { members::SILENT_PROXY_RETENTION };
-        if now - since > patience {
-            self.differs = Some(now);
-            self.out.push(Output::StoreProxyCount(gateways as u32));
+        let since = *self.count_differs_since.get_or_insert(now);
+        // An increase is stored at once, a decrease only after the proxies have stayed away.
+        let delay = if proxies > self.stored_proxy_count {
+            HEARTBEAT_INTERVAL
+        } else {
+            members::SILENT_PROXY_RETENTION
+        };
+        if now - since > delay {
+            self.count_differs_since = Some(now);
+            self.outputs.push(Output::StoreProxyCount(proxies as u32));
         }
     }
 
-    fn beat(&mut self, now: Millis) {
-        self.number += 1;
+    fn send_heartbeats(&mut self, now: Millis) {
+        self.heartbeat_number += 1;
         let claims = self.duties.claims();
-        self.duties.sent(self.number, now);
-        let (roll, listing) = (self.members.roll_hash(), self.listing.stamp);
-        let highest = self.highest.max(listing.0);
-        let beat = Word::Beat { life: self.life, number: self.number, claims, roll, listing, highest };
-        for host in self.others() {
-            self.out.push(Output::SendToRegistry(host, beat.clone()));
+        self.duties.record_heartbeat(self.heartbeat_number, now);
+        let (roll, listing) = (self.members.session_list_hash(), self.backend_list.stamp);
+        let highest = self.highest_list_number.max(listing.0);
+        let heartbeat = Word::Beat {
+            life: self.incarnation,
+            number: self.heartbeat_number,
+            claims,
+            roll,
+            listing,
+            highest,
+        };
+        for host in self.other_voters() {
+            self.outputs.push(Output::SendToRegistry(host, heartbeat.clone()));
         }
-        if self.seats.seats.iter().any(|seat| seat.host == self.me) {
-            let granted = self.duties.vote(now, self.me, claims);
-            self.duties.heard(self.me, self.number, granted);
+        if self.seats.seats.iter().any(|seat| seat.host == self.local_host) {
+            let granted = self.duties.vote(now, self.local_host, claims);
+            self.duties.record_grant(self.local_host, self.heartbeat_number, granted);
         }
     }
 
-    /// Claims what nobody who is there claims and this registry is the first for.
-    fn claim(&mut self, now: Millis) {
+    /// Claims the duties that no reachable registry claims and that this registry is preferred for.
+    fn claim_duties(&mut self, now: Millis) {
         let held = self.held_duties(now);
-        let live = self.reachable_registries(now);
-        let taken = live.iter().fold(0, |taken, host| taken | self.peers[host].claims);
-        let first = duties::preferred_duties(self.me, &live);
+        let reachable = self.reachable_registries(now);
+        let claimed = reachable.iter().fold(0, |claimed, host| claimed | self.peers[host].claims);
+        let preferred = duties::preferred_duties(self.local_host, &reachable);
         let before = self.duties.claims();
-        // Who holds goes on; who claimed in vain gives way to one that holds by now.
-        let claims = held | (first & !taken);
+        // A holder keeps its claims; an unsuccessful claimant gives way to the current holder.
+        let claims = held | (preferred & !claimed);
         if claims != before {
-            self.duties.claim(claims);
-            self.beat_at = now;
+            self.duties.set_claims(claims);
+            self.next_heartbeat = now;
         }
-        let (gained, lost) = self.duties.changed(now, held);
+        let (gained, lost) = self.duties.update_held(now, held);
         if gained != 0 || lost != 0 {
-            self.out.push(Output::Log("duties", format!("held={held:x} gained={gained:x} lost={lost:x}")));
+            self.outputs
+                .push(Output::Log("duties", format!("held={held:x} gained={gained:x} lost={lost:x}")));
             for key in 0..=duties::SHARDS {
                 let what =
                     if 1 << key == duties::LIST_DUTY { "list".to_owned() } else { format!("tenants-{key}") };
                 if gained & 1 << key != 0 {
-                    self.feed.record_local(now, Kind::DutyTaken, &what, self.here());
+                    self.feed.record_local(now, Kind::DutyTaken, &what, self.registry_label());
                 } else if lost & 1 << key != 0 {
-                    self.feed.record_local(now, Kind::DutyLost, &what, self.here());
+                    self.feed.record_local(now, Kind::DutyLost, &what, self.registry_label());
                 }
             }
         }
         if lost != 0 {
-            self.counts.drop_where(|tenant| lost & duties::bit_of(tenant) != 0);
+            self.quota_counts.drop_where(|tenant| lost & duties::bit_of(tenant) != 0);
         }
     }
 
-    fn read_list(&mut self, now: Millis) {
-        if now < self.read_at {
+    fn request_list_read(&mut self, now: Millis) {
+        if now < self.next_list_read {
             return;
         }
         let holds = self.held_duties(now) & duties::LIST_DUTY != 0;
-        let others =
-            self.peers.values().any(|p| now - p.heard < PEER_TIMEOUT && p.claims & duties::LIST_DUTY != 0);
-        let alone = !others && now - self.born > 2.0 * PEER_TIMEOUT;
-        // After a start of all nobody has a list, and nobody can hold the duty yet: no proxy is ready before there is one.
-        let none = self.listing.stamp.0 == 0 && now - self.born > FIRST_LIST_DELAY;
-        if holds || alone || none {
-            self.read_at = now + if holds { LIST_INTERVAL } else { FALLBACK_LIST_INTERVAL };
-            (self.read_from, self.read_began) = (self.listing.stamp, now);
-            self.out.push(Output::ReadBackendList);
+        let other_holder = self
+            .peers
+            .values()
+            .any(|peer| now - peer.last_heard < PEER_TIMEOUT && peer.claims & duties::LIST_DUTY != 0);
+        let no_holder = !other_holder && now - self.started_at > 2.0 * PEER_TIMEOUT;
+        // After all registries have restarted there is no list, and no registry can hold the duty yet;
+        // proxies are not ready without a list.
+        let no_list = self.backend_list.stamp.0 == 0 && now - self.started_at > FIRST_LIST_DELAY;
+        if holds || no_holder || no_list {
+            self.next_list_read = now + if holds { LIST_INTERVAL } else { FALLBACK_LIST_INTERVAL };
+            (self.list_before_read, self.list_read_started) = (self.backend_list.stamp, now);
+            self.outputs.push(Output::ReadBackendList);
         }
     }
 
-    /// The platform's list was read; none if that failed. A reading that took so long that another registry's list came meanwhile is
-    /// older than that one, whatever number it would get: it is made again.
+    /// The platform's list was read; `None` if that failed. If another registry's list arrived during the
+    /// read, that list is newer whatever number this one would get, so the read is repeated.
     pub fn on_list_read(&mut self, now: Millis, backends: Option<Vec<Backend>>) {
-        if self.listing.stamp != self.read_from {
-            self.read_at = now;
+        if self.backend_list.stamp != self.list_before_read {
+            self.next_list_read = now;
             return;
         }
         let Some(backends) = backends else {
-            self.read_at = now + LIST_INTERVAL / 2.0;
+            self.next_list_read = now + LIST_INTERVAL / 2.0;
             return;
         };
-        let awaited = self.tell_list_from.is_some_and(|from| self.read_began >= from);
-        let alike = proxy_updates::same_backends(&self.listing.backends, &backends)
-            && self.highest <= self.listing.stamp.0;
-        if alike && !awaited {
+        let forced = self.force_list_after.is_some_and(|from| self.list_read_started >= from);
+        let unchanged = proxy_updates::same_backends(&self.backend_list.backends, &backends)
+            && self.highest_list_number <= self.backend_list.stamp.0;
+        if unchanged && !forced {
             return;
         }
-        let stamp = (self.listing.stamp.0.max(self.highest) + 1, self.me);
+        let stamp = (self.backend_list.stamp.0.max(self.highest_list_number) + 1, self.local_host);
         let listing = Listing { stamp, backends };
-        self.take_listing(now, listing);
-        let listing = self.listing.clone();
-        for host in self.others() {
-            self.out.push(Output::SendToRegistry(host, Word::Listing(listing.clone())));
+        self.accept_backend_list(now, listing);
+        let listing = self.backend_list.clone();
+        for host in self.other_voters() {
+            self.outputs.push(Output::SendToRegistry(host, Word::Listing(listing.clone())));
         }
     }
 
-    fn take_listing(&mut self, now: Millis, listing: Listing) {
-        if listing.stamp <= self.listing.stamp {
+    fn accept_backend_list(&mut self, now: Millis, listing: Listing) {
+        if listing.stamp <= self.backend_list.stamp {
             return;
         }
-        self.out.push(Output::Log(
+        self.outputs.push(Output::Log(
             "listing",
             format!("stamp={} backends={}", listing.stamp.0, listing.backends.len()),
         ));
-        self.note_listing(now, &listing);
-        // Whoever read it waits for the same.
-        self.tell_list_from = self.tell_list_from.filter(|from| now < *from);
-        self.listing = listing;
-        self.tell(&Rc::new(Down::Listing(self.listing.clone())));
+        self.record_list_events(now, &listing);
+        // The registry that read it has forced it for the same reason.
+        self.force_list_after = self.force_list_after.filter(|from| now < *from);
+        self.backend_list = listing;
+        self.send_to_all_proxies(&Rc::new(Down::Listing(self.backend_list.clone())));
     }
 
-    /// A word from another registry.
+    /// Handles a message from another registry.
     pub fn receive_from_registry(&mut self, now: Millis, from: Host, word: Word) {
         match word {
             Word::Beat { life, number, claims, roll, listing, highest } => {
-                self.highest = self.highest.max(highest);
+                self.highest_list_number = self.highest_list_number.max(highest);
                 let known = self.peers.get(&from);
-                let wants_roll =
-                    known.is_none_or(|p| p.life != life) || self.members.knows(from) != Some(roll);
-                if known.is_some_and(|p| p.life != life) {
-                    self.members.began(from, now);
+                let needs_session_list = known.is_none_or(|peer| peer.incarnation != life)
+                    || self.members.known_hash(from) != Some(roll);
+                if known.is_some_and(|peer| peer.incarnation != life) {
+                    self.members.registry_restarted(from, now);
                 }
-                self.peers.insert(from, Peer { heard: now, life, claims });
-                self.members.heard_registry(from, now);
-                if wants_roll {
-                    self.out.push(Output::SendToRegistry(from, Word::WantRoll));
+                self.peers.insert(from, Peer { last_heard: now, incarnation: life, claims });
+                self.members.registry_heard(from, now);
+                if needs_session_list {
+                    self.outputs.push(Output::SendToRegistry(from, Word::WantRoll));
                 }
-                if listing > self.listing.stamp {
-                    self.out.push(Output::SendToRegistry(from, Word::WantListing));
+                if listing > self.backend_list.stamp {
+                    self.outputs.push(Output::SendToRegistry(from, Word::WantListing));
                 }
                 let granted = self.duties.vote(now, from, claims);
-                let wall = self.hours.wall(now);
-                self.out.push(Output::SendToRegistry(from, Word::Heard { number, life, granted, wall }));
+                let wall = self.maintenance.wall_clock(now);
+                self.outputs.push(Output::SendToRegistry(from, Word::Heard { number, life, granted, wall }));
             }
             Word::Heard { number, life, granted, wall } => {
-                if life == self.life && self.seats.seats.iter().any(|seat| seat.host == from) {
+                if life == self.incarnation && self.seats.seats.iter().any(|seat| seat.host == from) {
                     if let (Some(wall), Some(sent)) = (wall, self.duties.sent_at(number)) {
-                        self.hours.heard_time(from, sent, now, wall);
+                        self.maintenance.add_clock_sample(from, sent, now, wall);
                     }
-                    self.duties.heard(from, number, granted);
+                    self.duties.record_grant(from, number, granted);
                 }
             }
-            Word::Roll { members, silent, alone } => self.members.roll(from, members, silent, alone, now),
+            Word::Roll { members, silent, alone } => {
+                self.members.set_session_list(from, members, silent, alone, now)
+            }
             Word::WantRoll => {
-                let (members, silent, alone) = self.members.own_roll();
-                self.out.push(Output::SendToRegistry(from, Word::Roll { members, silent, alone }));
+                let (members, silent, alone) = self.members.local_sessions();
+                self.outputs.push(Output::SendToRegistry(from, Word::Roll { members, silent, alone }));
             }
-            Word::Listing(listing) => self.take_listing(now, listing),
+            Word::Listing(listing) => self.accept_backend_list(now, listing),
             Word::WantListing => {
-                let listing = self.listing.clone();
-                self.out.push(Output::SendToRegistry(from, Word::Listing(listing)));
+                let listing = self.backend_list.clone();
+                self.outputs.push(Output::SendToRegistry(from, Word::Listing(listing)));
             }
             Word::Ask { from: proxy, tenant, units, next, demand } => {
-                let grant = self.count(now, Ask { tenant: &tenant, proxy, units, next, demand });
-                self.out.push(Output::SendToRegistry(from, Word::Grant(proxy, grant)));
+                let grant = self.grant_quota(now, Ask { tenant: &tenant, proxy, units, next, demand });
+                self.outputs.push(Output::SendToRegistry(from, Word::Grant(proxy, grant)));
             }
             Word::AskNear { from: proxy, tenant, units, next, demand } => {
-                self.relay_ask(now, proxy, Some(from), &tenant, units, next, demand);
+                self.relay_quota_request(now, proxy, Some(from), &tenant, units, next, demand);
             }
-            Word::Grant(to, grant) if to == self.me => self.relay_grant(now, grant),
+            Word::Grant(to, grant) if to == self.local_host => self.on_relay_grant(now, grant),
             Word::Grant(proxy, grant) => {
-                self.out.push(Output::SendToProxy(proxy, Rc::new(Down::Grant(grant))))
+                self.outputs.push(Output::SendToProxy(proxy, Rc::new(Down::Grant(grant))))
             }
             Word::Back { tenant, units, window } => {
                 if self.held_duties(now) & duties::bit_of(&tenant) != 0 {
-                    self.counts.back(now, &tenant, units, window);
+                    self.quota_counts.back(now, &tenant, units, window);
                 }
             }
-            Word::WantEvents(question, wanted) => self.out.push(Output::ReadEvents(from, question, wanted)),
-            Word::Events(question, told) => self.out.push(Output::DeliverEvents(from, question, told)),
-            Word::WantRequest(question, id) => self.out.push(Output::ReadRequestTrace(from, question, id)),
+            Word::WantEvents(question, wanted) => {
+                self.outputs.push(Output::ReadEvents(from, question, wanted))
+            }
+            Word::Events(question, told) => self.outputs.push(Output::DeliverEvents(from, question, told)),
+            Word::WantRequest(question, id) => {
+                self.outputs.push(Output::ReadRequestTrace(from, question, id))
+            }
             Word::Request(question, known) => {
-                self.out.push(Output::DeliverRequestTrace(from, question, known))
+                self.outputs.push(Output::DeliverRequestTrace(from, question, known))
             }
         }
     }
 
-    /// A word from a proxy of this registry's.
+    /// Handles a message from a proxy with a session here.
     pub fn receive_from_proxy(&mut self, now: Millis, from: Host, up: Up) {
         match up {
-            Up::Hello(member) => self.hello(now, member, None),
-            Up::Resume(member, parts) => self.hello(now, member, Some(&parts)),
-            Up::Have(parts) => self.on_have(now, from, &parts),
+            Up::Hello(member) => self.start_session(now, member, None),
+            Up::Resume(member, parts) => self.start_session(now, member, Some(&parts)),
+            Up::Have(parts) => self.on_config_digests(now, from, &parts),
             Up::Beat { ready, items, listing, alone } => {
-                if self.members.alone(from, alone) {
-                    self.beat_at = now;
+                if self.members.set_self_granted(from, alone) {
+                    self.next_heartbeat = now;
                 }
-                self.on_up_beat(now, from, ready, items, listing);
+                self.on_proxy_heartbeat(now, from, ready, items, listing);
             }
             Up::Ask { tenant, units, next, demand } => {
-                self.members.heard(from, now);
-                let near = self.near(now, &tenant);
-                if near == self.me {
-                    self.relay_ask(now, from, None, &tenant, units, next, demand);
+                self.members.session_heard(from, now);
+                let relay = self.relay_for(now, &tenant);
+                if relay == self.local_host {
+                    self.relay_quota_request(now, from, None, &tenant, units, next, demand);
                 } else {
-                    self.out.push(Output::SendToRegistry(
-                        near,
+                    self.outputs.push(Output::SendToRegistry(
+                        relay,
                         Word::AskNear { from, tenant, units, next, demand },
                     ));
                 }
             }
-            Up::Back { tenant, units, window } => match self.holder(now, duties::bit_of(&tenant)) {
-                Some(host) if host == self.me => self.counts.back(now, &tenant, units, window),
+            Up::Back { tenant, units, window } => match self.duty_holder(now, duties::bit_of(&tenant)) {
+                Some(host) if host == self.local_host => self.quota_counts.back(now, &tenant, units, window),
                 Some(host) => {
-                    self.out.push(Output::SendToRegistry(host, Word::Back { tenant, units, window }))
+                    self.outputs.push(Output::SendToRegistry(host, Word::Back { tenant, units, window }))
                 }
                 None => {}
             },
             Up::Quiet(nodes) => {
-                if self.members.quiet(from, nodes, now) {
-                    self.beat_at = now;
+                if self.members.set_idle_nodes(from, nodes, now) {
+                    self.next_heartbeat = now;
                 }
             }
-            Up::Met(counts) => self.met(now, from, counts),
-            Up::Recalled(question, known) => self.out.push(Output::DeliverProxyTrace(from, question, known)),
+            Up::Met(counts) => self.on_failure_counts(now, from, counts),
+            Up::Recalled(question, known) => {
+                self.outputs.push(Output::DeliverProxyTrace(from, question, known))
+            }
             Up::Bye => {
-                self.members.bye(from, now);
+                self.members.leave(from, now);
                 self.feed.record_local(now, Kind::MemberLeft, &from.to_string(), "it said so".into());
-                self.beat_at = now;
+                self.next_heartbeat = now;
             }
         }
     }
 
-    /// A proxy's line is down.
+    /// The connection of a proxy was closed.
     pub fn on_session_closed(&mut self, now: Millis, proxy: Host) {
-        if self.members.closed(proxy, now) {
+        if self.members.disconnect(proxy, now) {
             self.feed.record_local(now, Kind::MemberLeft, &proxy.to_string(), "its line is down".into());
-            self.out.push(Output::Log("session-closed", format!("proxy={proxy}")));
-            self.beat_at = now;
+            self.outputs.push(Output::Log("session-closed", format!("proxy={proxy}")));
+            self.next_heartbeat = now;
         }
     }
 }
--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -1,7 +1,9 @@
-//! Maintenance hours: what this registry knows of contracts, orders and time, and the steps that it asks the store for.
+//! Maintenance: the contracts, orders and clock samples known to this registry, and the steps that it asks
+//! the store to write.
 //!
-//! An order is a key like a tenant: the registry that holds the key's duty decides for it. That two may think so for a moment does
-//! no harm: the store writes a step only while all that was looked at still stands.
+//! An order belongs to a duty like a tenant, and the registry that holds the duty decides for it. Two
+//! registries that both believe to hold it for a moment do no harm: the store writes a step only if
+//! everything that it was decided from is unchanged.
 
 use crate::feed::{Feed, Kind};
 use crate::{Millis, Output, RegistryState, duties};
@@ -16,100 +18,102 @@
 use fennelscale_messages::depot::{Entry, Named};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A step that has no answer is decided anew after this: the store's own patience is less.
-const UNANSWERED: Millis = 5000.0;
-/// Orders are looked at this often; between two of them news of the last step have come.
-const LOOK: Millis = 250.0;
+/// A step without an answer is decided again after this time, which is longer than the store's own timeout.
+const STEP_TIMEOUT: Millis = 5000.0;
+/// Interval between two evaluations of the orders; in between, the result of the last step arrives.
+const EVALUATION_INTERVAL: Millis = 250.0;
 
-/// Records that are to be written, or dropped, where all that was looked at still stands.
+/// Records to write or drop, provided that everything that the step was decided from is unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepWrite {
-    /// The view that it was decided from, in one number.
+    /// The hash of everything that the step was decided from.
     pub view_hash: u64,
-    /// Names and texts.
+    /// Names and contents; `None` drops a record.
     pub records: Vec<(String, Option<String>)>,
 }
 
-/// What one registry keeps of it.
+/// The maintenance state of one registry.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MaintenanceState {
     contracts: BTreeMap<String, Contract>,
     orders: BTreeMap<String, Order>,
     nights: BTreeMap<String, Night>,
-    /// Records as they were chosen; proxies need none of them.
+    /// Records as they were chosen; proxies do not need them.
     records: Copied,
-    /// Failure orders that may run: they need the time, too.
+    /// Failure orders that may run: these need the true time as well.
     failures: BTreeSet<String>,
+    /// The regions that requests for each service may be sent to; computed on demand.
     homes: Option<Vec<(String, Vec<String>)>>,
     clock: Clock,
-    /// The own time of day less the own steady time.
-    wall: Option<f64>,
-    busy: Option<Millis>,
-    look_at: Millis,
+    /// The local time of day minus the local monotonic time.
+    wall_offset: Option<f64>,
+    /// Since when a step waits for the store's answer.
+    pending_since: Option<Millis>,
+    next_evaluation: Millis,
     zones: BTreeMap<String, String>,
-    zones_may_go: usize,
-    regions_may_go: usize,
-    clocks_may_err: usize,
+    tolerated_zones: usize,
+    tolerated_regions: usize,
+    tolerated_clocks: usize,
 }
 
-/// A node of an order, for people.
+/// The status of a node of an order, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
     /// The node.
     pub node: String,
     /// Its phase, or `waiting`.
     pub phase: &'static str,
-    /// Since when, in the contract's zone.
+    /// Start of the phase, in the contract's time zone.
     pub since: String,
-    /// Why it is so, or why it is not drained.
+    /// Why the node is in this phase, or why it is not drained.
     pub reason: String,
-    /// Proxies that have work there or have not heard of the drain.
+    /// Proxies that have requests in progress there or have not received the drain.
     pub waiting_for: Vec<String>,
 }
 
-/// An order, for people.
+/// The status of an order, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrderStatus {
     /// Its name.
     pub name: String,
-    /// What is wanted of it.
+    /// The state requested by the operator.
     pub state: &'static str,
     /// Its contract.
     pub contract: String,
-    /// Which registry holds it, if one is known.
+    /// The registry that holds its duty; empty if unknown.
     pub holder: String,
-    /// When its hours begin next, or end where they hold.
+    /// The end of the current maintenance window, or the start of the next.
     pub hours: String,
-    /// Its nodes, in their order.
+    /// Its nodes, in the order in which they are serviced.
     pub nodes: Vec<NodeStatus>,
 }
 
 impl MaintenanceState {
-    /// An item that has a say in it, or that says where requests may go.
-    pub(crate) fn item(&mut self, name: &str, entry: &Entry) {
+    /// Applies a configuration item, if it concerns maintenance or where requests may be sent.
+    pub(crate) fn on_item(&mut self, name: &str, entry: &Entry) {
         if name.starts_with("r:") || name.starts_with("t:") {
             self.homes = None;
         }
-        let what = || entry.body.as_deref().and_then(|body| fact(name, &entry.host, body).ok());
+        let parsed = || entry.body.as_deref().and_then(|body| fact(name, &entry.host, body).ok());
         if let Some(name) = name.strip_prefix(CONTRACT) {
-            match what() {
+            match parsed() {
                 Some(Fact::Contract(contract)) => drop(self.contracts.insert(name.to_owned(), *contract)),
                 _ => drop(self.contracts.remove(name)),
             }
         } else if let Some(name) = name.strip_prefix(ORDER) {
-            match what() {
+            match parsed() {
                 Some(Fact::Order(order)) => drop(self.orders.insert(name.to_owned(), *order)),
                 _ => drop(self.orders.remove(name)),
             }
         } else if name.starts_with(fennelscale_fault_injection::FAILURE) {
-            match what() {
-                Some(Fact::Failure(order)) => self.failure(name, Some(&order)),
-                _ => self.failure(name, None),
+            match parsed() {
+                Some(Fact::Failure(order)) => self.set_failure_order(name, Some(&order)),
+                _ => self.set_failure_order(name, None),
             }
         }
     }
 
-    fn failure(&mut self, name: &str, order: Option<&fennelscale_fault_injection::Order>) {
+    fn set_failure_order(&mut self, name: &str, order: Option<&fennelscale_fault_injection::Order>) {
         match order {
             Some(order) if order.state != fennelscale_fault_injection::State::Stopped => {
                 self.failures.insert(name.to_owned());
@@ -118,8 +122,8 @@
         }
     }
 
-    /// A record, if it is newer than what is known; its new steps go to the feed.
-    pub(crate) fn record(&mut self, now: Millis, name: &str, entry: &Entry, feed: &mut Feed) {
+    /// Applies a record if it is newer than the known one, and adds its new steps to the feed.
+    pub(crate) fn on_record(&mut self, now: Millis, name: &str, entry: &Entry, feed: &mut Feed) {
         if !self.records.take(name, entry) {
             return;
         }
@@ -131,14 +135,14 @@
         let before = self.nights.get(order);
         for (node, steps) in &night.nodes {
             let known = before.and_then(|night| night.nodes.get(node)).map_or(0, Vec::len);
-            for (at, step) in steps.iter().enumerate().skip(known) {
+            for (index, step) in steps.iter().enumerate().skip(known) {
                 let kind = match step.phase {
                     Phase::Draining => Kind::NodeDraining,
                     Phase::Out => Kind::NodeOut,
                     Phase::Serviced => Kind::NodeServiced,
                     Phase::Unserviced => Kind::NodeUnserviced,
                 };
-                let mark = fennelscale_messages::hash(order.as_bytes()) ^ at as u64;
+                let mark = fennelscale_messages::hash(order.as_bytes()) ^ index as u64;
                 let cause = format!("order {order}, decided by {}: {}", step.by, step.why);
                 feed.record(now, kind, node, mark, cause);
             }
@@ -146,30 +150,31 @@
         self.nights.insert(order.to_owned(), night);
     }
 
-    /// Whether there is anything to keep time for.
+    /// Whether anything depends on the true time.
     pub(crate) fn is_active(&self) -> bool {
         !self.orders.is_empty()
             || !self.failures.is_empty()
             || self.nights.values().any(|night| !night.out().is_empty())
     }
 
-    /// The own time of day, while there is anything to keep time for.
-    pub(crate) fn wall(&self, now: Millis) -> Option<u64> {
-        self.wall.filter(|_| self.is_active()).map(|off| (now + off).max(0.0) as u64)
+    /// The local time of day, while anything depends on the true time.
+    pub(crate) fn wall_clock(&self, now: Millis) -> Option<u64> {
+        self.wall_offset.filter(|_| self.is_active()).map(|offset| (now + offset).max(0.0) as u64)
     }
 
-    pub(crate) fn heard_time(&mut self, seat: Host, sent: Millis, now: Millis, wall: u64) {
-        self.clock.heard(seat, sent, now, wall as f64);
+    pub(crate) fn add_clock_sample(&mut self, voter: Host, sent: Millis, now: Millis, wall: u64) {
+        self.clock.heard(voter, sent, now, wall as f64);
     }
 
-    /// True time as proxies should know it, while anything is drained.
-    pub(crate) fn time(&self, now: Millis) -> Option<Span> {
-        let drains = self.nights.values().any(|night| !night.out().is_empty());
-        if drains || !self.failures.is_empty() { self.clock.now(now) } else { None }
+    /// The true time to send to proxies, while anything is drained or a failure order may run.
+    pub(crate) fn true_time(&self, now: Millis) -> Option<Span> {
+        let is_draining = self.nights.values().any(|night| !night.out().is_empty());
+        if is_draining || !self.failures.is_empty() { self.clock.now(now) } else { None }
     }
 }
 
-/// Where requests may go: each service with the regions of the routes that name it, and of the tenants beside.
+/// Where requests may be sent: each service with the regions allowed by a route that names it, combined with
+/// those of each tenant.
 fn homes(items: &Copied) -> Vec<(String, Vec<String>)> {
     let mut routes: BTreeSet<(String, Vec<String>)> = BTreeSet::new();
     let mut tenants: BTreeSet<Vec<String>> = BTreeSet::new();
@@ -191,14 +196,14 @@
     let mut homes = BTreeSet::new();
     for (service, route) in routes {
         for tenant in &tenants {
-            let both: Vec<String> = match (route.is_empty(), tenant.is_empty()) {
+            let common: Vec<String> = match (route.is_empty(), tenant.is_empty()) {
                 (true, _) => tenant.clone(),
                 (false, true) => route.clone(),
                 (false, false) => route.iter().filter(|region| tenant.contains(region)).cloned().collect(),
             };
-            // Without a common region nobody serves them, with or without a node.
-            if !both.is_empty() || route.is_empty() {
-                homes.insert((service.clone(), both));
+            // Without a common region such requests cannot be served, whether a node is drained or not.
+            if !common.is_empty() || route.is_empty() {
+                homes.insert((service.clone(), common));
             }
         }
     }
@@ -206,112 +211,118 @@
 }
 
 impl RegistryState {
-    /// The deployment: zones and their regions; how many clocks of the core may be wrong at once, and how many zones and regions
-    /// may be lost.
+    /// Sets the deployment: the region of each zone, how many clocks of the core may be wrong at once
+    /// (`machines`), and how many zones and regions may be lost at once.
     pub fn set_deployment(
-        &mut self, zones: BTreeMap<String, String>, machines: usize, may_go: (usize, usize),
+        &mut self, zones: BTreeMap<String, String>, machines: usize, tolerated_losses: (usize, usize),
     ) {
-        self.hours.zones = zones;
-        self.hours.clocks_may_err = machines;
-        (self.hours.zones_may_go, self.hours.regions_may_go) = may_go;
+        self.maintenance.zones = zones;
+        self.maintenance.tolerated_clocks = machines;
+        (self.maintenance.tolerated_zones, self.maintenance.tolerated_regions) = tolerated_losses;
     }
 
-    /// The machine's time of day, in ms since 1970: it may jump.
+    /// Sets the host's time of day, in ms since 1970; it may jump.
     pub fn set_time_of_day(&mut self, now: Millis, wall: f64) {
-        self.hours.wall = Some(wall - now);
-        if self.hours.is_active() {
-            let me = self.me;
-            self.hours.clock.heard(me, now, now, wall);
+        self.maintenance.wall_offset = Some(wall - now);
+        if self.maintenance.is_active() {
+            let local_host = self.local_host;
+            self.maintenance.clock.heard(local_host, now, now, wall);
         }
     }
 
     fn scene(&mut self, now: Millis) -> Scene {
-        let doubtful = !self.vouched.holds(now) || self.is_cut(now) || self.listing.stamp.0 == 0;
-        let silent = self.counted(now).silent;
-        let unheard =
-            self.seats.seats.iter().filter(|seat| seat.host != self.me && !self.alive(seat.host, now));
+        let doubtful =
+            !self.freshness.is_fresh(now) || self.has_lost_contact(now) || self.backend_list.stamp.0 == 0;
+        let isolated = self.proxy_counts(now).isolated;
+        let unheard = self
+            .seats
+            .seats
+            .iter()
+            .filter(|seat| seat.host != self.local_host && !self.is_reachable(seat.host, now));
         let unheard = unheard.map(|seat| seat.zone.clone()).collect();
-        let homes = self.hours.homes.get_or_insert_with(|| homes(&self.items)).clone();
-        let evacuated = self.items.entries().iter().filter(|(_, entry)| entry.body.is_some());
+        let homes = self.maintenance.homes.get_or_insert_with(|| homes(&self.config)).clone();
+        let evacuated = self.config.entries().iter().filter(|(_, entry)| entry.body.is_some());
         let evacuated = evacuated.filter_map(|(name, _)| name.strip_prefix("e:").map(str::to_owned));
         Scene {
-            now: self.hours.clock.now(now),
-            contracts: self.hours.contracts.clone(),
-            orders: self.hours.orders.clone(),
-            nights: self.hours.nights.clone(),
-            zones: self.hours.zones.clone(),
-            backends: self.listing.backends.clone(),
+            now: self.maintenance.clock.now(now),
+            contracts: self.maintenance.contracts.clone(),
+            orders: self.maintenance.orders.clone(),
+            nights: self.maintenance.nights.clone(),
+            zones: self.maintenance.zones.clone(),
+            backends: self.backend_list.backends.clone(),
             members: self.members.all(now),
-            silent: silent as usize,
+            silent: isolated as usize,
             unheard,
             evacuated: evacuated.collect(),
-            zones_may_go: self.hours.zones_may_go,
-            regions_may_go: self.hours.regions_may_go,
+            zones_may_go: self.maintenance.tolerated_zones,
+            regions_may_go: self.maintenance.tolerated_regions,
             homes,
             doubtful,
         }
     }
 
-    pub(crate) fn keep_hours(&mut self, now: Millis) {
-        let idle = self.hours.orders.is_empty() && self.hours.nights.is_empty();
-        if now < self.hours.look_at || idle && self.hours.failures.is_empty() {
+    pub(crate) fn advance_maintenance(&mut self, now: Millis) {
+        let idle = self.maintenance.orders.is_empty() && self.maintenance.nights.is_empty();
+        if now < self.maintenance.next_evaluation || idle && self.maintenance.failures.is_empty() {
             return;
         }
-        self.hours.look_at = now + LOOK;
-        let seats: Vec<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
-        let wrong = self.hours.clocks_may_err;
-        self.hours.clock.settle(now, &seats, wrong);
-        if self.hours.busy.is_some_and(|since| now - since < UNANSWERED) {
+        self.maintenance.next_evaluation = now + EVALUATION_INTERVAL;
+        let voters: Vec<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
+        let tolerated = self.maintenance.tolerated_clocks;
+        self.maintenance.clock.settle(now, &voters, tolerated);
+        if self.maintenance.pending_since.is_some_and(|since| now - since < STEP_TIMEOUT) {
             return;
         }
         let held = self.held_duties(now);
-        let names = || self.hours.orders.keys().chain(self.hours.nights.keys());
+        let names = || self.maintenance.orders.keys().chain(self.maintenance.nights.keys());
         if !names().any(|name| held & duties::bit_of(name) != 0) {
             return;
         }
         let scene = self.scene(now);
-        let me = self.me.to_string();
-        let mine = |name: &str| held & duties::bit_of(name) != 0;
-        if let Some(Next { order, night, node, phase }) = plan::next(&scene, &me, mine) {
+        let local_host = self.local_host.to_string();
+        let is_ours = |name: &str| held & duties::bit_of(name) != 0;
+        if let Some(Next { order, night, node, phase }) = plan::next(&scene, &local_host, is_ours) {
             let why = night.last(&node).map(|step| step.why.clone()).unwrap_or_default();
             let about = format!("order={order} node={node} phase={} why={why:?}", phase.name());
-            self.out.push(Output::Log("maintenance-step", about));
+            self.outputs.push(Output::Log("maintenance-step", about));
             let drain = night.drain().map(|drain| drain.text());
             let records =
                 vec![(format!("{NIGHT}{order}"), Some(night.text())), (format!("{DRAIN}{order}"), drain)];
-            self.step(now, records);
-        } else if let Some(name) = over(&scene).find(|name| mine(name)) {
-            // An order that was dropped takes its record with it.
-            self.step(now, vec![(format!("{NIGHT}{name}"), None), (format!("{DRAIN}{name}"), None)]);
+            self.write_step(now, records);
+        } else if let Some(name) = finished_records(&scene).find(|name| is_ours(name)) {
+            // The record of a dropped order is dropped as well.
+            self.write_step(now, vec![(format!("{NIGHT}{name}"), None), (format!("{DRAIN}{name}"), None)]);
         }
     }
 
-    fn step(&mut self, now: Millis, records: Vec<(String, Option<String>)>) {
-        let items = self.items.entries().iter().filter(|(name, _)| counts(name));
-        let all = items.chain(self.hours.records.entries());
-        let seen = fennelscale_maintenance::seen(all.map(|(name, entry)| (name.as_str(), entry)));
-        self.hours.busy = Some(now);
-        self.out.push(Output::WriteMaintenanceStep(StepWrite { view_hash: seen, records }));
+    fn write_step(&mut self, now: Millis, records: Vec<(String, Option<String>)>) {
+        let items = self.config.entries().iter().filter(|(name, _)| counts(name));
+        let all = items.chain(self.maintenance.records.entries());
+        let view_hash = fennelscale_maintenance::seen(all.map(|(name, entry)| (name.as_str(), entry)));
+        self.maintenance.pending_since = Some(now);
+        self.outputs.push(Output::WriteMaintenanceStep(StepWrite { view_hash, records }));
     }
 
-    /// The store has answered to a step; that it was written is heard with the news.
+    /// The store has answered a step. Whether it was written is learned from the chosen entries.
     pub fn on_maintenance_answer(&mut self, now: Millis) {
-        self.hours.busy = None;
-        // Not before the news of it are here: a step that was decided without them would only be refused.
-        self.hours.look_at = now + LOOK;
+        self.maintenance.pending_since = None;
+        // Wait for the chosen entries: a step decided without them would only be refused.
+        self.maintenance.next_evaluation = now + EVALUATION_INTERVAL;
     }
 
-    /// What would stand in the way of orders that a call brings, however long one waits. `changed`: items of the call.
+    /// Why orders in a call could never be carried out, however long they wait. `changed` are the items of
+    /// the call.
     pub fn check_orders(&mut self, now: Millis, changed: &[Named]) -> Vec<(String, Node, Why)> {
         let mut scene = self.scene(now);
-        let mut hours = MaintenanceState {
+        let mut changed_state = MaintenanceState {
             contracts: std::mem::take(&mut scene.contracts),
             ..MaintenanceState::default()
         };
-        changed.iter().for_each(|(name, entry)| hours.item(name, entry));
-        scene.contracts = hours.contracts;
-        let asks = |order: &&Order| matches!(order.wanted, Wanted::Approved | Wanted::Running);
-        let orders: Vec<Order> = hours.orders.into_values().filter(|order| asks(&order)).collect();
+        changed.iter().for_each(|(name, entry)| changed_state.on_item(name, entry));
+        scene.contracts = changed_state.contracts;
+        let is_active = |order: &&Order| matches!(order.wanted, Wanted::Approved | Wanted::Running);
+        let orders: Vec<Order> =
+            changed_state.orders.into_values().filter(|order| is_active(&order)).collect();
         let check = |order: &Order| {
             let name = order.name.clone();
             scene
@@ -323,45 +334,46 @@
         orders.iter().flat_map(check).filter(|(.., why)| why.lasting).collect()
     }
 
-    /// All orders, for people: how far each node is, and why it is or is not drained now.
+    /// The status of all orders, for operators: the phase of each node, and why it is or is not drained now.
+    /// Also returns the true time, if known.
     pub fn maintenance_status(&mut self, now: Millis) -> (Option<Span>, Vec<OrderStatus>) {
         let scene = self.scene(now);
         let orders = scene.orders.values().map(|order| {
             let zone = scene.contracts.get(&order.contract).map(|contract| contract.zone.clone());
-            let moment = |at: Millis| match &zone {
+            let format_time = |at: Millis| match &zone {
                 Some(zone) if at > 0.0 => told(zone, at),
                 _ => String::new(),
             };
-            let holds =
+            let current =
                 scene.contracts.get(&order.contract).and_then(|contract| contract.window(scene.now?.latest));
-            let hours = match holds {
-                Some(window) => format!("until {}", moment(window.to)),
+            let hours = match current {
+                Some(window) => format!("until {}", format_time(window.to)),
                 None => scene.begins(order).map_or_else(String::new, |from| format!("from {from}")),
             };
             let node = |node: &Node| {
                 let last = scene.nights.get(&order.name).and_then(|night| night.last(node));
-                let state = |phase, since, why, waits_for| NodeStatus {
+                let status = |phase, since, reason, waiting_for| NodeStatus {
                     node: node.to_string(),
                     phase,
                     since,
-                    reason: why,
-                    waiting_for: waits_for,
+                    reason,
+                    waiting_for,
                 };
                 match last {
                     Some(step) => {
-                        let waits = step.phase == Phase::Draining;
-                        let waits = if waits { scene.waits_for(node) } else { Vec::new() };
-                        let waits = waits.iter().map(Host::to_string).collect();
-                        state(step.phase.name(), moment(step.at), step.why.clone(), waits)
+                        let is_draining = step.phase == Phase::Draining;
+                        let waits_for = if is_draining { scene.waits_for(node) } else { Vec::new() };
+                        let waits_for = waits_for.iter().map(Host::to_string).collect();
+                        status(step.phase.name(), format_time(step.at), step.why.clone(), waits_for)
                     }
                     None => {
                         let why =
                             scene.may_drain(order, node).err().map_or("it is next".into(), |why| why.text);
-                        state("waiting", String::new(), why, Vec::new())
+                        status("waiting", String::new(), why, Vec::new())
                     }
                 }
             };
-            let holder = self.holder(now, duties::bit_of(&order.name));
+            let holder = self.duty_holder(now, duties::bit_of(&order.name));
             OrderStatus {
                 name: order.name.clone(),
                 state: order.wanted.name(),
@@ -376,9 +388,9 @@
     }
 }
 
-/// Records of orders that are there no more, with nothing out.
-fn over(scene: &Scene) -> impl Iterator<Item = &str> {
-    let gone =
+/// The records of orders that no longer exist and have no node drained.
+fn finished_records(scene: &Scene) -> impl Iterator<Item = &str> {
+    let is_finished =
         |(name, night): &(&String, &Night)| !scene.orders.contains_key(*name) && night.out().is_empty();
-    scene.nights.iter().filter(gone).map(|(name, _)| name.as_str())
+    scene.nights.iter().filter(is_finished).map(|(name, _)| name.as_str())
 }
--- a/system/membership/src/members.rs
+++ b/system/membership/src/members.rs
@@ -1,294 +1,308 @@
-//! Sessions of proxies here and at other registries, and who is a member by them.
+//! Proxy sessions here and at other registries, and the membership that follows from them.
 //!
-//! A session that ended by a word or a closed line is over. One that was silent may be one that was cut off: its proxy serves
-//! on, so it counts for shares for a while ([`SILENT_PROXY_RETENTION`]), and as long as its registry is silent it is still a member
-//! ([`SILENT_REGISTRY_RETENTION`]): a cut through the core does not empty the directory.
+//! A session that ended with a message or a closed connection is over. A session that ended in silence may
+//! belong to a proxy that is partitioned and still serves, so the proxy counts for quota shares for
+//! [`SILENT_PROXY_RETENTION`]. The sessions of a registry that is itself silent remain members for
+//! [`SILENT_REGISTRY_RETENTION`]: a partition of the core does not empty the directory.
 //!
-//! A proxy on its own spends the part of one of as many as it was told of last, however many have come since. That number is kept with
-//! its silence, and told to the other registries: whoever holds a count keeps as much back.
+//! An isolated proxy spends one share of the number of proxies that it was last told, however many have
+//! joined since. That number is kept with the proxy and sent to the other registries, so that the holder of a
+//! quota count reserves that much.
 
-use crate::copies::{Compared, Comparison, Standing};
+use crate::copies::{Comparison, ComparisonResult, CopyStatus};
 use crate::{Millis, PEER_TIMEOUT};
 use fennelscale_messages::Host;
 use fennelscale_messages::news::{Down, Member};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Members of a registry that is silent are members for so long.
+/// How long the sessions of a silent registry remain members.
 pub const SILENT_REGISTRY_RETENTION: Millis = 6000.0;
-/// A proxy that went silent counts for shares for so long.
+/// How long a proxy that went silent counts for quota shares.
 pub const SILENT_PROXY_RETENTION: Millis = 20_000.0;
-/// What proxies were told of their number may still be on its way, and so not in force, for so long.
+/// How long a number of proxies that was sent may be in transit and thus not in effect.
 const DELIVERY_TIMEOUT: Millis = 3000.0;
-/// Changes of members are told together, this far apart.
+/// Changes of the member list are batched: minimum interval between two updates to proxies.
 const UPDATE_INTERVAL: Millis = 100.0;
-/// The most numbers that are remembered.
+/// Maximum of remembered numbers of proxies.
 const MAX_COUNTS_SENT: usize = 64;
-/// The most sessions that are remembered after they went silent.
+/// Maximum of remembered sessions that went silent.
 const MAX_SILENT: usize = 4096;
 
 #[derive(Clone, Debug)]
 struct Session {
     member: Member,
-    heard: Millis,
+    last_heard: Millis,
     copy: Comparison,
-    /// The keys of quotas that it spends by itself: their holders do not reach it.
-    alone: u64,
+    /// Quota shards that the proxy spends without grants since their holders cannot reach it, one bit each.
+    self_granted: u64,
 }
 
-/// A proxy and how many it thinks there are.
-type Parted = (Host, u32);
+/// A proxy and the number of proxies that it was last told.
+type IsolatedProxy = (Host, u32);
 
-/// What was counted.
+/// Numbers of proxies, for dividing quotas.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProxyCounts {
-    /// How many proxies there are for shares.
-    pub all: f64,
-    /// How many of them may be on their own, ...
-    pub silent: f64,
-    /// ... and what these spend of a quota, as a part of it.
-    pub parts: f64,
+    /// Proxies that count for quota shares.
+    pub total: f64,
+    /// Those of them that may be isolated.
+    pub isolated: f64,
+    /// The fraction of a quota that the isolated ones spend.
+    pub isolated_share: f64,
 }
 
-/// Of which version of members, until when it holds, and what was counted.
-type Counted = (u64, Millis, ProxyCounts);
+/// Version of the members that was counted, until when the result is valid, and the result.
+type CachedCounts = (u64, Millis, ProxyCounts);
 
 #[derive(Clone, Debug, Default)]
-struct Roll {
+struct SessionList {
     members: Vec<Member>,
-    /// Whose sessions went silent there, and of how many each spends the part of one.
-    silent: Vec<Parted>,
-    /// Who spends by itself though it has a session there.
-    alone: Vec<(Host, u64)>,
+    /// Proxies whose sessions there went silent.
+    isolated: Vec<IsolatedProxy>,
+    /// Proxies that spend quota without grants despite a session there, with the shards.
+    self_granted: Vec<(Host, u64)>,
     hash: u64,
-    heard: Millis,
+    last_heard: Millis,
 }
 
-impl Roll {
-    /// All proxies that it is of, and how many each thinks that there are; of its members one of so many.
-    fn parted(&self, of: u32) -> impl Iterator<Item = Parted> {
-        self.members.iter().map(move |member| (member.host, of)).chain(self.silent.iter().copied())
+impl SessionList {
+    /// All proxies of the list with the number of proxies that each was told; `count` for those with a
+    /// session.
+    fn proxies(&self, count: u32) -> impl Iterator<Item = IsolatedProxy> {
+        self.members.iter().map(move |member| (member.host, count)).chain(self.isolated.iter().copied())
     }
 }
 
-/// All that is known of proxies.
+/// The sessions of all registries, as far as known.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     sessions: BTreeMap<Host, Session>,
-    rolls: BTreeMap<Host, Roll>,
-    silent: BTreeMap<Host, (Millis, u32)>,
-    /// What proxies were told of their number, and when; beside the last, what may still be in force.
-    numbers: VecDeque<(Millis, u32)>,
-    /// Some proxy may be named by two registries.
-    twice: bool,
-    /// Moves with whatever may change who is a member. All of them are only gone through when it has, or when time has made a
-    /// difference: with every request for a block they would be a square of the proxies.
+    session_lists: BTreeMap<Host, SessionList>,
+    /// Proxies that went silent here: since when, and the number of proxies that each was last told.
+    isolated: BTreeMap<Host, (Millis, u32)>,
+    /// The numbers of proxies that were sent to proxies, and when: the last one and those that may still be
+    /// in effect.
+    sent_counts: VecDeque<(Millis, u32)>,
+    /// A proxy may be listed by two registries.
+    has_duplicates: bool,
+    /// Incremented with every change that may affect the membership. Members are only iterated after such a
+    /// change or when time has made a difference: doing so for every quota request would cost the square of
+    /// the number of proxies.
     version: u64,
-    /// What was counted: at which version, until when it holds.
-    counts: Cell<Option<Counted>>,
-    told: Option<Down>,
-    told_at: Millis,
-    /// Of what was looked at last, to tell: the version, the count, until when there is nothing new.
-    looked: Option<(u64, u32, Millis)>,
+    cached_counts: Cell<Option<CachedCounts>>,
+    last_sent: Option<Down>,
+    last_sent_at: Millis,
+    /// The last check for changes to send: version, number of proxies, and until when it is valid.
+    last_check: Option<(u64, u32, Millis)>,
 }
 
-fn roll_hash<'a>(members: impl Iterator<Item = &'a Member>, silent: &[Parted], alone: &[(Host, u64)]) -> u64 {
-    let part = |(host, of): &Parted| u64::from(host.0) ^ u64::from(*of) << 32;
-    let hash = silent.iter().fold(1, |hash, silent| fennelscale_messages::mix(hash ^ part(silent)));
-    let hash = alone.iter().fold(hash, |hash, (host, keys)| {
-        fennelscale_messages::mix(fennelscale_messages::mix(hash ^ u64::from(host.0)) ^ keys)
+fn hash_session_list<'a>(
+    members: impl Iterator<Item = &'a Member>, isolated: &[IsolatedProxy], self_granted: &[(Host, u64)],
+) -> u64 {
+    let bits = |(host, count): &IsolatedProxy| u64::from(host.0) ^ u64::from(*count) << 32;
+    let hash = isolated.iter().fold(1, |hash, proxy| fennelscale_messages::mix(hash ^ bits(proxy)));
+    let hash = self_granted.iter().fold(hash, |hash, (host, shards)| {
+        fennelscale_messages::mix(fennelscale_messages::mix(hash ^ u64::from(host.0)) ^ shards)
     });
-    members.fold(hash, |hash, m| {
-        let text = format!("{}{:x}{}{}", m.host, m.life, m.port, m.ready);
+    members.fold(hash, |hash, member| {
+        let text = format!("{}{:x}{}{}", member.host, member.life, member.port, member.ready);
         let hash = fennelscale_messages::mix(hash ^ fennelscale_messages::hash(text.as_bytes()));
-        m.quiet.iter().fold(hash, |hash, node| {
+        member.quiet.iter().fold(hash, |hash, node| {
             fennelscale_messages::mix(hash ^ fennelscale_messages::hash(node.as_bytes()))
         })
     })
 }
 
 impl Members {
-    pub(crate) fn hello(&mut self, member: Member, now: Millis) {
+    pub(crate) fn start_session(&mut self, member: Member, now: Millis) {
         self.version += 1;
-        self.silent.remove(&member.host);
-        self.sessions
-            .insert(member.host, Session { member, heard: now, copy: Comparison::default(), alone: 0 });
+        self.isolated.remove(&member.host);
+        self.sessions.insert(
+            member.host,
+            Session { member, last_heard: now, copy: Comparison::default(), self_granted: 0 },
+        );
     }
 
-    /// A proxy shows that it lives. Whether others should hear of a change.
-    pub(crate) fn beat(&mut self, host: Host, ready: bool, now: Millis) -> bool {
+    /// Records a proxy's heartbeat. Returns whether other registries should be told of a change.
+    pub(crate) fn heartbeat(&mut self, host: Host, ready: bool, now: Millis) -> bool {
         let Some(session) = self.sessions.get_mut(&host) else { return false };
-        session.heard = now;
+        session.last_heard = now;
         let changed = std::mem::replace(&mut session.member.ready, ready) != ready;
         self.version += u64::from(changed);
         changed
     }
 
-    /// A proxy spends by itself, or no longer. Whether others should hear of it.
-    pub(crate) fn alone(&mut self, host: Host, alone: u64) -> bool {
+    /// Sets the shards that a proxy spends without grants. Returns whether other registries should be told.
+    pub(crate) fn set_self_granted(&mut self, host: Host, self_granted: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&host) else { return false };
-        std::mem::replace(&mut session.alone, alone) != alone
+        std::mem::replace(&mut session.self_granted, self_granted) != self_granted
     }
 
-    /// Members that spend quotas of a key by themselves.
-    pub(crate) fn alone_count(&self, key: u64) -> f64 {
-        let told = self.rolls.values().flat_map(|roll| &roll.alone);
-        let told = told.filter(|(host, _)| !self.sessions.contains_key(host)).copied();
-        let alone = told.chain(self.own_alone()).filter(|(_, keys)| keys & key != 0);
-        alone.map(|(host, _)| host).collect::<BTreeSet<Host>>().len() as f64
+    /// The number of members that spend quotas of a shard without grants.
+    pub(crate) fn self_granted_count(&self, shard: u64) -> f64 {
+        let remote = self.session_lists.values().flat_map(|list| &list.self_granted);
+        let remote = remote.filter(|(host, _)| !self.sessions.contains_key(host)).copied();
+        let self_granted = remote.chain(self.local_self_granted()).filter(|(_, shards)| shards & shard != 0);
+        self_granted.map(|(host, _)| host).collect::<BTreeSet<Host>>().len() as f64
     }
 
-    pub(crate) fn heard(&mut self, host: Host, now: Millis) {
+    pub(crate) fn session_heard(&mut self, host: Host, now: Millis) {
         if let Some(session) = self.sessions.get_mut(&host) {
-            session.heard = now;
+            session.last_heard = now;
         }
     }
 
-    /// A beat says how a proxy's items stand to those here.
-    pub(crate) fn compare(&mut self, host: Host, now: Millis, standing: Standing) -> Compared {
+    /// Records how the proxy's copy of the configuration compares with the one here, as of a heartbeat.
+    pub(crate) fn compare_copy(&mut self, host: Host, now: Millis, status: CopyStatus) -> ComparisonResult {
         let session = self.sessions.get_mut(&host);
-        session.map_or_else(Compared::default, |session| session.copy.beat(now, standing))
+        session.map_or_else(ComparisonResult::default, |session| session.copy.heartbeat(now, status))
     }
 
-    /// The life of a proxy with a session here.
-    pub(crate) fn life(&self, host: Host) -> Option<u64> {
+    /// The incarnation of a proxy with a session here.
+    pub(crate) fn incarnation(&self, host: Host) -> Option<u64> {
         self.sessions.get(&host).map(|session| session.member.life)
     }
 
-    /// Where a proxy has nothing at work. Whether others should hear of a change.
-    pub(crate) fn quiet(&mut self, host: Host, nodes: Vec<String>, now: Millis) -> bool {
+    /// Sets the nodes at which a proxy has no requests in progress. Returns whether other registries should
+    /// be told.
+    pub(crate) fn set_idle_nodes(&mut self, host: Host, nodes: Vec<String>, now: Millis) -> bool {
         let Some(session) = self.sessions.get_mut(&host) else { return false };
-        session.heard = now;
+        session.last_heard = now;
         std::mem::replace(&mut session.member.quiet, nodes.clone()) != nodes
     }
 
-    pub(crate) fn bye(&mut self, host: Host, _now: Millis) {
+    pub(crate) fn leave(&mut self, host: Host, _now: Millis) {
         self.version += 1;
         self.sessions.remove(&host);
-        self.silent.remove(&host);
+        self.isolated.remove(&host);
     }
 
-    pub(crate) fn closed(&mut self, host: Host, _now: Millis) -> bool {
+    pub(crate) fn disconnect(&mut self, host: Host, _now: Millis) -> bool {
         self.version += 1;
         self.sessions.remove(&host).is_some()
     }
 
-    /// Sessions that were silent too long end here.
+    /// Ends sessions that were silent too long and returns their proxies.
     pub(crate) fn expire(&mut self, now: Millis) -> Vec<Host> {
-        let over: Vec<Host> = self
+        let expired: Vec<Host> = self
             .sessions
             .iter()
-            .filter(|(_, s)| now - s.heard >= PEER_TIMEOUT)
+            .filter(|(_, session)| now - session.last_heard >= PEER_TIMEOUT)
             .map(|(host, _)| *host)
             .collect();
-        let least = self.least(now);
-        for host in &over {
+        let count = self.lowest_sent_count(now);
+        for host in &expired {
             self.sessions.remove(host);
-            self.silent.insert(*host, (now, least));
+            self.isolated.insert(*host, (now, count));
         }
-        let before = (self.rolls.len(), self.silent.len());
-        let gone = self.rolls.iter().filter(|(_, roll)| now - roll.heard >= SILENT_REGISTRY_RETENTION);
-        let gone: Vec<Host> = gone.map(|(registry, _)| *registry).collect();
-        gone.into_iter().for_each(|registry| self.outlive(registry, least, now));
-        self.silent.retain(|_, (since, _)| now - *since < SILENT_PROXY_RETENTION);
-        while self.silent.len() > MAX_SILENT {
-            self.silent.pop_first();
+        let before = (self.session_lists.len(), self.isolated.len());
+        let silent =
+            self.session_lists.iter().filter(|(_, list)| now - list.last_heard >= SILENT_REGISTRY_RETENTION);
+        let silent: Vec<Host> = silent.map(|(registry, _)| *registry).collect();
+        silent.into_iter().for_each(|registry| self.isolate_sessions(registry, count, now));
+        self.isolated.retain(|_, (since, _)| now - *since < SILENT_PROXY_RETENTION);
+        while self.isolated.len() > MAX_SILENT {
+            self.isolated.pop_first();
         }
-        if !over.is_empty() || before != (self.rolls.len(), self.silent.len()) {
+        if !expired.is_empty() || before != (self.session_lists.len(), self.isolated.len()) {
             self.version += 1;
         }
-        over
+        expired
     }
 
-    /// Sessions here whose proxies held other items at their last beat.
+    /// The number of sessions here whose proxies had a differing configuration at their last heartbeat.
     pub(crate) fn lagging(&self) -> usize {
         self.sessions.values().filter(|session| session.copy.differs()).count()
     }
 
-    /// Proxies with a session here.
+    /// The proxies with a session here.
     pub(crate) fn sessions(&self) -> Vec<Host> {
         self.sessions.keys().copied().collect()
     }
 
-    /// Sessions here; who went silent, and who spends by itself.
-    pub(crate) fn own_roll(&self) -> (Vec<Member>, Vec<Parted>, Vec<(Host, u64)>) {
+    /// The session list of this registry: members, isolated proxies, and proxies that spend quota without
+    /// grants.
+    pub(crate) fn local_sessions(&self) -> (Vec<Member>, Vec<IsolatedProxy>, Vec<(Host, u64)>) {
         let members = self.sessions.values().map(|session| session.member.clone());
-        (members.collect(), self.own_silent(), self.own_alone())
+        (members.collect(), self.local_isolated(), self.local_self_granted())
     }
 
-    fn own_silent(&self) -> Vec<Parted> {
-        self.silent.iter().map(|(host, (_, of))| (*host, *of)).collect()
+    fn local_isolated(&self) -> Vec<IsolatedProxy> {
+        self.isolated.iter().map(|(host, (_, count))| (*host, *count)).collect()
     }
 
-    fn own_alone(&self) -> Vec<(Host, u64)> {
-        let alone = self.sessions.iter().filter(|(_, session)| session.alone != 0);
-        alone.map(|(host, session)| (*host, session.alone)).collect()
+    fn local_self_granted(&self) -> Vec<(Host, u64)> {
+        let self_granted = self.sessions.iter().filter(|(_, session)| session.self_granted != 0);
+        self_granted.map(|(host, session)| (*host, session.self_granted)).collect()
     }
 
-    pub(crate) fn roll_hash(&self) -> u64 {
+    pub(crate) fn session_list_hash(&self) -> u64 {
         let members = self.sessions.values().map(|session| &session.member);
-        roll_hash(members, &self.own_silent(), &self.own_alone())
+        hash_session_list(members, &self.local_isolated(), &self.local_self_granted())
     }
 
-    /// What is known of another registry's sessions, in one number.
-    pub(crate) fn knows(&self, registry: Host) -> Option<u64> {
-        self.rolls.get(&registry).map(|roll| roll.hash)
+    /// The hash of another registry's session list as known here.
+    pub(crate) fn known_hash(&self, registry: Host) -> Option<u64> {
+        self.session_lists.get(&registry).map(|list| list.hash)
     }
 
-    pub(crate) fn roll(
-        &mut self, registry: Host, members: Vec<Member>, mut silent: Vec<Parted>,
-        mut alone: Vec<(Host, u64)>, now: Millis,
+    pub(crate) fn set_session_list(
+        &mut self, registry: Host, members: Vec<Member>, mut isolated: Vec<IsolatedProxy>,
+        mut self_granted: Vec<(Host, u64)>, now: Millis,
     ) {
         self.version += 1;
-        silent.truncate(MAX_SILENT);
-        alone.truncate(MAX_SILENT);
+        isolated.truncate(MAX_SILENT);
+        self_granted.truncate(MAX_SILENT);
         for member in &members {
-            self.silent.remove(&member.host);
+            self.isolated.remove(&member.host);
         }
-        let hash = roll_hash(members.iter(), &silent, &alone);
-        self.rolls.insert(registry, Roll { members, silent, alone, hash, heard: now });
+        let hash = hash_session_list(members.iter(), &isolated, &self_granted);
+        self.session_lists
+            .insert(registry, SessionList { members, isolated, self_granted, hash, last_heard: now });
         let mut named = BTreeSet::new();
-        let mut all = self.rolls.values().flat_map(|roll| &roll.members);
-        self.twice = !all.all(|member| named.insert(member.host));
+        let mut all = self.session_lists.values().flat_map(|list| &list.members);
+        self.has_duplicates = !all.all(|member| named.insert(member.host));
     }
 
-    /// A registry has started anew: its proxies come back, or are on their own and nobody else knows of them.
-    pub(crate) fn began(&mut self, registry: Host, now: Millis) {
-        let least = self.least(now);
-        self.outlive(registry, least, now);
+    /// A registry has restarted: its proxies reconnect, or are isolated and unknown to all others.
+    pub(crate) fn registry_restarted(&mut self, registry: Host, now: Millis) {
+        let count = self.lowest_sent_count(now);
+        self.isolate_sessions(registry, count, now);
     }
 
-    /// What a registry told is over; its proxies may be on their own.
-    fn outlive(&mut self, registry: Host, least: u32, now: Millis) {
-        let Some(roll) = self.rolls.remove(&registry) else { return };
+    /// Drops a registry's session list; its proxies may be isolated.
+    fn isolate_sessions(&mut self, registry: Host, count: u32, now: Millis) {
+        let Some(list) = self.session_lists.remove(&registry) else { return };
         self.version += 1;
-        for (host, of) in roll.parted(least) {
-            self.silent.entry(host).or_insert((now, of));
+        for (host, told) in list.proxies(count) {
+            self.isolated.entry(host).or_insert((now, told));
         }
     }
 
-    pub(crate) fn heard_registry(&mut self, registry: Host, now: Millis) {
-        if let Some(roll) = self.rolls.get_mut(&registry) {
-            // Who is heard last goes before others that name the same proxy.
-            if self.twice || now - roll.heard >= PEER_TIMEOUT {
+    pub(crate) fn registry_heard(&mut self, registry: Host, now: Millis) {
+        if let Some(list) = self.session_lists.get_mut(&registry) {
+            // Of several registries that list a proxy, the one heard last takes precedence.
+            if self.has_duplicates || now - list.last_heard >= PEER_TIMEOUT {
                 self.version += 1;
             }
-            roll.heard = now;
+            list.last_heard = now;
         }
     }
 
-    /// All members, each once: a session here goes before what others say, a registry that is heard before one that is not.
+    /// All members, each once: a session here takes precedence over the lists of other registries, and a list
+    /// heard more recently over an older one.
     pub fn all(&self, now: Millis) -> Vec<Member> {
-        self.each(now).into_values().map(|(_, member)| member.clone()).collect()
+        self.by_host(now).into_values().map(|(_, member)| member.clone()).collect()
     }
 
-    fn each(&self, now: Millis) -> BTreeMap<Host, (Millis, &Member)> {
+    fn by_host(&self, now: Millis) -> BTreeMap<Host, (Millis, &Member)> {
         let mut all: BTreeMap<Host, (Millis, &Member)> = BTreeMap::new();
-        for roll in self.rolls.values() {
-            for member in &roll.members {
-                let known = all.entry(member.host).or_insert((roll.heard, member));
-                if known.0 < roll.heard {
-                    *known = (roll.heard, member);
+        for list in self.session_lists.values() {
+            for member in &list.members {
+                let known = all.entry(member.host).or_insert((list.last_heard, member));
+                if known.0 < list.last_heard {
+                    *known = (list.last_heard, member);
                 }
             }
         }
@@ -299,87 +313,91 @@
         all
     }
 
-    /// Until when time alone changes nothing of who is a member or counts.
-    fn until(&self, now: Millis) -> Millis {
+    /// Until when the passage of time alone changes neither the membership nor the counts.
+    fn unchanged_until(&self, now: Millis) -> Millis {
         let ends = self
-            .rolls
+            .session_lists
             .values()
-            .flat_map(|roll| [roll.heard + PEER_TIMEOUT, roll.heard + SILENT_REGISTRY_RETENTION]);
-        let ends = ends.chain(self.numbers.iter().map(|(at, _)| at + DELIVERY_TIMEOUT));
+            .flat_map(|list| [list.last_heard + PEER_TIMEOUT, list.last_heard + SILENT_REGISTRY_RETENTION]);
+        let ends = ends.chain(self.sent_counts.iter().map(|(at, _)| at + DELIVERY_TIMEOUT));
         ends.filter(|end| *end > now).fold(f64::INFINITY, f64::min)
     }
 
-    /// How many proxies there are for shares, and how many of them may be on their own.
-    pub fn counted(&self, now: Millis) -> ProxyCounts {
-        if let Some((version, until, counts)) = self.counts.get()
+    /// The numbers of proxies, cached until something changes.
+    pub fn counts(&self, now: Millis) -> ProxyCounts {
+        if let Some((version, until, counts)) = self.cached_counts.get()
             && version == self.version
             && now < until
         {
             return counts;
         }
         let counts = self.count(now);
-        self.counts.set(Some((self.version, self.until(now), counts)));
+        self.cached_counts.set(Some((self.version, self.unchanged_until(now), counts)));
         counts
     }
 
     fn count(&self, now: Millis) -> ProxyCounts {
-        let members = self.each(now);
-        let told = self.rolls.values().flat_map(|roll| roll.silent.iter().copied());
-        let mut silent: BTreeMap<Host, u32> = BTreeMap::new();
-        for (host, of) in told.chain(self.own_silent()).filter(|(host, _)| !members.contains_key(host)) {
-            let known = silent.entry(host).or_insert(of);
-            *known = of.min(*known);
+        let members = self.by_host(now);
+        let remote = self.session_lists.values().flat_map(|list| list.isolated.iter().copied());
+        let mut isolated: BTreeMap<Host, u32> = BTreeMap::new();
+        for (host, told) in
+            remote.chain(self.local_isolated()).filter(|(host, _)| !members.contains_key(host))
+        {
+            let known = isolated.entry(host).or_insert(told);
+            *known = told.min(*known);
         }
-        let parts: f64 = silent.values().map(|of| 1.0 / f64::from((*of).max(1))).sum();
-        let unheard = self.rolls.values().filter(|roll| now - roll.heard >= PEER_TIMEOUT);
-        let unheard: usize = unheard.map(|roll| roll.members.len()).sum();
+        let share: f64 = isolated.values().map(|told| 1.0 / f64::from((*told).max(1))).sum();
+        let unreachable = self.session_lists.values().filter(|list| now - list.last_heard >= PEER_TIMEOUT);
+        let unreachable: usize = unreachable.map(|list| list.members.len()).sum();
         ProxyCounts {
-            all: (members.len() + silent.len()).max(1) as f64,
-            silent: (silent.len() + unheard) as f64,
-            parts: parts + unheard as f64 / f64::from(self.least(now)),
+            total: (members.len() + isolated.len()).max(1) as f64,
+            isolated: (isolated.len() + unreachable) as f64,
+            isolated_share: share + unreachable as f64 / f64::from(self.lowest_sent_count(now)),
         }
     }
 
-    /// Proxies are told that there are so many.
-    pub(crate) fn tells(&mut self, now: Millis, count: u32) {
-        if count == 0 || self.numbers.back().is_some_and(|(_, last)| *last == count) {
+    /// Records that proxies are sent this number of proxies.
+    pub(crate) fn record_sent_count(&mut self, now: Millis, count: u32) {
+        if count == 0 || self.sent_counts.back().is_some_and(|(_, last)| *last == count) {
             return;
         }
         self.version += 1;
-        self.numbers.push_back((now, count));
-        while self.numbers.get(1).is_some_and(|(at, _)| now - at >= DELIVERY_TIMEOUT)
-            || self.numbers.len() > MAX_COUNTS_SENT
+        self.sent_counts.push_back((now, count));
+        while self.sent_counts.get(1).is_some_and(|(at, _)| now - at >= DELIVERY_TIMEOUT)
+            || self.sent_counts.len() > MAX_COUNTS_SENT
         {
-            self.numbers.pop_front();
+            self.sent_counts.pop_front();
         }
     }
 
-    /// The lowest number of proxies that one of them may think of now.
-    fn least(&self, now: Millis) -> u32 {
-        let over = self.numbers.iter().skip(1).take_while(|(at, _)| now - at >= DELIVERY_TIMEOUT).count();
-        let least = self.numbers.iter().skip(over).map(|(_, count)| *count).min();
-        least.unwrap_or_else(|| self.each(now).len() as u32).max(1)
+    /// The lowest number of proxies that any of them may use now.
+    fn lowest_sent_count(&self, now: Millis) -> u32 {
+        let superseded =
+            self.sent_counts.iter().skip(1).take_while(|(at, _)| now - at >= DELIVERY_TIMEOUT).count();
+        let lowest = self.sent_counts.iter().skip(superseded).map(|(_, count)| *count).min();
+        lowest.unwrap_or_else(|| self.by_host(now).len() as u32).max(1)
     }
 
-    /// Whether there may be something to tell, with so many proxies for shares.
-    pub(crate) fn may_have_news(&mut self, now: Millis, count: u32) -> bool {
-        let same = |(version, of, until)| version == self.version && of == count && now < until;
-        if self.looked.is_some_and(same) || now - self.told_at < UPDATE_INTERVAL {
+    /// Whether the member list or the number of proxies may have changed since it was last sent. False until
+    /// the update interval has passed.
+    pub(crate) fn may_have_changed(&mut self, now: Millis, count: u32) -> bool {
+        let current = |(version, counted, until)| version == self.version && counted == count && now < until;
+        if self.last_check.is_some_and(current) || now - self.last_sent_at < UPDATE_INTERVAL {
             return false;
         }
-        self.looked = Some((self.version, count, self.until(now)));
+        self.last_check = Some((self.version, count, self.unchanged_until(now)));
         true
     }
 
-    pub(crate) fn is_news(&mut self, word: &Down, now: Millis) -> bool {
-        let news = self.told.as_ref() != Some(word) && now - self.told_at >= UPDATE_INTERVAL;
-        if news {
-            (self.told, self.told_at) = (Some(word.clone()), now);
-            if let Down::Members(_, count) = word {
-                self.tells(now, *count);
+    pub(crate) fn take_change(&mut self, message: &Down, now: Millis) -> bool {
+        let changed = self.last_sent.as_ref() != Some(message) && now - self.last_sent_at >= UPDATE_INTERVAL;
+        if changed {
+            (self.last_sent, self.last_sent_at) = (Some(message.clone()), now);
+            if let Down::Members(_, count) = message {
+                self.record_sent_count(now, *count);
             }
         }
-        news
+        changed
     }
 }
 
@@ -394,115 +412,127 @@
     }
 
     #[derive(Clone, Debug)]
-    enum Happens {
-        Hello(u32, u64),
-        Beat(u32, bool),
-        Bye(u32),
-        Closed(u32),
-        Roll(u32, Vec<(u32, u64)>, Vec<u32>),
-        Began(u32),
-        Heard(u32),
-        Passes(u32),
-    }
-
-    fn happens() -> impl Strategy<Value = Happens> {
-        use Happens::{Beat, Began, Bye, Closed, Heard, Hello, Passes, Roll};
+    enum Input {
+        Start(u32, u64),
+        Heartbeat(u32, bool),
+        Leave(u32),
+        Disconnect(u32),
+        SessionList(u32, Vec<(u32, u64)>, Vec<u32>),
+        RegistryRestarted(u32),
+        RegistryHeard(u32),
+        TimePasses(u32),
+    }
+
+    fn input() -> impl Strategy<Value = Input> {
+        use Input::{
+            Disconnect, Heartbeat, Leave, RegistryHeard, RegistryRestarted, SessionList, Start, TimePasses,
+        };
         prop_oneof![
-            (0..6_u32, 0..3_u64).prop_map(|(host, life)| Hello(host, life)),
-            (0..6_u32, any::<bool>()).prop_map(|(host, ready)| Beat(host, ready)),
-            (0..6_u32).prop_map(Bye),
-            (0..6_u32).prop_map(Closed),
+            (0..6_u32, 0..3_u64).prop_map(|(host, life)| Start(host, life)),
+            (0..6_u32, any::<bool>()).prop_map(|(host, ready)| Heartbeat(host, ready)),
+            (0..6_u32).prop_map(Leave),
+            (0..6_u32).prop_map(Disconnect),
             (
                 10..13_u32,
                 prop::collection::vec((0..8_u32, 0..3_u64), 0..5),
                 prop::collection::vec(0..8_u32, 0..2)
             )
-                .prop_map(|(r, m, s)| Roll(r, m, s)),
-            (10..13_u32).prop_map(Began),
-            (10..13_u32).prop_map(Heard),
-            (10..13_u32).prop_map(Heard),
-            (1..900_u32).prop_map(Passes),
-            (900..9000_u32).prop_map(Passes),
+                .prop_map(|(registry, sessions, isolated)| SessionList(registry, sessions, isolated)),
+            (10..13_u32).prop_map(RegistryRestarted),
+            (10..13_u32).prop_map(RegistryHeard),
+            (10..13_u32).prop_map(RegistryHeard),
+            (1..900_u32).prop_map(TimePasses),
+            (900..9000_u32).prop_map(TimePasses),
         ]
     }
 
-    fn apply(members: &mut Members, now: Millis, happens: Happens) {
-        match happens {
-            Happens::Hello(host, life) => members.hello(member(host, life, false), now),
-            Happens::Beat(host, ready) => drop(members.beat(Host(host), ready, now)),
-            Happens::Bye(host) => members.bye(Host(host), now),
-            Happens::Closed(host) => drop(members.closed(Host(host), now)),
-            Happens::Began(registry) => members.began(Host(registry), now),
-            Happens::Roll(registry, of, silent) => {
-                let of: BTreeMap<u32, u64> = of.into_iter().collect();
-                let of = of.into_iter().map(|(host, life)| member(host, life, true)).collect();
-                members.roll(
+    fn apply(members: &mut Members, now: Millis, input: Input) {
+        match input {
+            Input::Start(host, life) => members.start_session(member(host, life, false), now),
+            Input::Heartbeat(host, ready) => drop(members.heartbeat(Host(host), ready, now)),
+            Input::Leave(host) => members.leave(Host(host), now),
+            Input::Disconnect(host) => drop(members.disconnect(Host(host), now)),
+            Input::RegistryRestarted(registry) => members.registry_restarted(Host(registry), now),
+            Input::SessionList(registry, sessions, isolated) => {
+                let sessions: BTreeMap<u32, u64> = sessions.into_iter().collect();
+                let sessions = sessions.into_iter().map(|(host, life)| member(host, life, true)).collect();
+                members.set_session_list(
                     Host(registry),
-                    of,
-                    silent.into_iter().map(|host| (Host(host), 1 + host)).collect(),
+                    sessions,
+                    isolated.into_iter().map(|host| (Host(host), 1 + host)).collect(),
                     Vec::new(),
                     now,
                 );
             }
-            Happens::Heard(registry) => members.heard_registry(Host(registry), now),
-            Happens::Passes(_) => drop(members.expire(now)),
+            Input::RegistryHeard(registry) => members.registry_heard(Host(registry), now),
+            Input::TimePasses(_) => drop(members.expire(now)),
         }
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, cases: 400, ..ProptestConfig::default() })]
-        /// What is kept of a count is what a count would find, and nothing is told later than by looking each time.
+        /// Cached counts equal freshly computed ones, and no change is sent later than without the cached
+        /// check.
         #[test]
-        fn what_is_kept_of_members_is_what_they_are(all in prop::collection::vec(happens(), 1..120)) {
-            let (mut kept, mut now) = (Members::default(), 0.0);
-            let mut looks = Members::default();
-            for happens in all {
-                if let Happens::Passes(span) = happens {
+        fn cached_counts_equal_computed_counts(inputs in prop::collection::vec(input(), 1..120)) {
+            let (mut cached, mut now) = (Members::default(), 0.0);
+            let mut uncached = Members::default();
+            for input in inputs {
+                if let Input::TimePasses(span) = input {
                     now += f64::from(span);
                 }
-                apply(&mut kept, now, happens.clone());
-                apply(&mut looks, now, happens);
-                prop_assert_eq!(kept.counted(now), looks.count(now));
-                let count = kept.counted(now).all as u32;
-                let word = Down::Members(kept.all(now), count);
-                let told = kept.may_have_news(now, count) && kept.is_news(&word, now);
-                prop_assert_eq!(told, looks.is_news(&word, now));
+                apply(&mut cached, now, input.clone());
+                apply(&mut uncached, now, input);
+                prop_assert_eq!(cached.counts(now), uncached.count(now));
+                let count = cached.counts(now).total as u32;
+                let message = Down::Members(cached.all(now), count);
+                let sent = cached.may_have_changed(now, count) && cached.take_change(&message, now);
+                prop_assert_eq!(sent, uncached.take_change(&message, now));
             }
         }
     }
 
-    /// One that was told that it is alone spends a whole part, however many have come; also where the higher number was on its way.
+    /// A proxy that was told that it is the only one spends the whole quota, however many have joined since;
+    /// also while the higher number was in transit.
     #[test]
-    fn a_silent_proxy_counts_with_the_part_that_it_thinks_it_has() {
-        for (told_again, parts) in
+    fn an_isolated_proxy_counts_with_the_share_of_the_number_it_was_told() {
+        for (second_count_at, share) in
             [(None, 1.0), (Some(PEER_TIMEOUT - 500.0), 1.0), (Some(-2.0 * DELIVERY_TIMEOUT), 0.5)]
         {
             let mut members = Members::default();
-            members.hello(member(1, 1, true), -20_000.0);
-            members.tells(-20_000.0, 1);
-            if let Some(at) = told_again {
-                members.tells(at, 2);
+            members.start_session(member(1, 1, true), -20_000.0);
+            members.record_sent_count(-20_000.0, 1);
+            if let Some(at) = second_count_at {
+                members.record_sent_count(at, 2);
             }
-            members.beat(Host(1), true, 0.0);
+            members.heartbeat(Host(1), true, 0.0);
             assert_eq!(members.expire(PEER_TIMEOUT), [Host(1)]);
-            members.hello(member(2, 1, true), PEER_TIMEOUT);
-            let counted = members.counted(PEER_TIMEOUT);
-            assert_eq!((counted.all, counted.silent, counted.parts), (2.0, 1.0, parts), "{told_again:?}");
+            members.start_session(member(2, 1, true), PEER_TIMEOUT);
+            let counts = members.counts(PEER_TIMEOUT);
+            assert_eq!(
+                (counts.total, counts.isolated, counts.isolated_share),
+                (2.0, 1.0, share),
+                "{second_count_at:?}"
+            );
         }
     }
 
     #[test]
-    fn a_proxy_lags_from_the_second_beat_that_differs_until_one_that_does_not() {
+    fn a_proxy_lags_from_the_second_differing_heartbeat_until_a_matching_one() {
         let (mut members, host) = (Members::default(), Host(9));
-        members.hello(member(host.0, 1, true), 0.0);
+        members.start_session(member(host.0, 1, true), 0.0);
         let mut now = 0.0;
-        let mut beat = |differs| {
+        let mut heartbeat = |differs| {
             now += 400.0;
-            members.compare(host, now, if differs { Standing::Differing } else { Standing::Current }).lags
+            members
+                .compare_copy(host, now, if differs { CopyStatus::Differing } else { CopyStatus::Current })
+                .lag_change
         };
-        let told: Vec<_> =
-            [true, false, true, true, true, true, true, false, false].into_iter().map(&mut beat).collect();
+        let changes: Vec<_> = [true, false, true, true, true, true, true, false, false]
+            .into_iter()
+            .map(&mut heartbeat)
+            .collect();
         let (lags, current) = (Some(true), Some(false));
-        assert_eq!(told, [None, None, None, lags, None, None, None, current, None]);
+        assert_eq!(changes, [None, None, None, lags, None, None, None, current, None]);
     }
 }
--- a/system/membership/src/merge.rs
+++ b/system/membership/src/merge.rs
@@ -3,11 +3,13 @@
 //! # What holds
 //!
 //! - Each event of each stream is told, once in one answer by its id ([`merge`]); over answers at least once.
-//! - Events of one thing (`what`) come in the order in which any registry has them. Registries agree on that order, since each
-//!   takes versions of a thing in theirs. Of one that could not be asked in time events come later, by the same cursor, and of one
-//!   that has more than fit in one telling ([`crate::feed::MAX_EVENTS_PER_READ`]) nobody knows what comes behind; then an older version can
-//!   come after a newer one, and the mark at the end of the id tells.
-//! - A cursor is a place in each registry's feed ([`Cursor`]): it is as good at any other gateway, and after a start of all.
+//! - Events of one thing (`what`) come in the order in which any registry has them. Registries agree on that
+//!   order, since each takes versions of a thing in theirs. Of one that could not be asked in time events
+//!   come later, by the same cursor, and of one that has more than fit in one telling
+//!   ([`crate::feed::MAX_EVENTS_PER_READ`]) nobody knows what comes behind; then an older version can come
+//!   after a newer one, and the mark at the end of the id tells.
+//! - A cursor is a place in each registry's feed ([`Cursor`]): it is as good at any other gateway, and after
+//!   a start of all.
 
 use fennelscale_messages::Host;
 use fennelscale_messages::feed::{At, Event, Kind, Told};
@@ -139,7 +141,8 @@
         }
     }
 
-    /// Whether it has an event of the same thing that comes before this one: by its version, else by its place here.
+    /// Whether it has an event of the same thing that comes before this one: by its version, else by its
+    /// place here.
     fn goes_before(&self, event: &Event) -> bool {
         let Some((first, other)) = self.first_of(&event.what) else { return false };
         match (version(other), version(event)) {
@@ -158,7 +161,8 @@
     let mut seen: HashSet<String> = HashSet::new();
     loop {
         streams.iter_mut().for_each(|stream| stream.skip(&seen));
-        // What is told from behind takes no reader further: an answer has more rather than leave it where it was.
+        // What is told from behind takes no reader further: an answer has more rather than leave it where it
+        // was.
         if joined.events.len() >= most && streams.iter().any(|stream| stream.gone > 0) {
             break;
         }
@@ -167,7 +171,8 @@
         let older = |a: &&Stream, b: &&Stream| a.age().total_cmp(&b.age());
         let heads = streams.iter().filter(|stream| stream.left.front().is_some_and(&free));
         let head = heads.max_by(older).and_then(|stream| Some((stream.host, stream.left.front()?)));
-        // Streams whose heads wait for each other: one from behind, which is told again if the answer ends before its place.
+        // Streams whose heads wait for each other: one from behind, which is told again if the answer ends
+        // before its place.
         let behind = || {
             let firsts = streams.iter().flat_map(|stream| {
                 stream.things.keys().filter_map(|what| Some((stream.host, stream.first_of(what)?.1)))
@@ -193,7 +198,8 @@
     use fennelscale_messages::feed::Wanted;
     use proptest::prelude::*;
 
-    /// What one registry saw: of each thing versions in their order, some of them skipped, and things of its own.
+    /// What one registry saw: of each thing versions in their order, some of them skipped, and things of its
+    /// own.
     fn saw(host: u32, steps: &[(usize, u64, bool)]) -> crate::feed::Feed {
         let mut feed = crate::feed::Feed::new(100 + u64::from(host));
         let mut versions = [0; 4];
--- a/system/membership/src/proxy_updates.rs
+++ b/system/membership/src/proxy_updates.rs
@@ -1,6 +1,6 @@
-//! What proxies are told: items, the list, members, and how gaps are mended.
+//! Updates to proxies: the configuration, the backend list and the members, and the repair of missed updates.
 
-use crate::copies::Standing;
+use crate::copies::CopyStatus;
 use crate::feed::Kind;
 use crate::{Millis, Output, RegistryState};
 use fennelscale_messages::Host;
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Whether two readings of the list say the same. How long a backend stays cold runs down by itself: that it is says enough,
-/// as long as it does not grow.
+/// Whether two lists are equivalent. The remaining cold time of a backend runs down by itself, so it only
+/// counts as a change if it grows or reaches zero.
 pub(crate) fn same_backends(one: &[Backend], other: &[Backend]) -> bool {
     let same = |(a, b): (&Backend, &Backend)| {
         let cold = (a.cold_ms == 0) == (b.cold_ms == 0) && b.cold_ms <= a.cold_ms;
@@ -21,53 +21,58 @@
 }
 
 impl RegistryState {
-    /// Chosen entries from the store: all of them, or those that are new.
+    /// The store reports chosen entries: all of them (`whole`), or new ones.
     pub fn on_items(&mut self, now: Millis, whole: bool, entries: Vec<Named>) {
-        let mut fresh = Vec::new();
+        let mut new_entries = Vec::new();
         for (name, entry) in entries {
-            self.set_terms(&name, &entry);
+            self.update_quota_terms(&name, &entry);
             if name.strip_prefix("m:") == Some(crate::PROXY_COUNT_NAME) {
-                self.noted = entry.body.as_deref().and_then(|body| body.parse().ok()).unwrap_or(0.0);
+                self.stored_proxy_count =
+                    entry.body.as_deref().and_then(|body| body.parse().ok()).unwrap_or(0.0);
             }
             if name.starts_with(fennelscale_maintenance::NIGHT) {
-                self.hours.record(now, &name, &entry, &mut self.feed);
+                self.maintenance.on_record(now, &name, &entry, &mut self.feed);
                 continue;
             }
             if name.starts_with("m:") {
-                // The system's own: no proxy needs it.
+                // Internal to the system; proxies do not need it.
                 continue;
             }
-            let sum = self.items.sum();
-            if !self.items.take(&name, &entry) {
+            let digest = self.config.sum();
+            if !self.config.take(&name, &entry) {
                 continue;
             }
-            self.sums.superseded(now, sum);
-            self.hours.item(&name, &entry);
+            self.recent_digests.supersede(now, digest);
+            self.maintenance.on_item(&name, &entry);
             if !name.starts_with(fennelscale_maintenance::DRAIN) {
-                self.note_item(now, &name, &entry);
+                self.record_item_event(now, &name, &entry);
             }
-            fresh.push((name, entry));
+            new_entries.push((name, entry));
         }
         if whole {
-            self.out.push(Output::Log("items", format!("count={}", self.items.entries().len())));
+            self.outputs.push(Output::Log("items", format!("count={}", self.config.entries().len())));
         }
-        if !fresh.is_empty() {
-            let vouched = self.vouched.holds(now);
-            self.tell(&Rc::new(Down::Items { whole: false, fresh: vouched, entries: fresh }));
+        if !new_entries.is_empty() {
+            let confirmed = self.freshness.is_fresh(now);
+            self.send_to_all_proxies(&Rc::new(Down::Items {
+                whole: false,
+                fresh: confirmed,
+                entries: new_entries,
+            }));
         }
     }
 
-    pub(crate) fn tell(&mut self, word: &Rc<Down>) {
+    pub(crate) fn send_to_all_proxies(&mut self, message: &Rc<Down>) {
         for host in self.members.sessions() {
-            self.out.push(Output::SendToProxy(host, word.clone()));
+            self.outputs.push(Output::SendToProxy(host, message.clone()));
         }
     }
 
-    fn note_item(&mut self, now: Millis, name: &str, entry: &Entry) {
+    fn record_item_event(&mut self, now: Millis, name: &str, entry: &Entry) {
         let (kind, what) = match (name.strip_prefix("e:"), entry.body.is_some()) {
             (Some(zone), true) => (Kind::ZoneEvacuated, zone),
             (Some(zone), false) => {
-                self.tell_list_from = Some(now + crate::RETURNED_ZONE_DELAY);
+                self.force_list_after = Some(now + crate::RETURNED_ZONE_DELAY);
                 (Kind::ZoneBack, zone)
             }
             (None, true) => (Kind::ItemChosen, name),
@@ -81,9 +86,13 @@
         self.feed.record(now, kind, what, entry.revision, cause);
     }
 
-    pub(crate) fn note_listing(&mut self, now: Millis, listing: &Listing) {
-        let before: BTreeMap<&str, bool> =
-            self.listing.backends.iter().map(|b| (b.id.as_str(), b.draining)).collect();
+    pub(crate) fn record_list_events(&mut self, now: Millis, listing: &Listing) {
+        let before: BTreeMap<&str, bool> = self
+            .backend_list
+            .backends
+            .iter()
+            .map(|backend| (backend.id.as_str(), backend.draining))
+            .collect();
         let cause = format!("list {} read by {}", listing.stamp.0, listing.stamp.1);
         let mut events = Vec::new();
         for backend in &listing.backends {
@@ -93,59 +102,64 @@
                 Some(_) => {}
             }
         }
-        let stands = |id: &&str| listing.backends.iter().any(|b| b.id == **id);
-        events
-            .extend(before.into_keys().filter(|id| !stands(id)).map(|id| (Kind::BackendGone, id.to_owned())));
+        let is_listed = |id: &&str| listing.backends.iter().any(|backend| backend.id == **id);
+        events.extend(
+            before.into_keys().filter(|id| !is_listed(id)).map(|id| (Kind::BackendGone, id.to_owned())),
+        );
         for (kind, id) in events {
             self.feed.record(now, kind, &id, 0, cause.clone());
         }
     }
 
-    /// Whether the store's copy is as new as a quorum's, as it says now and again.
+    /// The store reports, from time to time, whether its copy is as new as a quorum's.
     pub fn on_store_freshness(&mut self, now: Millis, fresh: bool) {
-        self.informed |= fresh;
-        self.vouched.told(now, fresh);
-        self.look_vouched(now);
+        self.store_was_fresh |= fresh;
+        self.freshness.update(now, fresh);
+        self.update_freshness(now);
     }
 
-    /// The copy is vouched for from now on, or no longer.
-    pub(crate) fn look_vouched(&mut self, now: Millis) {
-        let vouched = self.vouched.holds(now);
-        if vouched == self.told_fresh {
+    /// Announces a change of whether the copy is fresh.
+    pub(crate) fn update_freshness(&mut self, now: Millis) {
+        let fresh = self.freshness.is_fresh(now);
+        if fresh == self.announced_fresh {
             return;
         }
-        self.told_fresh = vouched;
-        let kind = if vouched { Kind::CopyFresh } else { Kind::CopyDoubtful };
-        self.feed.record_local(now, kind, &self.me.to_string(), "by the store's beats".into());
-        if vouched {
-            // Proxies that wait to be ready may be: what they hold is vouched for from now on.
-            self.tell(&Rc::new(Down::Items { whole: false, fresh: true, entries: Vec::new() }));
+        self.announced_fresh = fresh;
+        let kind = if fresh { Kind::CopyFresh } else { Kind::CopyDoubtful };
+        self.feed.record_local(now, kind, &self.local_host.to_string(), "by the store's beats".into());
+        if fresh {
+            // Proxies that wait for a confirmed copy may become ready now.
+            self.send_to_all_proxies(&Rc::new(Down::Items {
+                whole: false,
+                fresh: true,
+                entries: Vec::new(),
+            }));
         }
     }
 
-    /// What a proxy lacks, by the parts that it holds; all for one that holds nothing.
-    fn lacking(&self, now: Millis, parts: Option<&[u64]>) -> Down {
-        let entries = self.items.differing(parts.unwrap_or_default());
-        Down::Items { whole: parts.is_none(), fresh: self.vouched.holds(now), entries }
+    /// The entries that a proxy lacks according to the digests of its parts; all entries if it holds none.
+    fn missing_items_message(&self, now: Millis, parts: Option<&[u64]>) -> Down {
+        let entries = self.config.differing(parts.unwrap_or_default());
+        Down::Items { whole: parts.is_none(), fresh: self.freshness.is_fresh(now), entries }
     }
 
-    /// A proxy tells what it holds, having been asked. What is only on its way is not sent again.
-    pub(crate) fn on_have(&mut self, now: Millis, from: Host, parts: &[u64]) {
-        let sum = parts.iter().fold(0, |sum, part| sum ^ part);
-        if self.sums.standing(now, self.items.sum(), sum) != Standing::Differing {
+    /// A proxy answers a request for its digests. Entries that are only in transit are not resent.
+    pub(crate) fn on_config_digests(&mut self, now: Millis, from: Host, parts: &[u64]) {
+        let digest = parts.iter().fold(0, |digest, part| digest ^ part);
+        if self.recent_digests.compare(now, self.config.sum(), digest) != CopyStatus::Differing {
             return;
         }
-        let word = self.lacking(now, Some(parts));
-        if let Down::Items { entries, .. } = &word {
-            self.resent.1 += entries.len() as u64;
+        let message = self.missing_items_message(now, Some(parts));
+        if let Down::Items { entries, .. } = &message {
+            self.resend_counts.1 += entries.len() as u64;
         }
-        self.out.push(Output::SendToProxy(from, Rc::new(word)));
+        self.outputs.push(Output::SendToProxy(from, Rc::new(message)));
     }
 
-    /// A session begins; `parts` of the items are what its proxy holds already.
-    pub(crate) fn hello(&mut self, now: Millis, member: Member, parts: Option<&[u64]>) {
+    /// Starts a session; `parts` are the digests of the configuration that its proxy already holds.
+    pub(crate) fn start_session(&mut self, now: Millis, member: Member, parts: Option<&[u64]>) {
         let host = member.host;
-        self.out.push(Output::Log(
+        self.outputs.push(Output::Log(
             "session",
             format!("proxy={host} zone={} life={:x}", member.zone, member.life),
         ));
@@ -156,62 +170,64 @@
             member.life,
             format!("zone {}", member.zone),
         );
-        self.members.hello(member, now);
-        let members = self.members_word(now);
+        self.members.start_session(member, now);
+        let members = self.members_message(now);
         if let Down::Members(_, count) = &members {
-            self.members.tells(now, *count);
-        }
-        // The list last: with it a proxy is ready, and by then it knows with whom it shares the backends.
-        let items = self.lacking(now, parts);
-        let words = [self.registries(now), members, items, Down::Listing(self.listing.clone())];
-        self.out.extend(words.into_iter().map(|word| Output::SendToProxy(host, Rc::new(word))));
-        // Others hear of it at once.
-        self.beat_at = now;
+            self.members.record_sent_count(now, *count);
+        }
+        // The list comes last: it makes a proxy ready, which by then must know the proxies that share the
+        // backends.
+        let items = self.missing_items_message(now, parts);
+        let messages =
+            [self.registries_message(now), members, items, Down::Listing(self.backend_list.clone())];
+        self.outputs.extend(messages.into_iter().map(|message| Output::SendToProxy(host, Rc::new(message))));
+        // Tell the other registries at once.
+        self.next_heartbeat = now;
     }
 
-    pub(crate) fn on_up_beat(
+    pub(crate) fn on_proxy_heartbeat(
         &mut self, now: Millis, from: Host, ready: bool, items: u64, listing: (u64, Host),
     ) {
-        if self.members.beat(from, ready, now) {
-            self.beat_at = now;
+        if self.members.heartbeat(from, ready, now) {
+            self.next_heartbeat = now;
         }
         let contact_age = self.contact_age(now) as u32;
-        if let Some(time) = self.hours.time(now) {
-            self.out.push(Output::SendToProxy(from, Rc::new(Down::Time(time.earliest, time.latest))));
+        if let Some(time) = self.maintenance.true_time(now) {
+            self.outputs.push(Output::SendToProxy(from, Rc::new(Down::Time(time.earliest, time.latest))));
         }
-        self.out.push(Output::SendToProxy(from, Rc::new(Down::Beat { contact_age })));
-        let standing = self.sums.standing(now, self.items.sum(), items);
-        let compared = self.members.compare(from, now, standing);
-        if let Some(lags) = compared.lags {
+        self.outputs.push(Output::SendToProxy(from, Rc::new(Down::Beat { contact_age })));
+        let status = self.recent_digests.compare(now, self.config.sum(), items);
+        let comparison = self.members.compare_copy(from, now, status);
+        if let Some(lags) = comparison.lag_change {
             let kind = if lags { Kind::MemberLagging } else { Kind::MemberCurrent };
-            let cause = format!("its items against those of registry {}", self.me);
+            let cause = format!("its items against those of registry {}", self.local_host);
             self.feed.record_local(now, kind, &from.to_string(), cause);
         }
-        if compared.asks {
-            self.resent.0 += 1;
-            self.out.push(Output::SendToProxy(from, Rc::new(Down::Compare)));
+        if comparison.needs_digests {
+            self.resend_counts.0 += 1;
+            self.outputs.push(Output::SendToProxy(from, Rc::new(Down::Compare)));
         }
-        self.highest = self.highest.max(listing.0);
-        if listing < self.listing.stamp {
-            let word = Rc::new(Down::Listing(self.listing.clone()));
-            self.out.push(Output::SendToProxy(from, word));
+        self.highest_list_number = self.highest_list_number.max(listing.0);
+        if listing < self.backend_list.stamp {
+            let message = Rc::new(Down::Listing(self.backend_list.clone()));
+            self.outputs.push(Output::SendToProxy(from, message));
         }
     }
 
-    fn members_word(&self, now: Millis) -> Down {
-        // Where each has nothing at work is the registries' matter.
-        let members = self.members.all(now).into_iter().map(|m| Member { quiet: Vec::new(), ..m });
-        Down::Members(members.collect(), self.told_count(now))
+    fn members_message(&self, now: Millis) -> Down {
+        // Only registries need the nodes at which each proxy is idle.
+        let members = self.members.all(now).into_iter().map(|member| Member { quiet: Vec::new(), ..member });
+        Down::Members(members.collect(), self.announced_proxy_count(now))
     }
 
-    pub(crate) fn tell_members(&mut self, now: Millis) {
-        let count = self.told_count(now);
-        if !self.members.may_have_news(now, count) {
+    pub(crate) fn announce_members(&mut self, now: Millis) {
+        let count = self.announced_proxy_count(now);
+        if !self.members.may_have_changed(now, count) {
             return;
         }
-        let word = self.members_word(now);
-        if self.members.is_news(&word, now) {
-            self.tell(&Rc::new(word));
+        let message = self.members_message(now);
+        if self.members.take_change(&message, now) {
+            self.send_to_all_proxies(&Rc::new(message));
         }
     }
 }
--- a/system/membership/src/quota_events.rs
+++ b/system/membership/src/quota_events.rs
@@ -1,41 +1,47 @@
-//! Events at the edges of quotas: spent, and back.
+//! Events for quotas that become exhausted or available again.
 
 use crate::feed::Kind;
 use crate::{Millis, RegistryState};
 use fennelscale_messages::news::Grant;
 use std::collections::BTreeMap;
 
-/// When a tenant last got nothing of a window at hand, and of which window that was.
+/// For each tenant, when a request for the current window was last refused, and which window that was.
 pub(crate) type Exhausted = BTreeMap<String, (Millis, u64)>;
 
-/// A quota of which nobody was refused a part for so long is back: longer than any window is between two asks of a flood.
-const BACK: Millis = 3000.0;
-/// So many tenants are looked at; more edges at once are not told.
-const MOST: usize = 1024;
+/// A quota is available again once no request was refused for this long, which is longer than the time
+/// between two requests of a flood in any window.
+const RECOVERY_TIME: Millis = 3000.0;
+/// Maximum of tenants that are tracked; further ones that become exhausted at the same time cause no event.
+const MAX_TENANTS: usize = 1024;
 
 impl RegistryState {
-    /// The count kept here was asked for units.
-    pub(crate) fn quota_edge(&mut self, now: Millis, grant: &Grant) {
+    /// Records an answer to a request for units whose count is held here.
+    pub(crate) fn record_exhausted_quota(&mut self, now: Millis, grant: &Grant) {
         if grant.closed || grant.next || grant.units >= 1.0 {
             return;
         }
-        if let Some(spent) = self.spent.get_mut(&grant.tenant) {
-            *spent = (now, grant.window);
-        } else if self.spent.len() < MOST {
-            self.spent.insert(grant.tenant.clone(), (now, grant.window));
-            let cause = format!("window {} at registry {}, who holds its count", grant.window, self.me);
+        if let Some(refusal) = self.exhausted_quotas.get_mut(&grant.tenant) {
+            *refusal = (now, grant.window);
+        } else if self.exhausted_quotas.len() < MAX_TENANTS {
+            self.exhausted_quotas.insert(grant.tenant.clone(), (now, grant.window));
+            let cause =
+                format!("window {} at registry {}, who holds its count", grant.window, self.local_host);
             self.feed.record_local(now, Kind::QuotaSpent, &format!("t:{}", grant.tenant), cause);
         }
     }
 
-    /// Tenants that are not refused any more.
-    pub(crate) fn quotas_back(&mut self, now: Millis) {
-        let over = |(_, (last, _)): &(&String, &(Millis, u64))| now - last >= BACK;
-        let back: Vec<(String, u64)> =
-            self.spent.iter().filter(over).map(|(name, (_, window))| (name.clone(), *window)).collect();
-        for (tenant, window) in back {
-            self.spent.remove(&tenant);
-            let cause = format!("nothing refused since window {window} at registry {}", self.me);
+    /// Records the tenants that are no longer refused.
+    pub(crate) fn record_recovered_quotas(&mut self, now: Millis) {
+        let is_recovered = |(_, (last, _)): &(&String, &(Millis, u64))| now - last >= RECOVERY_TIME;
+        let recovered: Vec<(String, u64)> = self
+            .exhausted_quotas
+            .iter()
+            .filter(is_recovered)
+            .map(|(name, (_, window))| (name.clone(), *window))
+            .collect();
+        for (tenant, window) in recovered {
+            self.exhausted_quotas.remove(&tenant);
+            let cause = format!("nothing refused since window {window} at registry {}", self.local_host);
             self.feed.record_local(now, Kind::QuotaBack, &format!("t:{tenant}"), cause);
         }
     }
@@ -47,14 +53,14 @@
     use fennelscale_messages::Host;
     use fennelscale_messages::feed::Wanted;
 
-    fn told(round: &RegistryState) -> Vec<(Kind, String)> {
-        let told = round.feed().read(0.0, &Wanted { what: "t:".into(), ..Wanted::default() });
-        told.events.into_iter().map(|event| (event.kind, event.what)).collect()
+    fn events(registry: &RegistryState) -> Vec<(Kind, String)> {
+        let read = registry.feed().read(0.0, &Wanted { what: "t:".into(), ..Wanted::default() });
+        read.events.into_iter().map(|event| (event.kind, event.what)).collect()
     }
 
     #[test]
-    fn a_quota_is_told_spent_once_and_back_once() {
-        let mut round = RegistryState::new(Host(1), 7, "a", "r", true, 0.0);
+    fn an_exhausted_quota_causes_one_event_when_spent_and_one_when_back() {
+        let mut registry = RegistryState::new(Host(1), 7, "a", "r", true, 0.0);
         let grant = |units, next, closed| Grant {
             tenant: "x".into(),
             units,
@@ -64,32 +70,32 @@
             next,
             closed,
         };
-        // Something was granted; nothing was, but ahead, or by nobody.
+        // Units were granted; none were, but for the next window; none were, since no registry grants.
         for grant in [grant(1.0, false, false), grant(0.0, true, false), grant(0.0, false, true)] {
-            round.quota_edge(0.0, &grant);
+            registry.record_exhausted_quota(0.0, &grant);
         }
-        assert_eq!(told(&round), []);
+        assert_eq!(events(&registry), []);
         for n in 0..50 {
-            round.quota_edge(f64::from(n) * 100.0, &grant(0.0, false, false));
-            round.quotas_back(f64::from(n) * 100.0);
+            registry.record_exhausted_quota(f64::from(n) * 100.0, &grant(0.0, false, false));
+            registry.record_recovered_quotas(f64::from(n) * 100.0);
         }
-        assert_eq!(told(&round), [(Kind::QuotaSpent, "t:x".to_owned())]);
-        round.quotas_back(4900.0 + BACK);
-        round.quotas_back(4900.0 + 2.0 * BACK);
+        assert_eq!(events(&registry), [(Kind::QuotaSpent, "t:x".to_owned())]);
+        registry.record_recovered_quotas(4900.0 + RECOVERY_TIME);
+        registry.record_recovered_quotas(4900.0 + 2.0 * RECOVERY_TIME);
         let both = [(Kind::QuotaSpent, "t:x".to_owned()), (Kind::QuotaBack, "t:x".to_owned())];
-        assert_eq!(told(&round), both);
-        assert!(round.spent.is_empty());
+        assert_eq!(events(&registry), both);
+        assert!(registry.exhausted_quotas.is_empty());
     }
 
     #[test]
-    fn a_flood_of_tenants_takes_no_more_than_its_room() {
-        let mut round = RegistryState::new(Host(1), 7, "a", "r", true, 0.0);
-        for n in 0..3 * MOST {
+    fn the_number_of_tracked_tenants_is_bounded() {
+        let mut registry = RegistryState::new(Host(1), 7, "a", "r", true, 0.0);
+        for n in 0..3 * MAX_TENANTS {
             let (tenant, units) = (n.to_string(), 0.0);
             let ends = 100.0;
             let grant = Grant { tenant, units, window: 0, begins: 0.0, ends, next: false, closed: false };
-            round.quota_edge(0.0, &grant);
+            registry.record_exhausted_quota(0.0, &grant);
         }
-        assert_eq!(round.spent.len(), MOST);
+        assert_eq!(registry.exhausted_quotas.len(), MAX_TENANTS);
     }
 }
--- a/system/membership/src/quota_grants.rs
+++ b/system/membership/src/quota_grants.rs
@@ -1,4 +1,5 @@
-//! Units of tenants' quotas: asked for by way of a relay in each region, granted by whoever holds the tenant's count.
+//! Quota units of tenants: requested through a relay in each region and granted by the holder of the tenant's
+//! count.
 
 use crate::{Millis, Output, PEER_TIMEOUT, Peer, RECONNECT_DELAY, RegistryState, duties};
 use fennelscale_config::Fact;
@@ -10,116 +11,131 @@
 use std::rc::Rc;
 
 impl RegistryState {
-    /// The relay of this region for a tenant: the registry with the highest draw among those of the region that are heard.
-    pub(crate) fn near(&self, now: Millis, tenant: &str) -> Host {
-        let draw = |host: &Host| {
+    /// The relay of this region for a tenant, by rendezvous hashing among the reachable registries of the
+    /// region.
+    pub(crate) fn relay_for(&self, now: Millis, tenant: &str) -> Host {
+        let weight = |host: &Host| {
             fennelscale_messages::mix(fennelscale_messages::hash(tenant.as_bytes()) ^ u64::from(host.0))
         };
-        let here = self.seats.seats.iter().filter(|seat| seat.region == self.zones.1).map(|seat| seat.host);
-        let alive = here.filter(|host| *host == self.me || self.alive(*host, now));
-        alive.max_by_key(draw).unwrap_or(self.me)
+        let local =
+            self.seats.seats.iter().filter(|seat| seat.region == self.location.1).map(|seat| seat.host);
+        let reachable = local.filter(|host| *host == self.local_host || self.is_reachable(*host, now));
+        reachable.max_by_key(weight).unwrap_or(self.local_host)
     }
 
-    /// A proxy asks this relay, by way of another registry where its session is there.
-    #[expect(clippy::too_many_arguments, reason = "the fields of one word")]
-    pub(crate) fn relay_ask(
-        &mut self, now: Millis, proxy: Host, by: Option<Host>, tenant: &str, units: f64, next: bool,
+    /// A proxy requests units from this relay, through the registry `via` if its session is there.
+    #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
+    pub(crate) fn relay_quota_request(
+        &mut self, now: Millis, proxy: Host, via: Option<Host>, tenant: &str, units: f64, next: bool,
         demand: f64,
     ) {
-        let terms = self.terms.get(tenant).copied().unwrap_or_default();
+        let terms = self.quota_terms.get(tenant).copied().unwrap_or_default();
         if terms.rate <= 0.0 {
             return;
         }
-        match by {
-            Some(by) => drop(self.ways.insert(proxy, by)),
-            None => drop(self.ways.remove(&proxy)),
+        match via {
+            Some(via) => drop(self.relay_routes.insert(proxy, via)),
+            None => drop(self.relay_routes.remove(&proxy)),
         }
         let mut sent = Vec::new();
-        self.relay.ask(now, proxy, tenant, units, next, demand, terms, &mut sent);
-        self.relay_sent(now, sent);
+        self.quota_relay.ask(now, proxy, tenant, units, next, demand, terms, &mut sent);
+        self.send_relay_outputs(now, sent);
     }
 
-    pub(crate) fn relay_grant(&mut self, now: Millis, grant: Grant) {
+    pub(crate) fn on_relay_grant(&mut self, now: Millis, grant: Grant) {
         let mut sent = Vec::new();
-        self.relay.grant(now, grant, &mut sent);
-        self.relay_sent(now, sent);
+        self.quota_relay.grant(now, grant, &mut sent);
+        self.send_relay_outputs(now, sent);
     }
 
-    pub(crate) fn relay_sent(&mut self, now: Millis, sent: Vec<Sent>) {
+    pub(crate) fn send_relay_outputs(&mut self, now: Millis, sent: Vec<Sent>) {
         for sent in sent {
             match sent {
-                Sent::Down(proxy, grant) => match self.ways.get(&proxy) {
-                    Some(by) => self.out.push(Output::SendToRegistry(*by, Word::Grant(proxy, grant))),
-                    None => self.out.push(Output::SendToProxy(proxy, Rc::new(Down::Grant(grant)))),
+                Sent::Down(proxy, grant) => match self.relay_routes.get(&proxy) {
+                    Some(via) => self.outputs.push(Output::SendToRegistry(*via, Word::Grant(proxy, grant))),
+                    None => self.outputs.push(Output::SendToProxy(proxy, Rc::new(Down::Grant(grant)))),
                 },
-                Sent::Up(tenant, units, next, demand) => self.ask_holder(now, tenant, units, next, demand),
+                Sent::Up(tenant, units, next, demand) => {
+                    self.request_from_holder(now, tenant, units, next, demand)
+                }
             }
         }
     }
 
-    fn ask_holder(&mut self, now: Millis, tenant: String, units: f64, next: bool, demand: f64) {
-        let from = self.me;
-        match self.holder(now, duties::bit_of(&tenant)) {
-            Some(host) if host == self.me => {
-                let grant = self.count(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
-                self.relay_grant(now, grant);
-            }
-            Some(host) => {
-                self.out.push(Output::SendToRegistry(host, Word::Ask { from, tenant, units, next, demand }))
+    fn request_from_holder(&mut self, now: Millis, tenant: String, units: f64, next: bool, demand: f64) {
+        let from = self.local_host;
+        match self.duty_holder(now, duties::bit_of(&tenant)) {
+            Some(host) if host == self.local_host => {
+                let grant = self.grant_quota(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
+                self.on_relay_grant(now, grant);
             }
+            Some(host) => self
+                .outputs
+                .push(Output::SendToRegistry(host, Word::Ask { from, tenant, units, next, demand })),
             None => {
-                let terms = self.terms.get(&tenant).copied().unwrap_or_default();
-                self.relay_grant(now, closed(&tenant, next, terms));
+                let terms = self.quota_terms.get(&tenant).copied().unwrap_or_default();
+                self.on_relay_grant(now, unavailable_grant(&tenant, next, terms));
             }
         }
     }
 
-    /// Who is thought to hold a duty.
-    pub(crate) fn holder(&self, now: Millis, bit: u64) -> Option<Host> {
+    /// The presumed holder of a duty.
+    pub(crate) fn duty_holder(&self, now: Millis, bit: u64) -> Option<Host> {
         if self.held_duties(now) & bit != 0 {
-            return Some(self.me);
+            return Some(self.local_host);
         }
-        let claims = |(_, peer): &(&Host, &Peer)| now - peer.heard < PEER_TIMEOUT && peer.claims & bit != 0;
+        let claims =
+            |(_, peer): &(&Host, &Peer)| now - peer.last_heard < PEER_TIMEOUT && peer.claims & bit != 0;
         self.peers.iter().filter(claims).map(|(host, _)| *host).next()
     }
 
-    /// Grants units of a tenant, if the duty is held here: the fence is looked at here, where units are granted.
-    pub(crate) fn count(&mut self, now: Millis, ask: Ask<'_>) -> Grant {
+    /// Grants units of a tenant if the duty is held here. The lease is checked here, where the units are
+    /// granted.
+    pub(crate) fn grant_quota(&mut self, now: Millis, ask: Ask<'_>) -> Grant {
         let (tenant, next) = (ask.tenant, ask.next);
         let bit = duties::bit_of(tenant);
-        let terms = self.terms.get(tenant).copied().unwrap_or_default();
+        let terms = self.quota_terms.get(tenant).copied().unwrap_or_default();
         if self.held_duties(now) & bit == 0 || terms.rate <= 0.0 {
-            return closed(tenant, next, terms);
+            return unavailable_grant(tenant, next, terms);
         }
-        let since = self.duties.since(bit);
+        let since = self.duties.held_since(bit);
         if since > now {
-            // Held, but not looked at since: the rest has not begun.
-            return closed(tenant, next, terms);
+            // The duty is held, but this has not been recorded yet: the waiting period of a new holder has
+            // not begun.
+            return unavailable_grant(tenant, next, terms);
         }
-        let counts = self.counted(now);
-        // While a new holder rested all were on their own, and it is a while until they say that they no longer are.
-        let rested = now > since + Counts::REST as f64 * terms.window() + RECONNECT_DELAY;
-        let alone = if rested { self.members.alone_count(bit) } else { 0.0 };
-        let grant = self.counts.ask(now, ask, terms, since, counts.parts + alone / counts.all);
-        self.quota_edge(now, &grant);
+        let counts = self.proxy_counts(now);
+        // During the waiting period of a new holder all proxies spent without grants, and it takes a while
+        // until they report that they no longer do.
+        let settled = now > since + Counts::REST as f64 * terms.window() + RECONNECT_DELAY;
+        let self_granted = if settled { self.members.self_granted_count(bit) } else { 0.0 };
+        let grant = self.quota_counts.ask(
+            now,
+            ask,
+            terms,
+            since,
+            counts.isolated_share + self_granted / counts.total,
+        );
+        self.record_exhausted_quota(now, &grant);
         grant
     }
 
-    /// What a tenant may use follows from its item; nothing when it is dropped or has no limit.
-    pub(crate) fn set_terms(&mut self, name: &str, entry: &Entry) {
+    /// Updates a tenant's quota from its configuration item; there is none if the item was dropped or has no
+    /// limit.
+    pub(crate) fn update_quota_terms(&mut self, name: &str, entry: &Entry) {
         let Some(tenant) = name.strip_prefix("t:") else { return };
         let fact = entry.body.as_deref().map(|body| fennelscale_config::fact(name, &entry.host, body));
         match fact {
-            Some(Ok(Fact::Tenant(t))) if t.rate > 0.0 => {
-                self.terms.insert(tenant.to_owned(), Terms { rate: t.rate, burst: t.burst });
+            Some(Ok(Fact::Tenant(limits))) if limits.rate > 0.0 => {
+                self.quota_terms.insert(tenant.to_owned(), Terms { rate: limits.rate, burst: limits.burst });
             }
-            _ => drop(self.terms.remove(tenant)),
+            _ => drop(self.quota_terms.remove(tenant)),
         }
     }
 }
 
-/// Nobody grants now: the proxy is on its own until the window after next.
-fn closed(tenant: &str, next: bool, terms: Terms) -> Grant {
+/// The answer while no registry grants: the proxy spends without grants until the window after next.
+fn unavailable_grant(tenant: &str, next: bool, terms: Terms) -> Grant {
     let (tenant, ends) = (tenant.to_owned(), terms.window());
     Grant { tenant, units: 0.0, window: 0, begins: 0.0, ends, next, closed: true }
 }
--- a/system/membership/src/status.rs
+++ b/system/membership/src/status.rs
@@ -1,36 +1,36 @@
-//! What operators are told of a registry.
+//! The status page of a registry.
 
 use crate::{Millis, RegistryState, members};
 
 impl RegistryState {
-    /// What operators are told of this registry: pairs of names and values, in a fixed order.
+    /// The status of this registry for operators: pairs of names and values, in a fixed order.
     pub fn status(&self, now: Millis) -> Vec<(&'static str, String)> {
-        let members::ProxyCounts { all: gateways, silent, .. } = self.counted(now);
-        let alive = self.reachable_registries(now).len();
+        let members::ProxyCounts { total, isolated, .. } = self.proxy_counts(now);
+        let reachable = self.reachable_registries(now).len();
         let lagging = self.members.lagging();
         vec![
-            ("registry", self.me.to_string()),
-            ("zone", self.zones.0.clone()),
+            ("registry", self.local_host.to_string()),
+            ("zone", self.location.0.clone()),
             ("seats", self.seats.seats.len().to_string()),
             ("seats_version", self.seats.version.to_string()),
-            ("registries_heard", alive.to_string()),
-            ("copy_fresh", self.vouched.holds(now).to_string()),
-            ("copy_vouched_ms_ago", format!("{:.0}", now - self.vouched.last())),
-            ("cut_off", self.is_cut(now).to_string()),
+            ("registries_heard", reachable.to_string()),
+            ("copy_fresh", self.freshness.is_fresh(now).to_string()),
+            ("copy_vouched_ms_ago", format!("{:.0}", now - self.freshness.confirmed_at())),
+            ("cut_off", self.has_lost_contact(now).to_string()),
             ("contact_age_ms", format!("{:.0}", self.contact_age(now))),
-            ("items", self.items.entries().len().to_string()),
-            ("listing", self.listing.stamp.0.to_string()),
-            ("backends", self.listing.backends.len().to_string()),
+            ("items", self.config.entries().len().to_string()),
+            ("listing", self.backend_list.stamp.0.to_string()),
+            ("backends", self.backend_list.backends.len().to_string()),
             ("proxies", self.members.all(now).len().to_string()),
-            ("proxies_for_shares", gateways.to_string()),
-            ("proxies_silent", silent.to_string()),
+            ("proxies_for_shares", total.to_string()),
+            ("proxies_silent", isolated.to_string()),
             ("sessions_here", self.members.sessions().len().to_string()),
             ("sessions_lagging", lagging.to_string()),
-            ("copies_compared", self.resent.0.to_string()),
-            ("entries_resent", self.resent.1.to_string()),
+            ("copies_compared", self.resend_counts.0.to_string()),
+            ("entries_resent", self.resend_counts.1.to_string()),
             ("duties_held", self.held_duties(now).count_ones().to_string()),
-            ("tenants_counted", self.counts.tenants().to_string()),
-            ("tenants_relayed", self.relay.tenants().to_string()),
+            ("tenants_counted", self.quota_counts.tenants().to_string()),
+            ("tenants_relayed", self.quota_relay.tenants().to_string()),
         ]
     }
 }
--- a/system/membership/tests/nights/mod.rs
+++ b/system/membership/tests/nights/mod.rs
@@ -1,5 +1,5 @@
-//! Registries in virtual time through the hours of a maintenance contract: the one that holds the order dies on the way, a clock
-//! jumps, steps are held up. What the store wrote is compared with true time.
+//! Registries in virtual time through the hours of a maintenance contract: the one that holds the order dies
+//! on the way, a clock jumps, steps are held up. What the store wrote is compared with true time.
 
 use crate::world::{TRUE, World, backend};
 use fennelscale_maintenance::night::{Night, Phase};
@@ -150,7 +150,8 @@
 
 #[test]
 fn steps_of_two_holders_from_one_view_are_written_once() {
-    // Whoever decides late finds another view: steps are held up for 2.5 s now and then, longer than a duty changes hands.
+    // Whoever decides late finds another view: steps are held up for 2.5 s now and then, longer than a duty
+    // changes hands.
     let mut refused = 0;
     for seed in 20..30 {
         let mut world = begin(seed);
--- a/system/membership/tests/registries.rs
+++ b/system/membership/tests/registries.rs
@@ -122,7 +122,8 @@
     assert_eq!(*world.nodes[0].as_ref().unwrap().backend_list(), newest);
 }
 
-/// Proxies take the backends of a zone that was taken back for cold until a list that was read later says how they are.
+/// Proxies take the backends of a zone that was taken back for cold until a list that was read later says how
+/// they are.
 #[test]
 fn after_a_zone_was_taken_back_a_list_is_told_once_more_though_it_says_the_same() {
     let mut world = World::new(2, 6);
@@ -143,7 +144,8 @@
     assert_eq!(stamp(&world), before + 1, "once is enough, at {}", world.now);
 }
 
-/// A reader stood still while it read, and another registry has read since: its reading is old, though it would get a higher number.
+/// A reader stood still while it read, and another registry has read since: its reading is old, though it
+/// would get a higher number.
 #[test]
 fn a_reading_of_the_list_that_was_overtaken_is_not_told() {
     let mut world = World::new(2, 6);
@@ -236,8 +238,8 @@
     assert!(!told(&mut world));
 }
 
-/// A proxy goes back to its nearest registry only when the one that it has a session with hears that one: with one that is cut off it
-/// would be told nothing for a while, again and again.
+/// A proxy goes back to its nearest registry only when the one that it has a session with hears that one:
+/// with one that is cut off it would be told nothing for a while, again and again.
 #[test]
 fn proxies_are_told_which_registries_are_heard() {
     let mut world = World::new(6, 6);
@@ -294,12 +296,12 @@
     assert!(told(4100.0));
 }
 
-/// Seen: a route that had been dropped was served, and a key that had been taken away was taken, by all proxies of one zone, up to 6 s
-/// after the change had been acknowledged; the other zones used it at once.
-/// It came about when the store of that zone's core machine stood still, as while its disk hangs, and the registry beside it did not.
-/// Caused by a registry that vouched for its copy by the last word of its store, however long ago that was: its proxies had no
-/// reason to go elsewhere.
-/// Proved by a soak of real processes in which one store was stopped: late at its registry's proxies alone, from the stop to its end.
+/// Seen: a route that had been dropped was served, and a key that had been taken away was taken, by all
+/// proxies of one zone, up to 6 s after the change had been acknowledged; the other zones used it at once. It
+/// came about when the store of that zone's core machine stood still, as while its disk hangs, and the
+/// registry beside it did not. Caused by a registry that vouched for its copy by the last word of its store,
+/// however long ago that was: its proxies had no reason to go elsewhere. Proved by a soak of real processes
+/// in which one store was stopped: late at its registry's proxies alone, from the stop to its end.
 #[test]
 fn a_registry_whose_store_has_fallen_silent_is_out_of_contact() {
     let mut world = World::new(6, 6);
@@ -332,12 +334,13 @@
     (name, Entry { stamp, revision: number, body: Some(body), ..Entry::default() })
 }
 
-/// Seen: a route that had been added was refused with 404, and dropped ones were served, at some of many proxies with narrow links, up
-/// to 6 s after the acknowledgement, once the configuration had grown to thousands of routes and went on changing.
-/// It came about when changes came faster than proxies' beats: what a proxy said that it held was nearly always a few changes old.
-/// Caused by a registry that took this for a loss and sent everything again, every second beat, to every proxy: the copies filled the
-/// links, and the changes stood in line behind them.
-/// Proved by a day with growth, quick changes and restarts, on which registries held 40 MB of words not yet sent.
+/// Seen: a route that had been added was refused with 404, and dropped ones were served, at some of many
+/// proxies with narrow links, up to 6 s after the acknowledgement, once the configuration had grown to
+/// thousands of routes and went on changing. It came about when changes came faster than proxies' beats: what
+/// a proxy said that it held was nearly always a few changes old. Caused by a registry that took this for a
+/// loss and sent everything again, every second beat, to every proxy: the copies filled the links, and the
+/// changes stood in line behind them. Proved by a day with growth, quick changes and restarts, on which
+/// registries held 40 MB of words not yet sent.
 #[test]
 fn a_proxy_that_follows_with_a_lag_is_not_sent_everything_again() {
     const LAG: f64 = 600.0;
@@ -385,7 +388,8 @@
     assert!(told <= 500 + CHANGES as usize, "{told} entries for {CHANGES} changes");
 }
 
-/// The same proxy, on whose line one change is lost: it is found out, and only the parts that differ are sent again.
+/// The same proxy, on whose line one change is lost: it is found out, and only the parts that differ are sent
+/// again.
 #[test]
 fn a_change_that_was_lost_on_its_way_is_sent_again_in_time_and_little_else_is() {
     const LOST: u64 = 505;
--- a/system/membership/tests/world/mod.rs
+++ b/system/membership/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Registries in virtual time: links that delay and are cut, processes that die. Who holds a duty is looked at after every
-//! step, at all of them at once.
+//! Registries in virtual time: links that delay and are cut, processes that die. Who holds a duty is looked
+//! at after every step, at all of them at once.
 
 use fennelscale_membership::maintenance::StepWrite;
 use fennelscale_membership::{Output, RegistryState};
@@ -213,7 +213,8 @@
             .for_each(|n| self.with(n, |round, now| round.on_items(now, false, named.clone())));
     }
 
-    /// The store is as new as a quorum's at all registries, and a machine that started hears all that it holds.
+    /// The store is as new as a quorum's at all registries, and a machine that started hears all that it
+    /// holds.
     pub fn vouch(&mut self, n: usize) {
         let all: Vec<_> = self.store.iter().map(|(name, entry)| (name.clone(), entry.clone())).collect();
         self.vouched.insert(n);
--- a/system/registry/src/api.rs
+++ b/system/registry/src/api.rs
@@ -19,8 +19,8 @@
 const CONFIG: &str = "/fennelscale/config";
 const MAINTENANCE: &str = "/fennelscale/maintenance";
 const EVACUATIONS: &str = "/fennelscale/evacuations/";
-/// A directory answer counts for so long, or for what the settings allow if that is less: clients that hold an old one come to
-/// proxies that have gone.
+/// A directory answer counts for so long, or for what the settings allow if that is less: clients that hold
+/// an old one come to proxies that have gone.
 const TTL: Duration = Duration::from_secs(2);
 /// The most addresses in one answer.
 const MOST: usize = 64;
@@ -184,8 +184,8 @@
     registry.round.borrow_mut().check_orders(registry.now(), &named)
 }
 
-/// Sees that the failure orders of a call are within what the settings allow, and writes beside each which proxies share it. The
-/// store keeps to those that stand there already.
+/// Sees that the failure orders of a call are within what the settings allow, and writes beside each which
+/// proxies share it. The store keeps to those that stand there already.
 fn share_failures(registry: &Rc<Registry>, changes: &mut [Change]) -> Result<(), Failure> {
     for change in
         changes.iter_mut().filter(|change| change.name.starts_with(fennelscale_fault_injection::FAILURE))
--- a/system/registry/src/events.rs
+++ b/system/registry/src/events.rs
@@ -1,4 +1,5 @@
-//! The event feed as readers get it: what this registry has, what the others have, what their stores have kept.
+//! The event feed as readers get it: what this registry has, what the others have, what their stores have
+//! kept.
 
 use crate::api::{method, quoted};
 use crate::registry::Registry;
@@ -17,8 +18,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Other registries have so long to answer: the longest way there and back twice, and their stores' reading. What comes later
-/// comes with the next answer.
+/// Other registries have so long to answer: the longest way there and back twice, and their stores' reading.
+/// What comes later comes with the next answer.
 const GATHER: Duration = Duration::from_millis(500);
 /// The store has so long to read a page.
 const PAGE: Duration = Duration::from_millis(300);
--- a/system/registry/src/registry.rs
+++ b/system/registry/src/registry.rs
@@ -128,7 +128,8 @@
         self.born.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The settings file may have changed: where the platform is follows it. One that cannot be used changes nothing.
+    /// The settings file may have changed: where the platform is follows it. One that cannot be used changes
+    /// nothing.
     fn settings_again(&self) {
         if let Some(settings) = start::again() {
             let moved = settings.cloud != self.settings.borrow().cloud;
