--- a/system/membership/src/feed.rs
+++ b/system/membership/src/feed.rs
@@ -1,57 +1,60 @@
-//! The event feed: what the mesh did, for other tools. Each registry keeps the events that it saw, newest
-//! last, so many at most, and has its machine's store keep them for longer than its life; a reader's answer
-//! is made of what all registries have ([`crate::streams`]).
+//! The event feed: what the system did, for other tools. Each registry keeps a bounded number of the events
+//! that it observed, oldest first, and has the store of its host save them beyond its own incarnation. A
+//! reader's answer is merged from the feeds of all registries ([`crate::merge`]).
 //!
-//! - An event's `id` is made of what happened, not of who saw it: two registries that saw one change tell one
-//!   event, and a reader knows repeats by it. Delivery is at least once.
-//! - A place that is older than what is kept, or of nobody's life, begins at the oldest that is there and
-//!   says that events may be missed; so does the step from one life to the next, since the last second before
-//!   an end may not have been kept.
-//! - Readers ask; nobody waits for them. A slow one costs nothing and is told what it missed.
+//! - An event's `id` is derived from what happened, not from the registry that observed it: two registries
+//!   that observe one change report the same event, and readers recognise duplicates by the id. Delivery is
+//!   at least once.
+//! - A position older than the oldest event kept, or of an unknown incarnation, continues at the oldest event
+//!   available and reports that events may have been missed. So does the transition from one incarnation to
+//!   the next, since the last second before the end may not have been saved.
+//! - Readers poll and nothing waits for them, so a slow reader costs nothing; it is told that it missed
+//!   events.
 
 use crate::Millis;
 pub use fennelscale_messages::feed::{At, Event, Kind, Told, VERSION, Wanted};
 use std::collections::VecDeque;
 
-/// Events that are kept.
+/// Maximum of events kept in memory.
 pub const CAPACITY: usize = 4096;
-/// Events in one answer at most.
+/// Maximum of events in one answer.
 pub const MAX_EVENTS_PER_READ: usize = 500;
-/// Events go to the disk together, this far apart: so much a loss of power may take.
+/// Interval at which events are sent to the store in batches; a loss of power may lose this much.
 pub const STORE_INTERVAL: Millis = 1000.0;
-/// So many go at once.
+/// Maximum of events in one batch.
 const STORE_BATCH: usize = 256;
-/// Of calls that are refused so many are told in a second; the rest is counted.
+/// Maximum of refused calls recorded as events per second; further ones are only counted.
 const MAX_REFUSED_PER_SECOND: u32 = 10;
 
-/// The feed of one registry's life.
+/// The feed of one incarnation of a registry.
 #[derive(Clone, Debug)]
 pub struct Feed {
-    life: u64,
+    incarnation: u64,
     next: u64,
     events: VecDeque<Event>,
-    /// Up to this one the store has been given them, and when some were last offered to it.
-    kept: (u64, Millis),
-    /// Refused calls: the second at hand, how many were told in it, how many were not told since the last
-    /// that was.
+    /// The last event sent to the store, and when events were last offered to it.
+    stored: (u64, Millis),
+    /// Refused calls: the current second, those recorded in it, and those not recorded since the last
+    /// recorded one.
     refused: (u64, u32, u32),
 }
 
 impl Feed {
-    /// An empty feed of a life.
-    pub fn new(life: u64) -> Self {
-        Self { life, next: 1, events: VecDeque::new(), kept: (0, 0.0), refused: (0, 0, 0) }
+    /// Creates an empty feed of an incarnation.
+    pub fn new(incarnation: u64) -> Self {
+        Self { incarnation, next: 1, events: VecDeque::new(), stored: (0, 0.0), refused: (0, 0, 0) }
     }
 
-    /// The life that it is of.
-    pub fn life(&self) -> u64 {
-        self.life
+    /// The incarnation of the registry.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    /// Something happened. `mark` tells it from the same thing at another time, wherever it was seen.
+    /// Records an event. `mark` distinguishes it from the same event at another time, independent of the
+    /// registry that observed it.
     pub fn record(&mut self, at: Millis, kind: Kind, what: &str, mark: u64, cause: String) {
         let id = format!("{}/{what}/{mark:x}", kind.name());
-        let place = At { life: self.life, number: self.next };
+        let place = At { life: self.incarnation, number: self.next };
         self.events.push_back(Event { place, id, kind, what: what.to_owned(), cause, at });
         self.next += 1;
         if self.events.len() > CAPACITY {
@@ -59,12 +62,13 @@
         }
     }
 
-    /// Something happened that only this registry saw.
+    /// Records an event that only this registry observed.
     pub fn record_local(&mut self, at: Millis, kind: Kind, what: &str, cause: String) {
-        self.record(at, kind, what, fennelscale_messages::mix(self.life ^ self.next), cause);
+        self.record(at, kind, what, fennelscale_messages::mix(self.incarnation ^ self.next), cause);
     }
 
-    /// A call was refused. A caller that sends nothing else must not push all other events out.
+    /// Records a refused call. The rate is limited so that a caller whose calls are all refused cannot evict
+    /// all other events.
     pub fn record_refused_call(&mut self, now: Millis, what: &str, cause: &str) {
         let second = (now / 1000.0) as u64;
         if self.refused.0 != second {
@@ -75,52 +79,53 @@
             return;
         }
         self.refused.1 += 1;
-        let others = match std::mem::take(&mut self.refused.2) {
+        let unrecorded = match std::mem::take(&mut self.refused.2) {
             0 => String::new(),
             n => format!(" (and {n} that were not told)"),
         };
-        self.record_local(now, Kind::CallRefused, what, format!("{cause}{others}"));
+        self.record_local(now, Kind::CallRefused, what, format!("{cause}{unrecorded}"));
     }
 
-    /// What the store is to keep now. What it could not be given is offered again.
+    /// The events to send to the store now. Events that could not be sent are offered again.
     pub fn events_to_store(&mut self, now: Millis) -> Vec<Event> {
-        if now - self.kept.1 < STORE_INTERVAL || self.kept.0 + 1 >= self.next {
+        if now - self.stored.1 < STORE_INTERVAL || self.stored.0 + 1 >= self.next {
             return Vec::new();
         }
-        self.kept.1 = now;
+        self.stored.1 = now;
         let oldest = self.events.front().map_or(self.next, |event| event.place.number);
-        let from = (self.kept.0 + 1).saturating_sub(oldest) as usize;
-        self.events.iter().skip(from).take(STORE_BATCH).cloned().collect()
+        let skipped = (self.stored.0 + 1).saturating_sub(oldest) as usize;
+        self.events.iter().skip(skipped).take(STORE_BATCH).cloned().collect()
     }
 
-    /// The store was given events up to this one.
+    /// Events up to this number were sent to the store.
     pub fn mark_stored(&mut self, number: u64) {
-        self.kept.0 = self.kept.0.max(number);
+        self.stored.0 = self.stored.0.max(number);
     }
 
-    /// Events of this life after a place of it. One of another life begins at the oldest.
+    /// Reads the events of this incarnation after a position. A position of another incarnation starts at the
+    /// oldest event.
     pub fn read(&self, now: Millis, wanted: &Wanted) -> Told {
         let oldest = self.events.front().map_or(self.next, |event| event.place.number);
-        let (from, missed) = match wanted.after {
+        let (first, missed) = match wanted.after {
             None => (oldest, oldest > 1),
-            // The future of this life has not been told by it: somebody else's place.
-            Some(At { life, number }) if life == self.life && number < self.next => {
+            // A position beyond the newest event was not issued by this incarnation.
+            Some(At { life, number }) if life == self.incarnation && number < self.next => {
                 (number + 1, number + 1 < oldest)
             }
             Some(_) => (oldest, true),
         };
-        let most = if wanted.most == 0 { MAX_EVENTS_PER_READ } else { wanted.most.min(MAX_EVENTS_PER_READ) };
-        let (mut events, mut last) = (Vec::new(), from.saturating_sub(1));
-        for event in self.events.iter().skip(from.saturating_sub(oldest) as usize) {
+        let limit = if wanted.most == 0 { MAX_EVENTS_PER_READ } else { wanted.most.min(MAX_EVENTS_PER_READ) };
+        let (mut events, mut last) = (Vec::new(), first.saturating_sub(1));
+        for event in self.events.iter().skip(first.saturating_sub(oldest) as usize) {
             if wanted.takes(event) {
-                if events.len() == most {
+                if events.len() == limit {
                     break;
                 }
                 events.push(event.clone());
             }
             last = event.place.number;
         }
-        Told { events, at: At { life: self.life, number: last }, missed, now: Some(now) }
+        Told { events, at: At { life: self.incarnation, number: last }, missed, now: Some(now) }
     }
 }
 
@@ -138,24 +143,24 @@
     }
 
     #[test]
-    fn a_reader_gets_each_event_once_in_order_whatever_its_pace() {
+    fn a_reader_gets_each_event_once_in_order_whatever_its_page_size() {
         for most in [1, 3, 100] {
             let (feed, mut after, mut seen) = (feed(50), None, Vec::new());
             loop {
-                let told = feed.read(0.0, &Wanted { after, most, ..Wanted::default() });
-                assert!(!told.missed);
-                if told.events.is_empty() {
+                let page = feed.read(0.0, &Wanted { after, most, ..Wanted::default() });
+                assert!(!page.missed);
+                if page.events.is_empty() {
                     break;
                 }
-                seen.extend(told.events.iter().map(|event| event.place.number));
-                after = Some(told.at);
+                seen.extend(page.events.iter().map(|event| event.place.number));
+                after = Some(page.at);
             }
             assert_eq!(seen, (1..=50).collect::<Vec<_>>());
         }
     }
 
     #[test]
-    fn who_was_too_slow_or_comes_from_elsewhere_is_told_so() {
+    fn a_reader_is_told_of_missed_events_if_it_is_slow_or_its_position_is_unknown() {
         let feed = feed(CAPACITY as u64 + 10);
         let read = |after: Option<(u64, u64)>| {
             let after = after.map(|(life, number)| At { life, number });
@@ -163,54 +168,54 @@
         };
         assert!(read(Some((7, 2))).missed && read(None).missed);
         assert!(!read(Some((7, 100))).missed);
-        assert!(read(Some((8, 100))).missed, "another life");
+        assert!(read(Some((8, 100))).missed, "another incarnation");
         let future = read(Some((7, 1 << 40)));
         assert!(
             future.missed && future.events.len() == MAX_EVENTS_PER_READ,
-            "a cursor from the future begins anew"
+            "a position from the future starts over"
         );
     }
 
     #[test]
-    fn filters_pass_over_the_rest_and_the_cursor_goes_on() {
+    fn filters_skip_other_events_and_the_position_advances() {
         let feed = feed(20);
-        let told = feed.read(0.0, &Wanted { kind: Some(Kind::MemberJoined), ..Wanted::default() });
-        assert_eq!((told.events.len(), told.at), (10, At { life: 7, number: 20 }));
-        let told = feed.read(0.0, &Wanted { what: "r:1".into(), ..Wanted::default() });
-        assert_eq!(told.events.len(), 11);
-        let ids: std::collections::BTreeSet<_> = told.events.iter().map(|event| event.id.clone()).collect();
+        let page = feed.read(0.0, &Wanted { kind: Some(Kind::MemberJoined), ..Wanted::default() });
+        assert_eq!((page.events.len(), page.at), (10, At { life: 7, number: 20 }));
+        let page = feed.read(0.0, &Wanted { what: "r:1".into(), ..Wanted::default() });
+        assert_eq!(page.events.len(), 11);
+        let ids: std::collections::BTreeSet<_> = page.events.iter().map(|event| event.id.clone()).collect();
         assert_eq!(ids.len(), 11);
     }
 
     #[test]
-    fn the_store_is_given_each_event_once_and_not_too_often() {
-        let (mut feed, mut given) = (feed(600), Vec::new());
+    fn each_event_is_sent_to_the_store_once_at_a_limited_rate() {
+        let (mut feed, mut stored) = (feed(600), Vec::new());
         assert!(feed.events_to_store(STORE_INTERVAL - 1.0).is_empty());
         for n in 1..=8 {
             let now = STORE_INTERVAL * f64::from(n);
             let events = feed.events_to_store(now);
             assert!(feed.events_to_store(now + STORE_INTERVAL / 2.0).is_empty());
-            // Every other time the store is not there: what it was not given is offered again.
+            // Every other time the store is unavailable; events that it was not sent are offered again.
             if n % 2 == 0
                 && let Some(last) = events.last()
             {
                 feed.mark_stored(last.place.number);
-                given.extend(events.iter().map(|event| event.place.number));
+                stored.extend(events.iter().map(|event| event.place.number));
             }
         }
-        assert_eq!(given, (1..=600).collect::<Vec<_>>());
+        assert_eq!(stored, (1..=600).collect::<Vec<_>>());
     }
 
     #[test]
-    fn a_caller_that_is_always_refused_pushes_nothing_out() {
+    fn refused_calls_do_not_evict_other_events() {
         let mut feed = feed(1);
         for n in 0..100_000 {
             feed.record_refused_call(f64::from(n) / 100.0, "config", "invalid: cut short");
         }
-        let told = feed.read(0.0, &Wanted::default());
-        assert_eq!((told.events.len(), told.missed), (11, false));
+        let page = feed.read(0.0, &Wanted::default());
+        assert_eq!((page.events.len(), page.missed), (11, false));
         feed.record_refused_call(5000.0, "config", "invalid: cut short");
-        let told = feed.read(0.0, &Wanted { kind: Some(Kind::CallRefused), ..Wanted::default() });
-        assert!(told.events[10].cause.ends_with("(and 99990 that were not told)"), "{:?}", told.events[10]);
+        let page = feed.read(0.0, &Wanted { kind: Some(Kind::CallRefused), ..Wanted::default() });
+        assert!(page.events[10].cause.ends_with("(and 99990 that were not told)"), "{:?}", page.events[10]);
     }
 }
--- a/system/membership/src/merge.rs
+++ b/system/membership/src/merge.rs
@@ -1,15 +1,16 @@
-//! One feed out of what several registries have: what a reader of any of them gets.
+//! Merges the event feeds of several registries into the feed that a reader of any of them gets.
 //!
-//! # What holds
+//! # Invariants
 //!
-//! - Each event of each stream is told, once in one answer by its id ([`merge`]); over answers at least once.
-//! - Events of one thing (`what`) come in the order in which any registry has them. Registries agree on that
-//!   order, since each takes versions of a thing in theirs. Of one that could not be asked in time events
-//!   come later, by the same cursor, and of one that has more than fit in one telling
-//!   ([`crate::feed::MAX_EVENTS_PER_READ`]) nobody knows what comes behind; then an older version can come
-//!   after a newer one, and the mark at the end of the id tells.
-//! - A cursor is a place in each registry's feed ([`Cursor`]): it is as good at any other gateway, and after
-//!   a start of all.
+//! - Each event of each feed is delivered: once in one answer, by its id ([`merge`]); at least once over
+//!   several answers.
+//! - Events of one subject come in the order in which the registries recorded them. Registries agree on that
+//!   order, since each applies the versions of an item in order. Events of a registry that did not answer in
+//!   time are delivered later through the same cursor; and if a registry has more events than fit in one page
+//!   ([`crate::feed::MAX_EVENTS_PER_READ`]), those that follow are unknown. In both cases an older version
+//!   may come after a newer one, which the mark at the end of the id shows.
+//! - A cursor is a position in each registry's feed ([`Cursor`]), so it is valid at every registry, also
+//!   after a restart of all.
 
 use fennelscale_messages::Host;
 use fennelscale_messages::feed::{At, Event, Kind, Told};
@@ -18,18 +19,18 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Registries in one cursor at most: what comes from outside is bounded.
-const MOST: usize = 256;
+/// Maximum of registries in one cursor, since cursors come from untrusted callers.
+const MAX_REGISTRIES: usize = 256;
 
-/// How far a reader is in each registry's feed.
+/// The position of a reader in each registry's feed.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Cursor(pub BTreeMap<Host, At>);
 
 impl fmt::Display for Cursor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, (host, at)) in self.0.iter().enumerate() {
-            let dot = if n > 0 { "." } else { "" };
-            write!(f, "{dot}{:x}_{:x}-{}", host.0, at.life, at.number)?;
+            let separator = if n > 0 { "." } else { "" };
+            write!(f, "{separator}{:x}_{:x}-{}", host.0, at.life, at.number)?;
         }
         Ok(())
     }
@@ -39,36 +40,36 @@
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
-        let mut all = BTreeMap::new();
+        let mut positions = BTreeMap::new();
         for part in text.split('.').filter(|part| !part.is_empty()) {
-            let place = || {
+            let position = || {
                 let (host, at) = part.split_once('_')?;
                 let (life, number) = at.split_once('-')?;
                 let life = u64::from_str_radix(life, 16).ok()?;
                 Some((Host(u32::from_str_radix(host, 16).ok()?), At { life, number: number.parse().ok()? }))
             };
-            let (host, at) = place().ok_or(())?;
-            all.insert(host, at);
-            if all.len() > MOST {
+            let (host, at) = position().ok_or(())?;
+            positions.insert(host, at);
+            if positions.len() > MAX_REGISTRIES {
                 return Err(());
             }
         }
-        Ok(Self(all))
+        Ok(Self(positions))
     }
 }
 
-/// What a reader gets.
+/// The answer to a reader.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct MergedEvents {
-    /// Events and whose feed each is from.
+    /// Events, each with the registry whose feed it comes from.
     pub events: Vec<(Host, Event)>,
-    /// For the next question.
+    /// The cursor for the next query.
     pub cursor: Cursor,
-    /// Events may have been missed.
+    /// Whether events may have been missed.
     pub missed: bool,
 }
 
-/// The version in an event's mark, of kinds whose things have versions.
+/// The version in an event's mark, for kinds whose subjects have versions.
 fn version(event: &Event) -> Option<u64> {
     let versioned = matches!(
         event.kind,
@@ -78,118 +79,124 @@
     u64::from_str_radix(mark, 16).ok()
 }
 
+/// The page of one registry, as far as it has not been merged.
 struct Stream {
     host: Host,
-    told: Told,
-    /// Events that are left, and how many are not.
-    left: VecDeque<Event>,
-    gone: usize,
-    /// The place of each id, and where each thing's events are that are left.
+    page: Told,
+    /// Remaining events.
+    remaining: VecDeque<Event>,
+    /// Number of events removed from the front.
+    removed: usize,
+    /// The index of each id in the page.
     ids: HashMap<String, usize>,
-    things: HashMap<String, VecDeque<usize>>,
-    place: At,
+    /// The indexes of the remaining events of each subject.
+    subjects: HashMap<String, VecDeque<usize>>,
+    position: At,
 }
 
 impl Stream {
-    fn new(host: Host, mut told: Told, before: Option<At>) -> Self {
-        let left: VecDeque<Event> = std::mem::take(&mut told.events).into();
-        let (mut ids, mut things) =
+    fn new(host: Host, mut page: Told, before: Option<At>) -> Self {
+        let remaining: VecDeque<Event> = std::mem::take(&mut page.events).into();
+        let (mut ids, mut subjects) =
             (HashMap::<String, usize>::new(), HashMap::<String, VecDeque<usize>>::new());
-        for (n, event) in left.iter().enumerate() {
-            // The second of an id in one stream is a repeat: it goes with the first.
-            if let Entry::Vacant(place) = ids.entry(event.id.clone()) {
-                place.insert(n);
-                things.entry(event.what.clone()).or_default().push_back(n);
+        for (index, event) in remaining.iter().enumerate() {
+            // A second event with the same id in one stream is a duplicate and is skipped with the first.
+            if let Entry::Vacant(slot) = ids.entry(event.id.clone()) {
+                slot.insert(index);
+                subjects.entry(event.what.clone()).or_default().push_back(index);
             }
         }
-        let first = left.front().map(|event| At { number: event.place.number - 1, ..event.place });
-        let place = before.or(first).unwrap_or(told.at);
-        Self { host, told, left, gone: 0, ids, things, place }
+        let first = remaining.front().map(|event| At { number: event.place.number - 1, ..event.place });
+        let position = before.or(first).unwrap_or(page.at);
+        Self { host, page, remaining, removed: 0, ids, subjects, position }
     }
 
-    /// How long ago its first event was; one of an earlier life longer than any of this one.
+    /// The age of the first remaining event. Events of an earlier incarnation are older than all of the
+    /// current one.
     fn age(&self) -> f64 {
-        match (self.left.front(), self.told.now) {
-            (Some(event), Some(now)) if event.place.life == self.told.at.life => now - event.at,
+        match (self.remaining.front(), self.page.now) {
+            (Some(event), Some(now)) if event.place.life == self.page.at.life => now - event.at,
             (Some(_), _) => f64::INFINITY,
             (None, _) => f64::NEG_INFINITY,
         }
     }
 
-    fn first_of(&self, what: &str) -> Option<(usize, &Event)> {
-        let place = *self.things.get(what)?.front()?;
-        Some((place, self.left.get(place - self.gone)?))
+    fn first_of(&self, subject: &str) -> Option<(usize, &Event)> {
+        let index = *self.subjects.get(subject)?.front()?;
+        Some((index, self.remaining.get(index - self.removed)?))
     }
 
-    /// Told, or told by another: no more of it here.
-    fn over(&mut self, event: &Event) {
-        let Some(place) = self.ids.get(&event.id) else { return };
-        if let Some(places) = self.things.get_mut(&event.what) {
-            places.retain(|other| other != place);
+    /// Marks an event that was merged from this or another stream as done.
+    fn mark_done(&mut self, event: &Event) {
+        let Some(index) = self.ids.get(&event.id) else { return };
+        if let Some(indexes) = self.subjects.get_mut(&event.what) {
+            indexes.retain(|other| other != index);
         }
     }
 
-    /// Leaves out what has been told from the front on.
-    fn skip(&mut self, seen: &HashSet<String>) {
-        while let Some(event) = self.left.front().filter(|event| seen.contains(&event.id)) {
-            self.place = event.place;
-            self.left.pop_front();
-            self.gone += 1;
+    /// Removes merged events from the front.
+    fn skip_merged(&mut self, merged_ids: &HashSet<String>) {
+        while let Some(event) = self.remaining.front().filter(|event| merged_ids.contains(&event.id)) {
+            self.position = event.place;
+            self.remaining.pop_front();
+            self.removed += 1;
         }
-        if self.left.is_empty() {
-            self.place = self.told.at;
+        if self.remaining.is_empty() {
+            self.position = self.page.at;
         }
     }
 
-    /// Whether it has an event of the same thing that comes before this one: by its version, else by its
-    /// place here.
-    fn goes_before(&self, event: &Event) -> bool {
+    /// Whether the stream has an event of the same subject that precedes this one: by version, otherwise by
+    /// position in the stream.
+    fn has_earlier(&self, event: &Event) -> bool {
         let Some((first, other)) = self.first_of(&event.what) else { return false };
         match (version(other), version(event)) {
             (Some(other), Some(event)) => other < event,
-            _ => self.ids.get(&event.id).is_some_and(|place| first < *place),
+            _ => self.ids.get(&event.id).is_some_and(|index| first < *index),
         }
     }
 }
 
-/// Joins what registries have told, after a cursor, to one answer of so many events at most.
-pub fn merge(told: BTreeMap<Host, Told>, before: &Cursor, most: usize) -> MergedEvents {
-    let mut joined =
-        MergedEvents { missed: told.values().any(|told| told.missed), ..MergedEvents::default() };
+/// Merges the pages that registries returned for a cursor into one answer. It has at most `limit` events,
+/// unless more are needed to advance the cursor.
+pub fn merge(pages: BTreeMap<Host, Told>, before: &Cursor, limit: usize) -> MergedEvents {
+    let mut merged =
+        MergedEvents { missed: pages.values().any(|page| page.missed), ..MergedEvents::default() };
     let mut streams: Vec<Stream> =
-        told.into_iter().map(|(host, told)| Stream::new(host, told, before.0.get(&host).copied())).collect();
-    let mut seen: HashSet<String> = HashSet::new();
+        pages.into_iter().map(|(host, page)| Stream::new(host, page, before.0.get(&host).copied())).collect();
+    let mut merged_ids: HashSet<String> = HashSet::new();
     loop {
-        streams.iter_mut().for_each(|stream| stream.skip(&seen));
-        // What is told from behind takes no reader further: an answer has more rather than leave it where it
-        // was.
-        if joined.events.len() >= most && streams.iter().any(|stream| stream.gone > 0) {
+        streams.iter_mut().for_each(|stream| stream.skip_merged(&merged_ids));
+        // An event taken from behind the front does not advance the cursor; the limit is exceeded rather than
+        // that the cursor stays.
+        if merged.events.len() >= limit && streams.iter().any(|stream| stream.removed > 0) {
             break;
         }
-        // The oldest first, by what each clock says, as far as things' orders leave it.
-        let free = |event: &Event| !streams.iter().any(|stream| stream.goes_before(event));
+        // Oldest first, by the clock of each registry, as far as the order within each subject allows.
+        let is_next = |event: &Event| !streams.iter().any(|stream| stream.has_earlier(event));
         let older = |a: &&Stream, b: &&Stream| a.age().total_cmp(&b.age());
-        let heads = streams.iter().filter(|stream| stream.left.front().is_some_and(&free));
-        let head = heads.max_by(older).and_then(|stream| Some((stream.host, stream.left.front()?)));
-        // Streams whose heads wait for each other: one from behind, which is told again if the answer ends
-        // before its place.
+        let candidates = streams.iter().filter(|stream| stream.remaining.front().is_some_and(&is_next));
+        let oldest =
+            candidates.max_by(older).and_then(|stream| Some((stream.host, stream.remaining.front()?)));
+        // If the first events of all streams wait for each other, take one from behind the front. It is
+        // delivered again if the answer ends before its position.
         let behind = || {
             let firsts = streams.iter().flat_map(|stream| {
-                stream.things.keys().filter_map(|what| Some((stream.host, stream.first_of(what)?.1)))
+                stream.subjects.keys().filter_map(|subject| Some((stream.host, stream.first_of(subject)?.1)))
             });
-            firsts.into_iter().find(|(_, event)| free(event))
+            firsts.into_iter().find(|(_, event)| is_next(event))
         };
-        // Registries that do not agree on an order (one has forgotten) must not hold a reader up.
-        let any = || streams.iter().find_map(|stream| Some((stream.host, stream.left.front()?)));
-        let Some((host, event)) = head.or_else(behind).or_else(any) else { break };
+        // Registries that disagree on an order (since one has lost its state) must not block a reader.
+        let fallback = || streams.iter().find_map(|stream| Some((stream.host, stream.remaining.front()?)));
+        let Some((host, event)) = oldest.or_else(behind).or_else(fallback) else { break };
         let event = event.clone();
-        streams.iter_mut().for_each(|stream| stream.over(&event));
-        seen.insert(event.id.clone());
-        joined.events.push((host, event));
+        streams.iter_mut().for_each(|stream| stream.mark_done(&event));
+        merged_ids.insert(event.id.clone());
+        merged.events.push((host, event));
     }
-    joined.cursor = before.clone();
-    joined.cursor.0.extend(streams.iter().map(|stream| (stream.host, stream.place)));
-    joined
+    merged.cursor = before.clone();
+    merged.cursor.0.extend(streams.iter().map(|stream| (stream.host, stream.position)));
+    merged
 }
 
 #[cfg(test)]
@@ -198,19 +205,19 @@
     use fennelscale_messages::feed::Wanted;
     use proptest::prelude::*;
 
-    /// What one registry saw: of each thing versions in their order, some of them skipped, and things of its
+    /// The feed of one registry: versions of each subject in order, some of them skipped, and events of its
     /// own.
-    fn saw(host: u32, steps: &[(usize, u64, bool)]) -> crate::feed::Feed {
+    fn record_feed(host: u32, steps: &[(usize, u64, bool)]) -> crate::feed::Feed {
         let mut feed = crate::feed::Feed::new(100 + u64::from(host));
         let mut versions = [0; 4];
-        for (n, (thing, ahead, own)) in steps.iter().enumerate() {
+        for (n, (subject, increment, own)) in steps.iter().enumerate() {
             let at = n as f64 * 10.0;
             if *own {
-                feed.record_local(at, Kind::DutyTaken, &format!("tenants-{thing}"), String::new());
+                feed.record_local(at, Kind::DutyTaken, &format!("tenants-{subject}"), String::new());
             } else {
-                versions[*thing] += ahead;
-                let what = format!("r:{thing}");
-                feed.record(at, Kind::ItemChosen, &what, versions[*thing], String::new());
+                versions[*subject] += increment;
+                let what = format!("r:{subject}");
+                feed.record(at, Kind::ItemChosen, &what, versions[*subject], String::new());
             }
         }
         feed
@@ -220,33 +227,33 @@
         #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
         #[test]
-        fn a_reader_gets_every_event_and_each_thing_in_its_order(
-            saw_what in prop::collection::vec(
+        fn a_reader_gets_every_event_and_each_subject_in_order(
+            recorded in prop::collection::vec(
                 prop::collection::vec((0..4_usize, 1..3_u64, prop::bool::weighted(0.2)), 0..40), 1..6),
-            most in 1..20_usize,
+            limit in 1..20_usize,
             silent in prop::collection::vec((0..6_usize, 0..6_usize), 0..6),
         ) {
             let feeds: Vec<_> =
-                saw_what.iter().enumerate().map(|(n, steps)| saw(n as u32, steps)).collect();
+                recorded.iter().enumerate().map(|(n, steps)| record_feed(n as u32, steps)).collect();
             let (mut cursor, mut got) = (Cursor::default(), Vec::new());
             let mut last: HashMap<String, u64> = HashMap::new();
-            for round in 0.. {
-                // Now and then one does not answer in time.
-                let answers = |n: usize| !silent.contains(&(round, n));
-                let told = feeds.iter().enumerate().filter(|(n, _)| answers(*n)).map(|(n, feed)| {
+            for query in 0.. {
+                // Sometimes a registry does not answer in time.
+                let answers = |n: usize| !silent.contains(&(query, n));
+                let pages = feeds.iter().enumerate().filter(|(n, _)| answers(*n)).map(|(n, feed)| {
                     let host = Host(n as u32);
                     let after = cursor.0.get(&host).copied();
                     (host, feed.read(1000.0, &Wanted { after, ..Wanted::default() }))
                 });
-                let joined = merge(told.collect(), &cursor, most);
-                prop_assert!(!joined.missed && (joined.events.is_empty() || joined.cursor != cursor), "no progress");
-                let ids: HashSet<&str> = joined.events.iter().map(|(_, e)| e.id.as_str()).collect();
-                prop_assert_eq!(ids.len(), joined.events.len(), "one event, not two, in an answer");
-                // Only who was silent may bring an older version later.
+                let merged = merge(pages.collect(), &cursor, limit);
+                prop_assert!(!merged.missed && (merged.events.is_empty() || merged.cursor != cursor), "no progress");
+                let ids: HashSet<&str> = merged.events.iter().map(|(_, e)| e.id.as_str()).collect();
+                prop_assert_eq!(ids.len(), merged.events.len(), "an event occurs twice in an answer");
+                // An older version may only come later if a registry was silent.
                 if silent.is_empty() {
-                    for (_, event) in &joined.events {
+                    for (_, event) in &merged.events {
                         if let Some(version) = version(event) {
-                            // What was told from behind may come again.
+                            // An event taken from behind the front may be repeated.
                             let before = last.get(&event.what).copied().unwrap_or(0);
                             let again = got.contains(&event.id);
                             prop_assert!(again || before < version, "{} after {}: {}", version, before, event.id);
@@ -254,10 +261,10 @@
                         }
                     }
                 }
-                prop_assert_eq!(joined.cursor.to_string().parse::<Cursor>(), Ok(joined.cursor.clone()));
-                let done = joined.events.is_empty() && joined.cursor == cursor && round > 6;
-                got.extend(joined.events.into_iter().map(|(_, event)| event.id));
-                cursor = joined.cursor;
+                prop_assert_eq!(merged.cursor.to_string().parse::<Cursor>(), Ok(merged.cursor.clone()));
+                let done = merged.events.is_empty() && merged.cursor == cursor && query > 6;
+                got.extend(merged.events.into_iter().map(|(_, event)| event.id));
+                cursor = merged.cursor;
                 if done {
                     break;
                 }
@@ -265,30 +272,30 @@
             let got: HashSet<String> = got.into_iter().collect();
             for feed in &feeds {
                 let all = feed.read(1000.0, &Wanted::default());
-                prop_assert!(all.events.iter().all(|event| got.contains(&event.id)), "one is missing");
+                prop_assert!(all.events.iter().all(|event| got.contains(&event.id)), "an event is missing");
             }
         }
     }
 
     #[test]
-    fn a_cursor_that_cannot_be_is_none() {
+    fn invalid_cursors_are_rejected() {
         for text in ["5d2f-12", "x_1-2", "1_x-2", "1_2-x", "1_2"] {
             assert!(text.parse::<Cursor>().is_err(), "{text}");
         }
         let many: Vec<String> = (0..300).map(|n| format!("{n:x}_1-1")).collect();
-        assert!(many.join(".").parse::<Cursor>().is_err(), "a cursor is bounded");
+        assert!(many.join(".").parse::<Cursor>().is_err(), "the size of a cursor is bounded");
         assert_eq!("".parse::<Cursor>(), Ok(Cursor::default()));
     }
 
     #[test]
-    fn registries_that_disagree_hold_no_reader_up() {
+    fn registries_that_disagree_do_not_block_a_reader() {
         let (mut one, mut other) = (crate::feed::Feed::new(1), crate::feed::Feed::new(2));
         one.record(1.0, Kind::ItemChosen, "r:a", 1, String::new());
         one.record(2.0, Kind::ItemChosen, "r:a", 2, String::new());
         other.record(1.0, Kind::ItemChosen, "r:a", 2, String::new());
         other.record(2.0, Kind::ItemChosen, "r:a", 1, String::new());
-        let told = [(Host(1), &one), (Host(2), &other)];
-        let told = told.map(|(host, feed)| (host, feed.read(9.0, &Wanted::default()))).into();
-        assert_eq!(merge(told, &Cursor::default(), 10).events.len(), 2);
+        let pages = [(Host(1), &one), (Host(2), &other)];
+        let pages = pages.map(|(host, feed)| (host, feed.read(9.0, &Wanted::default()))).into();
+        assert_eq!(merge(pages, &Cursor::default(), 10).events.len(), 2);
     }
 }
--- a/system/registry/src/events.rs
+++ b/system/registry/src/events.rs
@@ -147,7 +147,7 @@
 
     /// What this registry has, and what its store has of earlier lives.
     pub(crate) async fn own_events(&self, wanted: Wanted) -> Told {
-        let (now, life) = (self.now(), self.round.borrow().feed().life());
+        let (now, life) = (self.now(), self.round.borrow().feed().incarnation());
         let Some(at) = wanted.after.filter(|at| at.life != life) else {
             return self.round.borrow().feed().read(now, &wanted);
         };
