--- a/system/experiments/src/capacity.rs
+++ b/system/experiments/src/capacity.rs
@@ -1,11 +1,11 @@
 //! What each role holds, sends and spends by the size of a deployment: one measure at a time, at several sizes, on the state machines
 //! that the programs run. Bytes are those of frames and records as they are sent and written; memory is the growth of this process.
 
-use fennelscale_messages::depot::{Ask, Change, Chunk, Entry, Seat, Stamp, Word};
-use fennelscale_messages::news::{Backend, Down, Listing, Member};
-use fennelscale_messages::{Host, frame};
-use fennelscale_proxy::held::{Held, Place};
-use fennelscale_replication::{Book, Item, Memory, Origin, Out, Progress};
+use fennelscale_messages::session::{Backend, BackendList, ProxyInfo, RegistryToProxy};
+use fennelscale_messages::store::{Change, Entry, Member, SnapshotChunk, Stamp, StoreMessage, StoreRequest};
+use fennelscale_messages::{Host, encode_frame};
+use fennelscale_proxy::routing_state::{ProxyLocation, RoutingState};
+use fennelscale_replication::{Item, Origin, Output, PersistedState, Progress, Replica};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -114,32 +114,33 @@
     let changes = (0..SERVICES).map(service).chain((0..items).map(|n| item(n, 1)));
     let entry = |(turn, change): (usize, Change)| {
         let Change { name, revision, host, body } = change;
-        let stamp = Stamp { turn: turn as u64 + 1, ..Stamp::default() };
+        let stamp = Stamp { sequence: turn as u64 + 1, ..Stamp::default() };
         (name, Entry { stamp, revision, host, body, ..Entry::default() })
     };
     changes.enumerate().map(entry).collect()
 }
 
 /// A store of one seat with a configuration on its disk, which writes.
-fn store(entries: &[(String, Entry)]) -> Book {
-    let me = Seat { host: Host(1), zone: "z".into(), region: "r".into() };
-    let place = fennelscale_replication::Place {
-        me,
+fn store(entries: &[(String, Entry)]) -> Replica {
+    let me = Member { host: Host(1), zone: "z".into(), region: "r".into() };
+    let place = fennelscale_replication::ReplicaConfig {
+        local: me,
         seeds: vec![Host(1)],
         bootstrap: true,
-        tolerance: (0, 0, 0),
-        life: 1,
+        fault_tolerance: (0, 0, 0),
+        incarnation: 1,
     };
     let item =
         |(name, entry): &(String, Entry)| (name.clone(), Item { chosen: Some(entry.clone()), pending: None });
     let items = entries.iter().map(item).collect();
-    let mut book = Book::new(place, Memory { vows: None, progress: Progress::default(), items }, 0.0);
+    let mut book =
+        Replica::new(place, PersistedState { acceptor: None, progress: Progress::default(), items }, 0.0);
     let mut now = 0.0;
     while !book.is_voting() {
         now += 100.0;
         book.tick(now);
-        book.writes();
-        book.outs();
+        book.take_writes();
+        book.take_outputs();
     }
     book
 }
@@ -158,25 +159,26 @@
     point("store: ms to start", begun.elapsed().as_secs_f64() * 1000.0);
     let begun = Instant::now();
     for revision in 2..2 + CHANGES {
-        let ask = Ask::Change(vec![item(revision as usize * 7 % items, revision)]);
-        book.call(10_000.0, Origin::Registry(revision), ask);
-        black_box(book.writes());
-        let outs = book.outs();
-        assert!(outs.iter().any(|out| matches!(out, Out::Answer(..))), "a change is acknowledged");
+        let ask = StoreRequest::Change(vec![item(revision as usize * 7 % items, revision)]);
+        book.submit(10_000.0, Origin::Registry(revision), ask);
+        black_box(book.take_writes());
+        let outs = book.take_outputs();
+        assert!(outs.iter().any(|out| matches!(out, Output::Answer(..))), "a change is acknowledged");
     }
     point("store: us a change", begun.elapsed().as_secs_f64() * 1e6 / CHANGES as f64);
     let (mut after, mut chunks, mut bytes) = (String::new(), 0.0, 0.0);
     let begun = Instant::now();
     loop {
-        book.word(10_000.0, Host(2), Word::Fetch { since: Stamp::default(), after });
-        let sent = book.outs().into_iter().find_map(|out| match out {
-            Out::Send(_, Word::Chunk(chunk)) => Some(chunk),
+        book.receive(10_000.0, Host(2), StoreMessage::Fetch { since: Stamp::default(), after });
+        let sent = book.take_outputs().into_iter().find_map(|out| match out {
+            Output::Send(_, StoreMessage::Chunk(chunk)) => Some(chunk),
             _ => None,
         });
-        let Some(Chunk { since, after: of, entries, next, position }) = sent else { break };
-        let chunk = Word::Chunk(Chunk { since, after: of, entries, next: next.clone(), position });
+        let Some(SnapshotChunk { since, after: of, entries, next, position }) = sent else { break };
+        let chunk =
+            StoreMessage::Chunk(SnapshotChunk { since, after: of, entries, next: next.clone(), position });
         chunks += 1.0;
-        bytes += frame(&chunk).len() as f64;
+        bytes += encode_frame(&chunk).len() as f64;
         let Some(next) = next else { break };
         after = next;
     }
@@ -184,8 +186,8 @@
     point("store: chunks of a whole copy", chunks);
     point("store: bytes of a whole copy on the wire", bytes);
     drop(book);
-    let down = Down::Items { whole: true, fresh: true, entries: entries.clone() };
-    point("gateway: bytes of all items on the wire", frame(&down).len() as f64);
+    let down = RegistryToProxy::Items { complete: true, up_to_date: true, entries: entries.clone() };
+    point("gateway: bytes of all items on the wire", encode_frame(&down).len() as f64);
     let mut held = held();
     let begun = Instant::now();
     held.merge(0.0, entries);
@@ -193,9 +195,15 @@
     points
 }
 
-fn held() -> Held {
+fn held() -> RoutingState {
     let zones = [("z0".to_owned(), "r0".to_owned())].into();
-    Held::new(Place { me: Host(1), zone: "z0".into(), region: "r0".into(), zones, lag: 800.0 })
+    RoutingState::new(ProxyLocation {
+        host: Host(1),
+        zone: "z0".into(),
+        region: "r0".into(),
+        zone_regions: zones,
+        max_list_age: 800.0,
+    })
 }
 
 fn backend(n: usize) -> Backend {
@@ -212,10 +220,10 @@
 
 /// What a list of so many backends costs.
 pub fn of_backends(backends: usize) -> Vec<Point> {
-    let listing = Listing { stamp: (1, Host(1)), backends: (0..backends).map(backend).collect() };
-    let bytes = frame(&Down::Listing(listing.clone())).len() as f64;
+    let listing = BackendList { stamp: (1, Host(1)), backends: (0..backends).map(backend).collect() };
+    let bytes = encode_frame(&RegistryToProxy::BackendList(listing.clone())).len() as f64;
     let mut held = held();
-    held.list(0.0, listing);
+    held.set_backend_list(0.0, listing);
     let begun = Instant::now();
     for service in 0..SERVICES {
         black_box(held.backends(1.0, &format!("s{service}")));
@@ -230,17 +238,17 @@
 
 /// What knowing so many gateways costs.
 pub fn of_gateways(gateways: usize) -> Vec<Point> {
-    let member = |n: usize| Member {
+    let member = |n: usize| ProxyInfo {
         host: Host(n as u32),
-        life: fennelscale_messages::mix(n as u64),
+        incarnation: fennelscale_messages::mix(n as u64),
         zone: format!("zone-{}", n % 70),
         region: format!("region-{}", n % 27),
         port: 8686,
         ready: true,
-        quiet: Vec::new(),
+        idle_nodes: Vec::new(),
     };
-    let members: Vec<Member> = (0..gateways).map(member).collect();
-    let bytes = frame(&Down::Members(members, gateways as u32)).len() as f64;
+    let members: Vec<ProxyInfo> = (0..gateways).map(member).collect();
+    let bytes = encode_frame(&RegistryToProxy::Proxies(members, gateways as u32)).len() as f64;
     vec![Point {
         what: "gateway, registry: bytes of all members",
         of: "gateways",
--- a/system/membership/src/contact.rs
+++ b/system/membership/src/contact.rs
@@ -3,7 +3,7 @@
 //! when the age is too high.
 
 use crate::{Millis, RegistryState};
-use fennelscale_messages::news::CONTACT_LEASE;
+use fennelscale_messages::session::CONTACT_LEASE;
 
 /// How long a registry that knows no voters is assumed to wait for the bootstrap of the cluster.
 const BOOTSTRAP_WAIT: Millis = 4000.0;
@@ -36,6 +36,6 @@
     /// A registry that has just started counts as in contact until this time; one that knows no voters may
     /// wait for the bootstrap.
     fn startup_grace_end(&self) -> Millis {
-        self.started_at + if self.seats.seats.is_empty() { BOOTSTRAP_WAIT - CONTACT_LEASE } else { 0.0 }
+        self.started_at + if self.seats.members.is_empty() { BOOTSTRAP_WAIT - CONTACT_LEASE } else { 0.0 }
     }
 }
--- a/system/membership/src/copies.rs
+++ b/system/membership/src/copies.rs
@@ -12,7 +12,7 @@
 //!   [`MAX_COMPARE_INTERVAL`]: resent data never fills a link so that it has to be sent again.
 
 use crate::Millis;
-use fennelscale_messages::news::CONTACT_LEASE;
+use fennelscale_messages::session::CONTACT_LEASE;
 use std::collections::VecDeque;
 
 /// How long after the next change an earlier digest counts as recent: twice the longest network delay, plus a
--- a/system/membership/src/failure_counts.rs
+++ b/system/membership/src/failure_counts.rs
@@ -1,6 +1,6 @@
 //! Counts of failure orders (injected failures), as reported by proxies.
 
-use crate::feed::Kind;
+use crate::feed::EventKind;
 use crate::{Millis, RegistryState};
 use fennelscale_messages::Host;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
                 let cause = format!(
                     "proxy {from}: {failed} failed of {named} that it names, {untouched} left untouched"
                 );
-                self.feed.record(now, Kind::FailureMet, &order, mark, cause);
+                self.feed.record(now, EventKind::FailureMet, &order, mark, cause);
             }
         }
     }
--- a/system/membership/src/feed.rs
+++ b/system/membership/src/feed.rs
@@ -12,7 +12,7 @@
 //!   events.
 
 use crate::Millis;
-pub use fennelscale_messages::feed::{At, Event, Kind, Told, VERSION, Wanted};
+pub use fennelscale_messages::feed::{Event, EventKind, EventPage, EventQuery, FeedPosition, VERSION};
 use std::collections::VecDeque;
 
 /// Maximum of events kept in memory.
@@ -52,10 +52,10 @@
 
     /// Records an event. `mark` distinguishes it from the same event at another time, independent of the
     /// registry that observed it.
-    pub fn record(&mut self, at: Millis, kind: Kind, what: &str, mark: u64, cause: String) {
+    pub fn record(&mut self, at: Millis, kind: EventKind, what: &str, mark: u64, cause: String) {
         let id = format!("{}/{what}/{mark:x}", kind.name());
-        let place = At { life: self.incarnation, number: self.next };
-        self.events.push_back(Event { place, id, kind, what: what.to_owned(), cause, at });
+        let place = FeedPosition { incarnation: self.incarnation, number: self.next };
+        self.events.push_back(Event { position: place, id, kind, subject: what.to_owned(), cause, at });
         self.next += 1;
         if self.events.len() > CAPACITY {
             self.events.pop_front();
@@ -63,7 +63,7 @@
     }
 
     /// Records an event that only this registry observed.
-    pub fn record_local(&mut self, at: Millis, kind: Kind, what: &str, cause: String) {
+    pub fn record_local(&mut self, at: Millis, kind: EventKind, what: &str, cause: String) {
         self.record(at, kind, what, fennelscale_messages::mix(self.incarnation ^ self.next), cause);
     }
 
@@ -83,7 +83,7 @@
             0 => String::new(),
             n => format!(" (and {n} that were not told)"),
         };
-        self.record_local(now, Kind::CallRefused, what, format!("{cause}{unrecorded}"));
+        self.record_local(now, EventKind::CallRefused, what, format!("{cause}{unrecorded}"));
     }
 
     /// The events to send to the store now. Events that could not be sent are offered again.
@@ -92,7 +92,7 @@
             return Vec::new();
         }
         self.stored.1 = now;
-        let oldest = self.events.front().map_or(self.next, |event| event.place.number);
+        let oldest = self.events.front().map_or(self.next, |event| event.position.number);
         let skipped = (self.stored.0 + 1).saturating_sub(oldest) as usize;
         self.events.iter().skip(skipped).take(STORE_BATCH).cloned().collect()
     }
@@ -104,28 +104,36 @@
 
     /// Reads the events of this incarnation after a position. A position of another incarnation starts at the
     /// oldest event.
-    pub fn read(&self, now: Millis, wanted: &Wanted) -> Told {
-        let oldest = self.events.front().map_or(self.next, |event| event.place.number);
+    pub fn read(&self, now: Millis, wanted: &EventQuery) -> EventPage {
+        let oldest = self.events.front().map_or(self.next, |event| event.position.number);
         let (first, missed) = match wanted.after {
             None => (oldest, oldest > 1),
             // A position beyond the newest event was not issued by this incarnation.
-            Some(At { life, number }) if life == self.incarnation && number < self.next => {
+            Some(FeedPosition { incarnation: life, number })
+                if life == self.incarnation && number < self.next =>
+            {
                 (number + 1, number + 1 < oldest)
             }
             Some(_) => (oldest, true),
         };
-        let limit = if wanted.most == 0 { MAX_EVENTS_PER_READ } else { wanted.most.min(MAX_EVENTS_PER_READ) };
+        let limit =
+            if wanted.limit == 0 { MAX_EVENTS_PER_READ } else { wanted.limit.min(MAX_EVENTS_PER_READ) };
         let (mut events, mut last) = (Vec::new(), first.saturating_sub(1));
         for event in self.events.iter().skip(first.saturating_sub(oldest) as usize) {
-            if wanted.takes(event) {
+            if wanted.matches(event) {
                 if events.len() == limit {
                     break;
                 }
                 events.push(event.clone());
             }
-            last = event.place.number;
+            last = event.position.number;
+        }
+        EventPage {
+            events,
+            position: FeedPosition { incarnation: self.incarnation, number: last },
+            missed,
+            now: Some(now),
         }
-        Told { events, at: At { life: self.incarnation, number: last }, missed, now: Some(now) }
     }
 }
 
@@ -136,7 +144,7 @@
     fn feed(events: u64) -> Feed {
         let mut feed = Feed::new(7);
         for n in 0..events {
-            let kind = if n % 2 == 0 { Kind::ItemChosen } else { Kind::MemberJoined };
+            let kind = if n % 2 == 0 { EventKind::ItemChosen } else { EventKind::MemberJoined };
             feed.record(n as f64, kind, &format!("r:{n}"), n, String::new());
         }
         feed
@@ -147,13 +155,13 @@
         for most in [1, 3, 100] {
             let (feed, mut after, mut seen) = (feed(50), None, Vec::new());
             loop {
-                let page = feed.read(0.0, &Wanted { after, most, ..Wanted::default() });
+                let page = feed.read(0.0, &EventQuery { after, limit: most, ..EventQuery::default() });
                 assert!(!page.missed);
                 if page.events.is_empty() {
                     break;
                 }
-                seen.extend(page.events.iter().map(|event| event.place.number));
-                after = Some(page.at);
+                seen.extend(page.events.iter().map(|event| event.position.number));
+                after = Some(page.position);
             }
             assert_eq!(seen, (1..=50).collect::<Vec<_>>());
         }
@@ -163,8 +171,8 @@
     fn a_reader_is_told_of_missed_events_if_it_is_slow_or_its_position_is_unknown() {
         let feed = feed(CAPACITY as u64 + 10);
         let read = |after: Option<(u64, u64)>| {
-            let after = after.map(|(life, number)| At { life, number });
-            feed.read(0.0, &Wanted { after, ..Wanted::default() })
+            let after = after.map(|(life, number)| FeedPosition { incarnation: life, number });
+            feed.read(0.0, &EventQuery { after, ..EventQuery::default() })
         };
         assert!(read(Some((7, 2))).missed && read(None).missed);
         assert!(!read(Some((7, 100))).missed);
@@ -179,9 +187,10 @@
     #[test]
     fn filters_skip_other_events_and_the_position_advances() {
         let feed = feed(20);
-        let page = feed.read(0.0, &Wanted { kind: Some(Kind::MemberJoined), ..Wanted::default() });
-        assert_eq!((page.events.len(), page.at), (10, At { life: 7, number: 20 }));
-        let page = feed.read(0.0, &Wanted { what: "r:1".into(), ..Wanted::default() });
+        let page =
+            feed.read(0.0, &EventQuery { kind: Some(EventKind::MemberJoined), ..EventQuery::default() });
+        assert_eq!((page.events.len(), page.position), (10, FeedPosition { incarnation: 7, number: 20 }));
+        let page = feed.read(0.0, &EventQuery { subject_prefix: "r:1".into(), ..EventQuery::default() });
         assert_eq!(page.events.len(), 11);
         let ids: std::collections::BTreeSet<_> = page.events.iter().map(|event| event.id.clone()).collect();
         assert_eq!(ids.len(), 11);
@@ -199,8 +208,8 @@
             if n % 2 == 0
                 && let Some(last) = events.last()
             {
-                feed.mark_stored(last.place.number);
-                stored.extend(events.iter().map(|event| event.place.number));
+                feed.mark_stored(last.position.number);
+                stored.extend(events.iter().map(|event| event.position.number));
             }
         }
         assert_eq!(stored, (1..=600).collect::<Vec<_>>());
@@ -212,10 +221,11 @@
         for n in 0..100_000 {
             feed.record_refused_call(f64::from(n) / 100.0, "config", "invalid: cut short");
         }
-        let page = feed.read(0.0, &Wanted::default());
+        let page = feed.read(0.0, &EventQuery::default());
         assert_eq!((page.events.len(), page.missed), (11, false));
         feed.record_refused_call(5000.0, "config", "invalid: cut short");
-        let page = feed.read(0.0, &Wanted { kind: Some(Kind::CallRefused), ..Wanted::default() });
+        let page =
+            feed.read(0.0, &EventQuery { kind: Some(EventKind::CallRefused), ..EventQuery::default() });
         assert!(page.events[10].cause.ends_with("(and 99990 that were not told)"), "{:?}", page.events[10]);
     }
 }
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -29,13 +29,15 @@
 mod status;
 
 use duties::DutyLeases;
-use feed::{Feed, Kind};
-use fennelscale_config::Copied;
+use feed::{EventKind, Feed};
+use fennelscale_config::ItemCopy;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::Seats;
-use fennelscale_messages::feed::{Event, Told, Wanted};
-use fennelscale_messages::news::{Backend, Down, Listing, Member, RegistryPlace, Up};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::feed::{Event, EventPage, EventQuery};
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{
+    Backend, BackendList, ProxyInfo, ProxyToRegistry, RegistryInfo, RegistryToProxy,
+};
+use fennelscale_messages::store::MemberList;
 use fennelscale_quota_lease::{Ask, Counts, Relay, Terms};
 use maintenance::MaintenanceState;
 use members::Members;
@@ -75,9 +77,9 @@
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Sends a message to a registry.
-    SendToRegistry(Host, Word),
+    SendToRegistry(Host, RegistryMessage),
     /// Sends a message to a proxy.
-    SendToProxy(Host, Rc<Down>),
+    SendToProxy(Host, Rc<RegistryToProxy>),
     /// Reads the platform's backend list and passes it to [`RegistryState::on_list_read`].
     ReadBackendList,
     /// Writes the number of proxies to the store, for registries that restart.
@@ -90,9 +92,9 @@
     StoreEvents(Vec<Event>),
     /// Reads the events that a reader at another registry asks for, including those stored by earlier
     /// incarnations, and sends them with this query number.
-    ReadEvents(Host, u64, Wanted),
+    ReadEvents(Host, u64, EventQuery),
     /// Another registry's answer to an event query of this registry.
-    DeliverEvents(Host, u64, Told),
+    DeliverEvents(Host, u64, EventPage),
     /// Asks the proxies with a session here about a request and sends their answers to that registry, with
     /// this query number.
     ReadRequestTrace(Host, u64, u64),
@@ -119,7 +121,7 @@
     started_at: Millis,
     /// Zone and region.
     location: (String, String),
-    seats: Seats,
+    seats: MemberList,
     peers: BTreeMap<Host, Peer>,
     members: Members,
     duties: DutyLeases,
@@ -128,7 +130,7 @@
     /// The registry through which each proxy without a session here reaches this relay.
     relay_routes: BTreeMap<Host, Host>,
     quota_terms: BTreeMap<String, Terms>,
-    config: Copied,
+    config: ItemCopy,
     /// Recent digests of `config`.
     recent_digests: copies::RecentDigests,
     freshness: copies::Freshness,
@@ -136,7 +138,7 @@
     announced_fresh: bool,
     /// Comparisons requested and entries resent because the copies of proxies differed.
     resend_counts: (u64, u64),
-    backend_list: Listing,
+    backend_list: BackendList,
     /// The highest list number known. After a restart of all registries, numbering continues above it: a
     /// proxy that kept running would reject lists with lower numbers.
     highest_list_number: u64,
@@ -178,7 +180,7 @@
             incarnation,
             started_at: now,
             location: (zone.to_owned(), region.to_owned()),
-            seats: Seats::default(),
+            seats: MemberList::default(),
             peers: BTreeMap::new(),
             members: Members::default(),
             duties: DutyLeases::new(if bootstrap { f64::MIN } else { now }),
@@ -186,12 +188,12 @@
             quota_relay: Relay::default(),
             relay_routes: BTreeMap::new(),
             quota_terms: BTreeMap::new(),
-            config: Copied::default(),
+            config: ItemCopy::default(),
             recent_digests: copies::RecentDigests::default(),
             freshness: copies::Freshness::unconfirmed(now),
             announced_fresh: false,
             resend_counts: (0, 0),
-            backend_list: Listing::default(),
+            backend_list: BackendList::default(),
             highest_list_number: 0,
             next_list_read: now,
             announced_reachable: Vec::new(),
@@ -217,12 +219,12 @@
     }
 
     /// All proxies that are members.
-    pub fn members(&self, now: Millis) -> Vec<Member> {
+    pub fn members(&self, now: Millis) -> Vec<ProxyInfo> {
         self.members.all(now)
     }
 
     /// The newest backend list.
-    pub fn backend_list(&self) -> &Listing {
+    pub fn backend_list(&self) -> &BackendList {
         &self.backend_list
     }
 
@@ -238,18 +240,18 @@
 
     /// The proxies that a client in a region should use: the ready ones of its region, or all ready ones if
     /// there are none.
-    pub fn resolve(&self, now: Millis, region: &str) -> Vec<Member> {
-        let ready: Vec<Member> = self.members.all(now).into_iter().filter(|member| member.ready).collect();
-        let near: Vec<Member> = ready.iter().filter(|member| member.region == region).cloned().collect();
+    pub fn resolve(&self, now: Millis, region: &str) -> Vec<ProxyInfo> {
+        let ready: Vec<ProxyInfo> = self.members.all(now).into_iter().filter(|member| member.ready).collect();
+        let near: Vec<ProxyInfo> = ready.iter().filter(|member| member.region == region).cloned().collect();
         if near.is_empty() { ready } else { near }
     }
 
     fn majority(&self) -> usize {
-        self.seats.seats.len() / 2 + 1
+        self.seats.members.len() / 2 + 1
     }
 
     fn other_voters(&self) -> BTreeSet<Host> {
-        let mut others: BTreeSet<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
+        let mut others: BTreeSet<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
         others.remove(&self.local_host);
         others
     }
@@ -263,10 +265,10 @@
     }
 
     /// The store reports the chosen list of voters.
-    pub fn on_seats(&mut self, now: Millis, seats: Seats) {
+    pub fn on_seats(&mut self, now: Millis, seats: MemberList) {
         if seats.version != self.seats.version {
-            let hosts: Vec<String> = seats.seats.iter().map(|seat| seat.host.to_string()).collect();
-            self.feed.record(now, Kind::SeatsChanged, "seats", seats.version, hosts.join(" "));
+            let hosts: Vec<String> = seats.members.iter().map(|seat| seat.host.to_string()).collect();
+            self.feed.record(now, EventKind::SeatsChanged, "seats", seats.version, hosts.join(" "));
         }
         self.seats = seats;
         self.announce_registries(now);
@@ -278,26 +280,26 @@
         self.send_to_all_proxies(&Rc::new(self.registries_message(now)));
     }
 
-    fn registries_message(&self, now: Millis) -> Down {
-        let place = |host: Host, zone: &str, region: &str| RegistryPlace {
+    fn registries_message(&self, now: Millis) -> RegistryToProxy {
+        let place = |host: Host, zone: &str, region: &str| RegistryInfo {
             host,
             zone: zone.to_owned(),
             region: region.to_owned(),
-            heard: host == self.local_host || self.is_reachable(host, now),
+            reachable: host == self.local_host || self.is_reachable(host, now),
         };
-        let seats = self.seats.seats.iter().map(|seat| place(seat.host, &seat.zone, &seat.region));
-        let mut all: Vec<RegistryPlace> = seats.collect();
+        let seats = self.seats.members.iter().map(|seat| place(seat.host, &seat.zone, &seat.region));
+        let mut all: Vec<RegistryInfo> = seats.collect();
         if !all.iter().any(|known| known.host == self.local_host) {
             all.push(place(self.local_host, &self.location.0, &self.location.1));
         }
-        Down::Registries(all)
+        RegistryToProxy::Registries(all)
     }
 
     /// Advances time; to be called about every 50 ms.
     pub fn tick(&mut self, now: Millis) {
         for host in self.members.expire(now) {
             self.outputs.push(Output::CloseSession(host));
-            self.feed.record_local(now, Kind::MemberSilent, &host.to_string(), self.registry_label());
+            self.feed.record_local(now, EventKind::MemberSilent, &host.to_string(), self.registry_label());
             self.outputs.push(Output::Log("session-silent", format!("proxy={host}")));
         }
         self.update_freshness(now);
@@ -346,8 +348,8 @@
     /// known.
     pub fn is_registry(&self, host: Host) -> bool {
         host == self.local_host
-            || self.seats.seats.is_empty()
-            || self.seats.seats.iter().any(|seat| seat.host == host)
+            || self.seats.members.is_empty()
+            || self.seats.members.iter().any(|seat| seat.host == host)
     }
 
     /// The proxies with a session here.
@@ -416,18 +418,18 @@
         self.duties.record_heartbeat(self.heartbeat_number, now);
         let (roll, listing) = (self.members.session_list_hash(), self.backend_list.stamp);
         let highest = self.highest_list_number.max(listing.0);
-        let heartbeat = Word::Beat {
-            life: self.incarnation,
+        let heartbeat = RegistryMessage::Heartbeat {
+            incarnation: self.incarnation,
             number: self.heartbeat_number,
             claims,
-            roll,
-            listing,
-            highest,
+            sessions_hash: roll,
+            list_stamp: listing,
+            highest_list: highest,
         };
         for host in self.other_voters() {
             self.outputs.push(Output::SendToRegistry(host, heartbeat.clone()));
         }
-        if self.seats.seats.iter().any(|seat| seat.host == self.local_host) {
+        if self.seats.members.iter().any(|seat| seat.host == self.local_host) {
             let granted = self.duties.vote(now, self.local_host, claims);
             self.duties.record_grant(self.local_host, self.heartbeat_number, granted);
         }
@@ -454,9 +456,9 @@
                 let what =
                     if 1 << key == duties::LIST_DUTY { "list".to_owned() } else { format!("tenants-{key}") };
                 if gained & 1 << key != 0 {
-                    self.feed.record_local(now, Kind::DutyTaken, &what, self.registry_label());
+                    self.feed.record_local(now, EventKind::DutyTaken, &what, self.registry_label());
                 } else if lost & 1 << key != 0 {
-                    self.feed.record_local(now, Kind::DutyLost, &what, self.registry_label());
+                    self.feed.record_local(now, EventKind::DutyLost, &what, self.registry_label());
                 }
             }
         }
@@ -503,15 +505,15 @@
             return;
         }
         let stamp = (self.backend_list.stamp.0.max(self.highest_list_number) + 1, self.local_host);
-        let listing = Listing { stamp, backends };
+        let listing = BackendList { stamp, backends };
         self.accept_backend_list(now, listing);
         let listing = self.backend_list.clone();
         for host in self.other_voters() {
-            self.outputs.push(Output::SendToRegistry(host, Word::Listing(listing.clone())));
+            self.outputs.push(Output::SendToRegistry(host, RegistryMessage::BackendList(listing.clone())));
         }
     }
 
-    fn accept_backend_list(&mut self, now: Millis, listing: Listing) {
+    fn accept_backend_list(&mut self, now: Millis, listing: BackendList) {
         if listing.stamp <= self.backend_list.stamp {
             return;
         }
@@ -523,13 +525,20 @@
         // The registry that read it has forced it for the same reason.
         self.force_list_after = self.force_list_after.filter(|from| now < *from);
         self.backend_list = listing;
-        self.send_to_all_proxies(&Rc::new(Down::Listing(self.backend_list.clone())));
+        self.send_to_all_proxies(&Rc::new(RegistryToProxy::BackendList(self.backend_list.clone())));
     }
 
     /// Handles a message from another registry.
-    pub fn receive_from_registry(&mut self, now: Millis, from: Host, word: Word) {
+    pub fn receive_from_registry(&mut self, now: Millis, from: Host, word: RegistryMessage) {
         match word {
-            Word::Beat { life, number, claims, roll, listing, highest } => {
+            RegistryMessage::Heartbeat {
+                incarnation: life,
+                number,
+                claims,
+                sessions_hash: roll,
+                list_stamp: listing,
+                highest_list: highest,
+            } => {
                 self.highest_list_number = self.highest_list_number.max(highest);
                 let known = self.peers.get(&from);
                 let needs_session_list = known.is_none_or(|peer| peer.incarnation != life)
@@ -540,77 +549,96 @@
                 self.peers.insert(from, Peer { last_heard: now, incarnation: life, claims });
                 self.members.registry_heard(from, now);
                 if needs_session_list {
-                    self.outputs.push(Output::SendToRegistry(from, Word::WantRoll));
+                    self.outputs.push(Output::SendToRegistry(from, RegistryMessage::RequestSessions));
                 }
                 if listing > self.backend_list.stamp {
-                    self.outputs.push(Output::SendToRegistry(from, Word::WantListing));
+                    self.outputs.push(Output::SendToRegistry(from, RegistryMessage::RequestBackendList));
                 }
                 let granted = self.duties.vote(now, from, claims);
                 let wall = self.maintenance.wall_clock(now);
-                self.outputs.push(Output::SendToRegistry(from, Word::Heard { number, life, granted, wall }));
+                self.outputs.push(Output::SendToRegistry(
+                    from,
+                    RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall },
+                ));
             }
-            Word::Heard { number, life, granted, wall } => {
-                if life == self.incarnation && self.seats.seats.iter().any(|seat| seat.host == from) {
+            RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall } => {
+                if life == self.incarnation && self.seats.members.iter().any(|seat| seat.host == from) {
                     if let (Some(wall), Some(sent)) = (wall, self.duties.sent_at(number)) {
                         self.maintenance.add_clock_sample(from, sent, now, wall);
                     }
                     self.duties.record_grant(from, number, granted);
                 }
             }
-            Word::Roll { members, silent, alone } => {
+            RegistryMessage::Sessions { proxies: members, silent, self_granted: alone } => {
                 self.members.set_session_list(from, members, silent, alone, now)
             }
-            Word::WantRoll => {
+            RegistryMessage::RequestSessions => {
                 let (members, silent, alone) = self.members.local_sessions();
-                self.outputs.push(Output::SendToRegistry(from, Word::Roll { members, silent, alone }));
+                self.outputs.push(Output::SendToRegistry(
+                    from,
+                    RegistryMessage::Sessions { proxies: members, silent, self_granted: alone },
+                ));
             }
-            Word::Listing(listing) => self.accept_backend_list(now, listing),
-            Word::WantListing => {
+            RegistryMessage::BackendList(listing) => self.accept_backend_list(now, listing),
+            RegistryMessage::RequestBackendList => {
                 let listing = self.backend_list.clone();
-                self.outputs.push(Output::SendToRegistry(from, Word::Listing(listing)));
+                self.outputs.push(Output::SendToRegistry(from, RegistryMessage::BackendList(listing)));
             }
-            Word::Ask { from: proxy, tenant, units, next, demand } => {
+            RegistryMessage::RequestUnits { from: proxy, tenant, units, next_window: next, demand } => {
                 let grant = self.grant_quota(now, Ask { tenant: &tenant, proxy, units, next, demand });
-                self.outputs.push(Output::SendToRegistry(from, Word::Grant(proxy, grant)));
+                self.outputs.push(Output::SendToRegistry(from, RegistryMessage::Grant(proxy, grant)));
             }
-            Word::AskNear { from: proxy, tenant, units, next, demand } => {
+            RegistryMessage::RequestUnitsFromRelay {
+                from: proxy,
+                tenant,
+                units,
+                next_window: next,
+                demand,
+            } => {
                 self.relay_quota_request(now, proxy, Some(from), &tenant, units, next, demand);
             }
-            Word::Grant(to, grant) if to == self.local_host => self.on_relay_grant(now, grant),
-            Word::Grant(proxy, grant) => {
-                self.outputs.push(Output::SendToProxy(proxy, Rc::new(Down::Grant(grant))))
+            RegistryMessage::Grant(to, grant) if to == self.local_host => self.on_relay_grant(now, grant),
+            RegistryMessage::Grant(proxy, grant) => {
+                self.outputs.push(Output::SendToProxy(proxy, Rc::new(RegistryToProxy::Grant(grant))))
             }
-            Word::Back { tenant, units, window } => {
+            RegistryMessage::ReturnUnits { tenant, units, window } => {
                 if self.held_duties(now) & duties::bit_of(&tenant) != 0 {
                     self.quota_counts.back(now, &tenant, units, window);
                 }
             }
-            Word::WantEvents(question, wanted) => {
+            RegistryMessage::RequestEvents(question, wanted) => {
                 self.outputs.push(Output::ReadEvents(from, question, wanted))
             }
-            Word::Events(question, told) => self.outputs.push(Output::DeliverEvents(from, question, told)),
-            Word::WantRequest(question, id) => {
+            RegistryMessage::Events(question, told) => {
+                self.outputs.push(Output::DeliverEvents(from, question, told))
+            }
+            RegistryMessage::LookUpRequest(question, id) => {
                 self.outputs.push(Output::ReadRequestTrace(from, question, id))
             }
-            Word::Request(question, known) => {
+            RegistryMessage::RequestRecords(question, known) => {
                 self.outputs.push(Output::DeliverRequestTrace(from, question, known))
             }
         }
     }
 
     /// Handles a message from a proxy with a session here.
-    pub fn receive_from_proxy(&mut self, now: Millis, from: Host, up: Up) {
+    pub fn receive_from_proxy(&mut self, now: Millis, from: Host, up: ProxyToRegistry) {
         match up {
-            Up::Hello(member) => self.start_session(now, member, None),
-            Up::Resume(member, parts) => self.start_session(now, member, Some(&parts)),
-            Up::Have(parts) => self.on_config_digests(now, from, &parts),
-            Up::Beat { ready, items, listing, alone } => {
+            ProxyToRegistry::Hello(member) => self.start_session(now, member, None),
+            ProxyToRegistry::Resume(member, parts) => self.start_session(now, member, Some(&parts)),
+            ProxyToRegistry::Digest(parts) => self.on_config_digests(now, from, &parts),
+            ProxyToRegistry::Heartbeat {
+                ready,
+                items_hash: items,
+                list_stamp: listing,
+                self_granted: alone,
+            } => {
                 if self.members.set_self_granted(from, alone) {
                     self.next_heartbeat = now;
                 }
                 self.on_proxy_heartbeat(now, from, ready, items, listing);
             }
-            Up::Ask { tenant, units, next, demand } => {
+            ProxyToRegistry::RequestUnits { tenant, units, next_window: next, demand } => {
                 self.members.session_heard(from, now);
                 let relay = self.relay_for(now, &tenant);
                 if relay == self.local_host {
@@ -618,29 +646,40 @@
                 } else {
                     self.outputs.push(Output::SendToRegistry(
                         relay,
-                        Word::AskNear { from, tenant, units, next, demand },
+                        RegistryMessage::RequestUnitsFromRelay {
+                            from,
+                            tenant,
+                            units,
+                            next_window: next,
+                            demand,
+                        },
                     ));
                 }
             }
-            Up::Back { tenant, units, window } => match self.duty_holder(now, duties::bit_of(&tenant)) {
-                Some(host) if host == self.local_host => self.quota_counts.back(now, &tenant, units, window),
-                Some(host) => {
-                    self.outputs.push(Output::SendToRegistry(host, Word::Back { tenant, units, window }))
+            ProxyToRegistry::ReturnUnits { tenant, units, window } => {
+                match self.duty_holder(now, duties::bit_of(&tenant)) {
+                    Some(host) if host == self.local_host => {
+                        self.quota_counts.back(now, &tenant, units, window)
+                    }
+                    Some(host) => self.outputs.push(Output::SendToRegistry(
+                        host,
+                        RegistryMessage::ReturnUnits { tenant, units, window },
+                    )),
+                    None => {}
                 }
-                None => {}
-            },
-            Up::Quiet(nodes) => {
+            }
+            ProxyToRegistry::IdleNodes(nodes) => {
                 if self.members.set_idle_nodes(from, nodes, now) {
                     self.next_heartbeat = now;
                 }
             }
-            Up::Met(counts) => self.on_failure_counts(now, from, counts),
-            Up::Recalled(question, known) => {
+            ProxyToRegistry::FailureCounts(counts) => self.on_failure_counts(now, from, counts),
+            ProxyToRegistry::RequestRecord(question, known) => {
                 self.outputs.push(Output::DeliverProxyTrace(from, question, known))
             }
-            Up::Bye => {
+            ProxyToRegistry::EndSession => {
                 self.members.leave(from, now);
-                self.feed.record_local(now, Kind::MemberLeft, &from.to_string(), "it said so".into());
+                self.feed.record_local(now, EventKind::MemberLeft, &from.to_string(), "it said so".into());
                 self.next_heartbeat = now;
             }
         }
@@ -649,7 +688,7 @@
     /// The connection of a proxy was closed.
     pub fn on_session_closed(&mut self, now: Millis, proxy: Host) {
         if self.members.disconnect(proxy, now) {
-            self.feed.record_local(now, Kind::MemberLeft, &proxy.to_string(), "its line is down".into());
+            self.feed.record_local(now, EventKind::MemberLeft, &proxy.to_string(), "its line is down".into());
             self.outputs.push(Output::Log("session-closed", format!("proxy={proxy}")));
             self.next_heartbeat = now;
         }
--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -5,9 +5,9 @@
 //! registries that both believe to hold it for a moment do no harm: the store writes a step only if
 //! everything that it was decided from is unchanged.
 
-use crate::feed::{Feed, Kind};
+use crate::feed::{EventKind, Feed};
 use crate::{Millis, Output, RegistryState, duties};
-use fennelscale_config::{Copied, Fact, fact};
+use fennelscale_config::{ItemCopy, ParsedItem, parse_item};
 use fennelscale_maintenance::clock::{Clock, Span};
 use fennelscale_maintenance::hours::{Contract, told};
 use fennelscale_maintenance::night::{Night, Phase};
@@ -15,7 +15,7 @@
 use fennelscale_maintenance::plan::{self, Next, Scene, Why};
 use fennelscale_maintenance::{CONTRACT, DRAIN, NIGHT, ORDER, counts};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Named};
+use fennelscale_messages::store::{Entry, NamedEntry};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A step without an answer is decided again after this time, which is longer than the store's own timeout.
@@ -39,7 +39,7 @@
     orders: BTreeMap<String, Order>,
     nights: BTreeMap<String, Night>,
     /// Records as they were chosen; proxies do not need them.
-    records: Copied,
+    records: ItemCopy,
     /// Failure orders that may run: these need the true time as well.
     failures: BTreeSet<String>,
     /// The regions that requests for each service may be sent to; computed on demand.
@@ -94,20 +94,22 @@
         if name.starts_with("r:") || name.starts_with("t:") {
             self.homes = None;
         }
-        let parsed = || entry.body.as_deref().and_then(|body| fact(name, &entry.host, body).ok());
+        let parsed = || entry.body.as_deref().and_then(|body| parse_item(name, &entry.host, body).ok());
         if let Some(name) = name.strip_prefix(CONTRACT) {
             match parsed() {
-                Some(Fact::Contract(contract)) => drop(self.contracts.insert(name.to_owned(), *contract)),
+                Some(ParsedItem::MaintenanceContract(contract)) => {
+                    drop(self.contracts.insert(name.to_owned(), *contract))
+                }
                 _ => drop(self.contracts.remove(name)),
             }
         } else if let Some(name) = name.strip_prefix(ORDER) {
             match parsed() {
-                Some(Fact::Order(order)) => drop(self.orders.insert(name.to_owned(), *order)),
+                Some(ParsedItem::WorkOrder(order)) => drop(self.orders.insert(name.to_owned(), *order)),
                 _ => drop(self.orders.remove(name)),
             }
         } else if name.starts_with(fennelscale_fault_injection::FAILURE) {
             match parsed() {
-                Some(Fact::Failure(order)) => self.set_failure_order(name, Some(&order)),
+                Some(ParsedItem::FailureOrder(order)) => self.set_failure_order(name, Some(&order)),
                 _ => self.set_failure_order(name, None),
             }
         }
@@ -124,7 +126,7 @@
 
     /// Applies a record if it is newer than the known one, and adds its new steps to the feed.
     pub(crate) fn on_record(&mut self, now: Millis, name: &str, entry: &Entry, feed: &mut Feed) {
-        if !self.records.take(name, entry) {
+        if !self.records.merge(name, entry) {
             return;
         }
         let order = &name[NIGHT.len()..];
@@ -137,10 +139,10 @@
             let known = before.and_then(|night| night.nodes.get(node)).map_or(0, Vec::len);
             for (index, step) in steps.iter().enumerate().skip(known) {
                 let kind = match step.phase {
-                    Phase::Draining => Kind::NodeDraining,
-                    Phase::Out => Kind::NodeOut,
-                    Phase::Serviced => Kind::NodeServiced,
-                    Phase::Unserviced => Kind::NodeUnserviced,
+                    Phase::Draining => EventKind::NodeDraining,
+                    Phase::Out => EventKind::NodeOut,
+                    Phase::Serviced => EventKind::NodeServiced,
+                    Phase::Unserviced => EventKind::NodeUnserviced,
                 };
                 let mark = fennelscale_messages::hash(order.as_bytes()) ^ index as u64;
                 let cause = format!("order {order}, decided by {}: {}", step.by, step.why);
@@ -175,7 +177,7 @@
 
 /// Where requests may be sent: each service with the regions allowed by a route that names it, combined with
 /// those of each tenant.
-fn homes(items: &Copied) -> Vec<(String, Vec<String>)> {
+fn homes(items: &ItemCopy) -> Vec<(String, Vec<String>)> {
     let mut routes: BTreeSet<(String, Vec<String>)> = BTreeSet::new();
     let mut tenants: BTreeSet<Vec<String>> = BTreeSet::new();
     for (name, entry) in items.entries() {
@@ -183,12 +185,12 @@
         if !name.starts_with("r:") && !name.starts_with("t:") {
             continue;
         }
-        match fact(name, &entry.host, body) {
-            Ok(Fact::Route(route)) => {
+        match parse_item(name, &entry.host, body) {
+            Ok(ParsedItem::Route(route)) => {
                 let services = route.services.into_iter().filter(|(_, weight)| *weight > 0.0);
-                routes.extend(services.map(|(service, _)| (service, route.regions.clone())));
+                routes.extend(services.map(|(service, _)| (service, route.allowed_regions.clone())));
             }
-            Ok(Fact::Tenant(tenant)) => drop(tenants.insert(tenant.regions)),
+            Ok(ParsedItem::Tenant(tenant)) => drop(tenants.insert(tenant.allowed_regions)),
             _ => {}
         }
     }
@@ -236,7 +238,7 @@
         let isolated = self.proxy_counts(now).isolated;
         let unheard = self
             .seats
-            .seats
+            .members
             .iter()
             .filter(|seat| seat.host != self.local_host && !self.is_reachable(seat.host, now));
         let unheard = unheard.map(|seat| seat.zone.clone()).collect();
@@ -267,7 +269,7 @@
             return;
         }
         self.maintenance.next_evaluation = now + EVALUATION_INTERVAL;
-        let voters: Vec<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
+        let voters: Vec<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
         let tolerated = self.maintenance.tolerated_clocks;
         self.maintenance.clock.settle(now, &voters, tolerated);
         if self.maintenance.pending_since.is_some_and(|since| now - since < STEP_TIMEOUT) {
@@ -312,7 +314,7 @@
 
     /// Why orders in a call could never be carried out, however long they wait. `changed` are the items of
     /// the call.
-    pub fn check_orders(&mut self, now: Millis, changed: &[Named]) -> Vec<(String, Node, Why)> {
+    pub fn check_orders(&mut self, now: Millis, changed: &[NamedEntry]) -> Vec<(String, Node, Why)> {
         let mut scene = self.scene(now);
         let mut changed_state = MaintenanceState {
             contracts: std::mem::take(&mut scene.contracts),
--- a/system/membership/src/members.rs
+++ b/system/membership/src/members.rs
@@ -12,7 +12,7 @@
 use crate::copies::{Comparison, ComparisonResult, CopyStatus};
 use crate::{Millis, PEER_TIMEOUT};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Down, Member};
+use fennelscale_messages::session::{ProxyInfo, RegistryToProxy};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug)]
 struct Session {
-    member: Member,
+    member: ProxyInfo,
     last_heard: Millis,
     copy: Comparison,
     /// Quota shards that the proxy spends without grants since their holders cannot reach it, one bit each.
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct SessionList {
-    members: Vec<Member>,
+    members: Vec<ProxyInfo>,
     /// Proxies whose sessions there went silent.
     isolated: Vec<IsolatedProxy>,
     /// Proxies that spend quota without grants despite a session there, with the shards.
@@ -91,14 +91,14 @@
     /// the number of proxies.
     version: u64,
     cached_counts: Cell<Option<CachedCounts>>,
-    last_sent: Option<Down>,
+    last_sent: Option<RegistryToProxy>,
     last_sent_at: Millis,
     /// The last check for changes to send: version, number of proxies, and until when it is valid.
     last_check: Option<(u64, u32, Millis)>,
 }
 
 fn hash_session_list<'a>(
-    members: impl Iterator<Item = &'a Member>, isolated: &[IsolatedProxy], self_granted: &[(Host, u64)],
+    members: impl Iterator<Item = &'a ProxyInfo>, isolated: &[IsolatedProxy], self_granted: &[(Host, u64)],
 ) -> u64 {
     let bits = |(host, count): &IsolatedProxy| u64::from(host.0) ^ u64::from(*count) << 32;
     let hash = isolated.iter().fold(1, |hash, proxy| fennelscale_messages::mix(hash ^ bits(proxy)));
@@ -106,16 +106,16 @@
         fennelscale_messages::mix(fennelscale_messages::mix(hash ^ u64::from(host.0)) ^ shards)
     });
     members.fold(hash, |hash, member| {
-        let text = format!("{}{:x}{}{}", member.host, member.life, member.port, member.ready);
+        let text = format!("{}{:x}{}{}", member.host, member.incarnation, member.port, member.ready);
         let hash = fennelscale_messages::mix(hash ^ fennelscale_messages::hash(text.as_bytes()));
-        member.quiet.iter().fold(hash, |hash, node| {
+        member.idle_nodes.iter().fold(hash, |hash, node| {
             fennelscale_messages::mix(hash ^ fennelscale_messages::hash(node.as_bytes()))
         })
     })
 }
 
 impl Members {
-    pub(crate) fn start_session(&mut self, member: Member, now: Millis) {
+    pub(crate) fn start_session(&mut self, member: ProxyInfo, now: Millis) {
         self.version += 1;
         self.isolated.remove(&member.host);
         self.sessions.insert(
@@ -161,7 +161,7 @@
 
     /// The incarnation of a proxy with a session here.
     pub(crate) fn incarnation(&self, host: Host) -> Option<u64> {
-        self.sessions.get(&host).map(|session| session.member.life)
+        self.sessions.get(&host).map(|session| session.member.incarnation)
     }
 
     /// Sets the nodes at which a proxy has no requests in progress. Returns whether other registries should
@@ -169,7 +169,7 @@
     pub(crate) fn set_idle_nodes(&mut self, host: Host, nodes: Vec<String>, now: Millis) -> bool {
         let Some(session) = self.sessions.get_mut(&host) else { return false };
         session.last_heard = now;
-        std::mem::replace(&mut session.member.quiet, nodes.clone()) != nodes
+        std::mem::replace(&mut session.member.idle_nodes, nodes.clone()) != nodes
     }
 
     pub(crate) fn leave(&mut self, host: Host, _now: Millis) {
@@ -223,7 +223,7 @@
 
     /// The session list of this registry: members, isolated proxies, and proxies that spend quota without
     /// grants.
-    pub(crate) fn local_sessions(&self) -> (Vec<Member>, Vec<IsolatedProxy>, Vec<(Host, u64)>) {
+    pub(crate) fn local_sessions(&self) -> (Vec<ProxyInfo>, Vec<IsolatedProxy>, Vec<(Host, u64)>) {
         let members = self.sessions.values().map(|session| session.member.clone());
         (members.collect(), self.local_isolated(), self.local_self_granted())
     }
@@ -248,7 +248,7 @@
     }
 
     pub(crate) fn set_session_list(
-        &mut self, registry: Host, members: Vec<Member>, mut isolated: Vec<IsolatedProxy>,
+        &mut self, registry: Host, members: Vec<ProxyInfo>, mut isolated: Vec<IsolatedProxy>,
         mut self_granted: Vec<(Host, u64)>, now: Millis,
     ) {
         self.version += 1;
@@ -292,12 +292,12 @@
 
     /// All members, each once: a session here takes precedence over the lists of other registries, and a list
     /// heard more recently over an older one.
-    pub fn all(&self, now: Millis) -> Vec<Member> {
+    pub fn all(&self, now: Millis) -> Vec<ProxyInfo> {
         self.by_host(now).into_values().map(|(_, member)| member.clone()).collect()
     }
 
-    fn by_host(&self, now: Millis) -> BTreeMap<Host, (Millis, &Member)> {
-        let mut all: BTreeMap<Host, (Millis, &Member)> = BTreeMap::new();
+    fn by_host(&self, now: Millis) -> BTreeMap<Host, (Millis, &ProxyInfo)> {
+        let mut all: BTreeMap<Host, (Millis, &ProxyInfo)> = BTreeMap::new();
         for list in self.session_lists.values() {
             for member in &list.members {
                 let known = all.entry(member.host).or_insert((list.last_heard, member));
@@ -389,11 +389,11 @@
         true
     }
 
-    pub(crate) fn take_change(&mut self, message: &Down, now: Millis) -> bool {
+    pub(crate) fn take_change(&mut self, message: &RegistryToProxy, now: Millis) -> bool {
         let changed = self.last_sent.as_ref() != Some(message) && now - self.last_sent_at >= UPDATE_INTERVAL;
         if changed {
             (self.last_sent, self.last_sent_at) = (Some(message.clone()), now);
-            if let Down::Members(_, count) = message {
+            if let RegistryToProxy::Proxies(_, count) = message {
                 self.record_sent_count(now, *count);
             }
         }
@@ -406,9 +406,17 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn member(host: u32, life: u64, ready: bool) -> Member {
+    fn member(host: u32, life: u64, ready: bool) -> ProxyInfo {
         let (zone, region) = ("a".to_owned(), "r".to_owned());
-        Member { host: Host(host), life, zone, region, port: 1, ready, quiet: Vec::new() }
+        ProxyInfo {
+            host: Host(host),
+            incarnation: life,
+            zone,
+            region,
+            port: 1,
+            ready,
+            idle_nodes: Vec::new(),
+        }
     }
 
     #[derive(Clone, Debug)]
@@ -485,7 +493,7 @@
                 apply(&mut uncached, now, input);
                 prop_assert_eq!(cached.counts(now), uncached.count(now));
                 let count = cached.counts(now).total as u32;
-                let message = Down::Members(cached.all(now), count);
+                let message = RegistryToProxy::Proxies(cached.all(now), count);
                 let sent = cached.may_have_changed(now, count) && cached.take_change(&message, now);
                 prop_assert_eq!(sent, uncached.take_change(&message, now));
             }
--- a/system/membership/src/merge.rs
+++ b/system/membership/src/merge.rs
@@ -13,7 +13,7 @@
 //!   after a restart of all.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::feed::{At, Event, Kind, Told};
+use fennelscale_messages::feed::{Event, EventKind, EventPage, FeedPosition};
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::fmt;
@@ -24,13 +24,13 @@
 
 /// The position of a reader in each registry's feed.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Cursor(pub BTreeMap<Host, At>);
+pub struct Cursor(pub BTreeMap<Host, FeedPosition>);
 
 impl fmt::Display for Cursor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, (host, at)) in self.0.iter().enumerate() {
             let separator = if n > 0 { "." } else { "" };
-            write!(f, "{separator}{:x}_{:x}-{}", host.0, at.life, at.number)?;
+            write!(f, "{separator}{:x}_{:x}-{}", host.0, at.incarnation, at.number)?;
         }
         Ok(())
     }
@@ -46,7 +46,10 @@
                 let (host, at) = part.split_once('_')?;
                 let (life, number) = at.split_once('-')?;
                 let life = u64::from_str_radix(life, 16).ok()?;
-                Some((Host(u32::from_str_radix(host, 16).ok()?), At { life, number: number.parse().ok()? }))
+                Some((
+                    Host(u32::from_str_radix(host, 16).ok()?),
+                    FeedPosition { incarnation: life, number: number.parse().ok()? },
+                ))
             };
             let (host, at) = position().ok_or(())?;
             positions.insert(host, at);
@@ -73,7 +76,11 @@
 fn version(event: &Event) -> Option<u64> {
     let versioned = matches!(
         event.kind,
-        Kind::ItemChosen | Kind::ItemDropped | Kind::ZoneEvacuated | Kind::ZoneBack | Kind::SeatsChanged
+        EventKind::ItemChosen
+            | EventKind::ItemDropped
+            | EventKind::ZoneEvacuated
+            | EventKind::ZoneBack
+            | EventKind::SeatsChanged
     );
     let mark = event.id.rsplit_once('/').filter(|_| versioned)?.1;
     u64::from_str_radix(mark, 16).ok()
@@ -82,7 +89,7 @@
 /// The page of one registry, as far as it has not been merged.
 struct Stream {
     host: Host,
-    page: Told,
+    page: EventPage,
     /// Remaining events.
     remaining: VecDeque<Event>,
     /// Number of events removed from the front.
@@ -91,11 +98,11 @@
     ids: HashMap<String, usize>,
     /// The indexes of the remaining events of each subject.
     subjects: HashMap<String, VecDeque<usize>>,
-    position: At,
+    position: FeedPosition,
 }
 
 impl Stream {
-    fn new(host: Host, mut page: Told, before: Option<At>) -> Self {
+    fn new(host: Host, mut page: EventPage, before: Option<FeedPosition>) -> Self {
         let remaining: VecDeque<Event> = std::mem::take(&mut page.events).into();
         let (mut ids, mut subjects) =
             (HashMap::<String, usize>::new(), HashMap::<String, VecDeque<usize>>::new());
@@ -103,11 +110,13 @@
             // A second event with the same id in one stream is a duplicate and is skipped with the first.
             if let Entry::Vacant(slot) = ids.entry(event.id.clone()) {
                 slot.insert(index);
-                subjects.entry(event.what.clone()).or_default().push_back(index);
+                subjects.entry(event.subject.clone()).or_default().push_back(index);
             }
         }
-        let first = remaining.front().map(|event| At { number: event.place.number - 1, ..event.place });
-        let position = before.or(first).unwrap_or(page.at);
+        let first = remaining
+            .front()
+            .map(|event| FeedPosition { number: event.position.number - 1, ..event.position });
+        let position = before.or(first).unwrap_or(page.position);
         Self { host, page, remaining, removed: 0, ids, subjects, position }
     }
 
@@ -115,7 +124,9 @@
     /// current one.
     fn age(&self) -> f64 {
         match (self.remaining.front(), self.page.now) {
-            (Some(event), Some(now)) if event.place.life == self.page.at.life => now - event.at,
+            (Some(event), Some(now)) if event.position.incarnation == self.page.position.incarnation => {
+                now - event.at
+            }
             (Some(_), _) => f64::INFINITY,
             (None, _) => f64::NEG_INFINITY,
         }
@@ -129,7 +140,7 @@
     /// Marks an event that was merged from this or another stream as done.
     fn mark_done(&mut self, event: &Event) {
         let Some(index) = self.ids.get(&event.id) else { return };
-        if let Some(indexes) = self.subjects.get_mut(&event.what) {
+        if let Some(indexes) = self.subjects.get_mut(&event.subject) {
             indexes.retain(|other| other != index);
         }
     }
@@ -137,19 +148,19 @@
     /// Removes merged events from the front.
     fn skip_merged(&mut self, merged_ids: &HashSet<String>) {
         while let Some(event) = self.remaining.front().filter(|event| merged_ids.contains(&event.id)) {
-            self.position = event.place;
+            self.position = event.position;
             self.remaining.pop_front();
             self.removed += 1;
         }
         if self.remaining.is_empty() {
-            self.position = self.page.at;
+            self.position = self.page.position;
         }
     }
 
     /// Whether the stream has an event of the same subject that precedes this one: by version, otherwise by
     /// position in the stream.
     fn has_earlier(&self, event: &Event) -> bool {
-        let Some((first, other)) = self.first_of(&event.what) else { return false };
+        let Some((first, other)) = self.first_of(&event.subject) else { return false };
         match (version(other), version(event)) {
             (Some(other), Some(event)) => other < event,
             _ => self.ids.get(&event.id).is_some_and(|index| first < *index),
@@ -159,7 +170,7 @@
 
 /// Merges the pages that registries returned for a cursor into one answer. It has at most `limit` events,
 /// unless more are needed to advance the cursor.
-pub fn merge(pages: BTreeMap<Host, Told>, before: &Cursor, limit: usize) -> MergedEvents {
+pub fn merge(pages: BTreeMap<Host, EventPage>, before: &Cursor, limit: usize) -> MergedEvents {
     let mut merged =
         MergedEvents { missed: pages.values().any(|page| page.missed), ..MergedEvents::default() };
     let mut streams: Vec<Stream> =
@@ -202,7 +213,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelscale_messages::feed::Wanted;
+    use fennelscale_messages::feed::EventQuery;
     use proptest::prelude::*;
 
     /// The feed of one registry: versions of each subject in order, some of them skipped, and events of its
@@ -213,11 +224,11 @@
         for (n, (subject, increment, own)) in steps.iter().enumerate() {
             let at = n as f64 * 10.0;
             if *own {
-                feed.record_local(at, Kind::DutyTaken, &format!("tenants-{subject}"), String::new());
+                feed.record_local(at, EventKind::DutyTaken, &format!("tenants-{subject}"), String::new());
             } else {
                 versions[*subject] += increment;
                 let what = format!("r:{subject}");
-                feed.record(at, Kind::ItemChosen, &what, versions[*subject], String::new());
+                feed.record(at, EventKind::ItemChosen, &what, versions[*subject], String::new());
             }
         }
         feed
@@ -243,7 +254,7 @@
                 let pages = feeds.iter().enumerate().filter(|(n, _)| answers(*n)).map(|(n, feed)| {
                     let host = Host(n as u32);
                     let after = cursor.0.get(&host).copied();
-                    (host, feed.read(1000.0, &Wanted { after, ..Wanted::default() }))
+                    (host, feed.read(1000.0, &EventQuery { after, ..EventQuery::default() }))
                 });
                 let merged = merge(pages.collect(), &cursor, limit);
                 prop_assert!(!merged.missed && (merged.events.is_empty() || merged.cursor != cursor), "no progress");
@@ -254,10 +265,10 @@
                     for (_, event) in &merged.events {
                         if let Some(version) = version(event) {
                             // An event taken from behind the front may be repeated.
-                            let before = last.get(&event.what).copied().unwrap_or(0);
+                            let before = last.get(&event.subject).copied().unwrap_or(0);
                             let again = got.contains(&event.id);
                             prop_assert!(again || before < version, "{} after {}: {}", version, before, event.id);
-                            last.insert(event.what.clone(), version.max(before));
+                            last.insert(event.subject.clone(), version.max(before));
                         }
                     }
                 }
@@ -271,7 +282,7 @@
             }
             let got: HashSet<String> = got.into_iter().collect();
             for feed in &feeds {
-                let all = feed.read(1000.0, &Wanted::default());
+                let all = feed.read(1000.0, &EventQuery::default());
                 prop_assert!(all.events.iter().all(|event| got.contains(&event.id)), "an event is missing");
             }
         }
@@ -290,12 +301,12 @@
     #[test]
     fn registries_that_disagree_do_not_block_a_reader() {
         let (mut one, mut other) = (crate::feed::Feed::new(1), crate::feed::Feed::new(2));
-        one.record(1.0, Kind::ItemChosen, "r:a", 1, String::new());
-        one.record(2.0, Kind::ItemChosen, "r:a", 2, String::new());
-        other.record(1.0, Kind::ItemChosen, "r:a", 2, String::new());
-        other.record(2.0, Kind::ItemChosen, "r:a", 1, String::new());
+        one.record(1.0, EventKind::ItemChosen, "r:a", 1, String::new());
+        one.record(2.0, EventKind::ItemChosen, "r:a", 2, String::new());
+        other.record(1.0, EventKind::ItemChosen, "r:a", 2, String::new());
+        other.record(2.0, EventKind::ItemChosen, "r:a", 1, String::new());
         let pages = [(Host(1), &one), (Host(2), &other)];
-        let pages = pages.map(|(host, feed)| (host, feed.read(9.0, &Wanted::default()))).into();
+        let pages = pages.map(|(host, feed)| (host, feed.read(9.0, &EventQuery::default()))).into();
         assert_eq!(merge(pages, &Cursor::default(), 10).events.len(), 2);
     }
 }
--- a/system/membership/src/proxy_updates.rs
+++ b/system/membership/src/proxy_updates.rs
@@ -1,11 +1,11 @@
 //! Updates to proxies: the configuration, the backend list and the members, and the repair of missed updates.
 
 use crate::copies::CopyStatus;
-use crate::feed::Kind;
+use crate::feed::EventKind;
 use crate::{Millis, Output, RegistryState};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Named};
-use fennelscale_messages::news::{Backend, Down, Listing, Member};
+use fennelscale_messages::session::{Backend, BackendList, ProxyInfo, RegistryToProxy};
+use fennelscale_messages::store::{Entry, NamedEntry};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
 
 impl RegistryState {
     /// The store reports chosen entries: all of them (`whole`), or new ones.
-    pub fn on_items(&mut self, now: Millis, whole: bool, entries: Vec<Named>) {
+    pub fn on_items(&mut self, now: Millis, whole: bool, entries: Vec<NamedEntry>) {
         let mut new_entries = Vec::new();
         for (name, entry) in entries {
             self.update_quota_terms(&name, &entry);
@@ -38,8 +38,8 @@
                 // Internal to the system; proxies do not need it.
                 continue;
             }
-            let digest = self.config.sum();
-            if !self.config.take(&name, &entry) {
+            let digest = self.config.checksum();
+            if !self.config.merge(&name, &entry) {
                 continue;
             }
             self.recent_digests.supersede(now, digest);
@@ -54,15 +54,15 @@
         }
         if !new_entries.is_empty() {
             let confirmed = self.freshness.is_fresh(now);
-            self.send_to_all_proxies(&Rc::new(Down::Items {
-                whole: false,
-                fresh: confirmed,
+            self.send_to_all_proxies(&Rc::new(RegistryToProxy::Items {
+                complete: false,
+                up_to_date: confirmed,
                 entries: new_entries,
             }));
         }
     }
 
-    pub(crate) fn send_to_all_proxies(&mut self, message: &Rc<Down>) {
+    pub(crate) fn send_to_all_proxies(&mut self, message: &Rc<RegistryToProxy>) {
         for host in self.members.sessions() {
             self.outputs.push(Output::SendToProxy(host, message.clone()));
         }
@@ -70,23 +70,23 @@
 
     fn record_item_event(&mut self, now: Millis, name: &str, entry: &Entry) {
         let (kind, what) = match (name.strip_prefix("e:"), entry.body.is_some()) {
-            (Some(zone), true) => (Kind::ZoneEvacuated, zone),
+            (Some(zone), true) => (EventKind::ZoneEvacuated, zone),
             (Some(zone), false) => {
                 self.force_list_after = Some(now + crate::RETURNED_ZONE_DELAY);
-                (Kind::ZoneBack, zone)
+                (EventKind::ZoneBack, zone)
             }
-            (None, true) => (Kind::ItemChosen, name),
-            (None, false) => (Kind::ItemDropped, name),
+            (None, true) => (EventKind::ItemChosen, name),
+            (None, false) => (EventKind::ItemDropped, name),
         };
         let stamp = entry.stamp;
         let cause = format!(
             "version {:08x}, written by {} in turn {}",
-            entry.revision, stamp.epoch.seat, stamp.epoch.round
+            entry.revision, stamp.term.leader, stamp.term.number
         );
         self.feed.record(now, kind, what, entry.revision, cause);
     }
 
-    pub(crate) fn record_list_events(&mut self, now: Millis, listing: &Listing) {
+    pub(crate) fn record_list_events(&mut self, now: Millis, listing: &BackendList) {
         let before: BTreeMap<&str, bool> = self
             .backend_list
             .backends
@@ -97,14 +97,16 @@
         let mut events = Vec::new();
         for backend in &listing.backends {
             match before.get(backend.id.as_str()) {
-                None => events.push((Kind::BackendListed, backend.id.clone())),
-                Some(false) if backend.draining => events.push((Kind::BackendDraining, backend.id.clone())),
+                None => events.push((EventKind::BackendListed, backend.id.clone())),
+                Some(false) if backend.draining => {
+                    events.push((EventKind::BackendDraining, backend.id.clone()))
+                }
                 Some(_) => {}
             }
         }
         let is_listed = |id: &&str| listing.backends.iter().any(|backend| backend.id == **id);
         events.extend(
-            before.into_keys().filter(|id| !is_listed(id)).map(|id| (Kind::BackendGone, id.to_owned())),
+            before.into_keys().filter(|id| !is_listed(id)).map(|id| (EventKind::BackendGone, id.to_owned())),
         );
         for (kind, id) in events {
             self.feed.record(now, kind, &id, 0, cause.clone());
@@ -125,61 +127,69 @@
             return;
         }
         self.announced_fresh = fresh;
-        let kind = if fresh { Kind::CopyFresh } else { Kind::CopyDoubtful };
+        let kind = if fresh { EventKind::CopyFresh } else { EventKind::CopyDoubtful };
         self.feed.record_local(now, kind, &self.local_host.to_string(), "by the store's beats".into());
         if fresh {
             // Proxies that wait for a confirmed copy may become ready now.
-            self.send_to_all_proxies(&Rc::new(Down::Items {
-                whole: false,
-                fresh: true,
+            self.send_to_all_proxies(&Rc::new(RegistryToProxy::Items {
+                complete: false,
+                up_to_date: true,
                 entries: Vec::new(),
             }));
         }
     }
 
     /// The entries that a proxy lacks according to the digests of its parts; all entries if it holds none.
-    fn missing_items_message(&self, now: Millis, parts: Option<&[u64]>) -> Down {
-        let entries = self.config.differing(parts.unwrap_or_default());
-        Down::Items { whole: parts.is_none(), fresh: self.freshness.is_fresh(now), entries }
+    fn missing_items_message(&self, now: Millis, parts: Option<&[u64]>) -> RegistryToProxy {
+        let entries = self.config.entries_in_differing_parts(parts.unwrap_or_default());
+        RegistryToProxy::Items {
+            complete: parts.is_none(),
+            up_to_date: self.freshness.is_fresh(now),
+            entries,
+        }
     }
 
     /// A proxy answers a request for its digests. Entries that are only in transit are not resent.
     pub(crate) fn on_config_digests(&mut self, now: Millis, from: Host, parts: &[u64]) {
         let digest = parts.iter().fold(0, |digest, part| digest ^ part);
-        if self.recent_digests.compare(now, self.config.sum(), digest) != CopyStatus::Differing {
+        if self.recent_digests.compare(now, self.config.checksum(), digest) != CopyStatus::Differing {
             return;
         }
         let message = self.missing_items_message(now, Some(parts));
-        if let Down::Items { entries, .. } = &message {
+        if let RegistryToProxy::Items { entries, .. } = &message {
             self.resend_counts.1 += entries.len() as u64;
         }
         self.outputs.push(Output::SendToProxy(from, Rc::new(message)));
     }
 
     /// Starts a session; `parts` are the digests of the configuration that its proxy already holds.
-    pub(crate) fn start_session(&mut self, now: Millis, member: Member, parts: Option<&[u64]>) {
+    pub(crate) fn start_session(&mut self, now: Millis, member: ProxyInfo, parts: Option<&[u64]>) {
         let host = member.host;
         self.outputs.push(Output::Log(
             "session",
-            format!("proxy={host} zone={} life={:x}", member.zone, member.life),
+            format!("proxy={host} zone={} life={:x}", member.zone, member.incarnation),
         ));
         self.feed.record(
             now,
-            Kind::MemberJoined,
+            EventKind::MemberJoined,
             &host.to_string(),
-            member.life,
+            member.incarnation,
             format!("zone {}", member.zone),
         );
         self.members.start_session(member, now);
         let members = self.members_message(now);
-        if let Down::Members(_, count) = &members {
+        if let RegistryToProxy::Proxies(_, count) = &members {
             self.members.record_sent_count(now, *count);
         }
         // The list comes last: it makes a proxy ready, which by then must know the proxies that share the
         // backends.
         let items = self.missing_items_message(now, parts);
-        let messages =
-            [self.registries_message(now), members, items, Down::Listing(self.backend_list.clone())];
+        let messages = [
+            self.registries_message(now),
+            members,
+            items,
+            RegistryToProxy::BackendList(self.backend_list.clone()),
+        ];
         self.outputs.extend(messages.into_iter().map(|message| Output::SendToProxy(host, Rc::new(message))));
         // Tell the other registries at once.
         self.next_heartbeat = now;
@@ -193,31 +203,33 @@
         }
         let contact_age = self.contact_age(now) as u32;
         if let Some(time) = self.maintenance.true_time(now) {
-            self.outputs.push(Output::SendToProxy(from, Rc::new(Down::Time(time.earliest, time.latest))));
+            self.outputs
+                .push(Output::SendToProxy(from, Rc::new(RegistryToProxy::Time(time.earliest, time.latest))));
         }
-        self.outputs.push(Output::SendToProxy(from, Rc::new(Down::Beat { contact_age })));
-        let status = self.recent_digests.compare(now, self.config.sum(), items);
+        self.outputs.push(Output::SendToProxy(from, Rc::new(RegistryToProxy::Heartbeat { contact_age })));
+        let status = self.recent_digests.compare(now, self.config.checksum(), items);
         let comparison = self.members.compare_copy(from, now, status);
         if let Some(lags) = comparison.lag_change {
-            let kind = if lags { Kind::MemberLagging } else { Kind::MemberCurrent };
+            let kind = if lags { EventKind::MemberLagging } else { EventKind::MemberCurrent };
             let cause = format!("its items against those of registry {}", self.local_host);
             self.feed.record_local(now, kind, &from.to_string(), cause);
         }
         if comparison.needs_digests {
             self.resend_counts.0 += 1;
-            self.outputs.push(Output::SendToProxy(from, Rc::new(Down::Compare)));
+            self.outputs.push(Output::SendToProxy(from, Rc::new(RegistryToProxy::RequestDigest)));
         }
         self.highest_list_number = self.highest_list_number.max(listing.0);
         if listing < self.backend_list.stamp {
-            let message = Rc::new(Down::Listing(self.backend_list.clone()));
+            let message = Rc::new(RegistryToProxy::BackendList(self.backend_list.clone()));
             self.outputs.push(Output::SendToProxy(from, message));
         }
     }
 
-    fn members_message(&self, now: Millis) -> Down {
+    fn members_message(&self, now: Millis) -> RegistryToProxy {
         // Only registries need the nodes at which each proxy is idle.
-        let members = self.members.all(now).into_iter().map(|member| Member { quiet: Vec::new(), ..member });
-        Down::Members(members.collect(), self.announced_proxy_count(now))
+        let members =
+            self.members.all(now).into_iter().map(|member| ProxyInfo { idle_nodes: Vec::new(), ..member });
+        RegistryToProxy::Proxies(members.collect(), self.announced_proxy_count(now))
     }
 
     pub(crate) fn announce_members(&mut self, now: Millis) {
--- a/system/membership/src/quota_events.rs
+++ b/system/membership/src/quota_events.rs
@@ -1,8 +1,8 @@
 //! Events for quotas that become exhausted or available again.
 
-use crate::feed::Kind;
+use crate::feed::EventKind;
 use crate::{Millis, RegistryState};
-use fennelscale_messages::news::Grant;
+use fennelscale_messages::session::Grant;
 use std::collections::BTreeMap;
 
 /// For each tenant, when a request for the current window was last refused, and which window that was.
@@ -17,7 +17,7 @@
 impl RegistryState {
     /// Records an answer to a request for units whose count is held here.
     pub(crate) fn record_exhausted_quota(&mut self, now: Millis, grant: &Grant) {
-        if grant.closed || grant.next || grant.units >= 1.0 {
+        if grant.closed || grant.next_window || grant.units >= 1.0 {
             return;
         }
         if let Some(refusal) = self.exhausted_quotas.get_mut(&grant.tenant) {
@@ -26,7 +26,7 @@
             self.exhausted_quotas.insert(grant.tenant.clone(), (now, grant.window));
             let cause =
                 format!("window {} at registry {}, who holds its count", grant.window, self.local_host);
-            self.feed.record_local(now, Kind::QuotaSpent, &format!("t:{}", grant.tenant), cause);
+            self.feed.record_local(now, EventKind::QuotaSpent, &format!("t:{}", grant.tenant), cause);
         }
     }
 
@@ -42,7 +42,7 @@
         for (tenant, window) in recovered {
             self.exhausted_quotas.remove(&tenant);
             let cause = format!("nothing refused since window {window} at registry {}", self.local_host);
-            self.feed.record_local(now, Kind::QuotaBack, &format!("t:{tenant}"), cause);
+            self.feed.record_local(now, EventKind::QuotaBack, &format!("t:{tenant}"), cause);
         }
     }
 }
@@ -51,11 +51,12 @@
 mod tests {
     use super::*;
     use fennelscale_messages::Host;
-    use fennelscale_messages::feed::Wanted;
+    use fennelscale_messages::feed::EventQuery;
 
-    fn events(registry: &RegistryState) -> Vec<(Kind, String)> {
-        let read = registry.feed().read(0.0, &Wanted { what: "t:".into(), ..Wanted::default() });
-        read.events.into_iter().map(|event| (event.kind, event.what)).collect()
+    fn events(registry: &RegistryState) -> Vec<(EventKind, String)> {
+        let read =
+            registry.feed().read(0.0, &EventQuery { subject_prefix: "t:".into(), ..EventQuery::default() });
+        read.events.into_iter().map(|event| (event.kind, event.subject)).collect()
     }
 
     #[test]
@@ -65,9 +66,9 @@
             tenant: "x".into(),
             units,
             window: 3,
-            begins: 0.0,
-            ends: 100.0,
-            next,
+            begins_in: 0.0,
+            ends_in: 100.0,
+            next_window: next,
             closed,
         };
         // Units were granted; none were, but for the next window; none were, since no registry grants.
@@ -79,10 +80,10 @@
             registry.record_exhausted_quota(f64::from(n) * 100.0, &grant(0.0, false, false));
             registry.record_recovered_quotas(f64::from(n) * 100.0);
         }
-        assert_eq!(events(&registry), [(Kind::QuotaSpent, "t:x".to_owned())]);
+        assert_eq!(events(&registry), [(EventKind::QuotaSpent, "t:x".to_owned())]);
         registry.record_recovered_quotas(4900.0 + RECOVERY_TIME);
         registry.record_recovered_quotas(4900.0 + 2.0 * RECOVERY_TIME);
-        let both = [(Kind::QuotaSpent, "t:x".to_owned()), (Kind::QuotaBack, "t:x".to_owned())];
+        let both = [(EventKind::QuotaSpent, "t:x".to_owned()), (EventKind::QuotaBack, "t:x".to_owned())];
         assert_eq!(events(&registry), both);
         assert!(registry.exhausted_quotas.is_empty());
     }
@@ -93,7 +94,15 @@
         for n in 0..3 * MAX_TENANTS {
             let (tenant, units) = (n.to_string(), 0.0);
             let ends = 100.0;
-            let grant = Grant { tenant, units, window: 0, begins: 0.0, ends, next: false, closed: false };
+            let grant = Grant {
+                tenant,
+                units,
+                window: 0,
+                begins_in: 0.0,
+                ends_in: ends,
+                next_window: false,
+                closed: false,
+            };
             registry.record_exhausted_quota(0.0, &grant);
         }
         assert_eq!(registry.exhausted_quotas.len(), MAX_TENANTS);
--- a/system/membership/src/quota_grants.rs
+++ b/system/membership/src/quota_grants.rs
@@ -2,11 +2,11 @@
 //! count.
 
 use crate::{Millis, Output, PEER_TIMEOUT, Peer, RECONNECT_DELAY, RegistryState, duties};
-use fennelscale_config::Fact;
+use fennelscale_config::ParsedItem;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::Entry;
-use fennelscale_messages::news::{Down, Grant};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{Grant, RegistryToProxy};
+use fennelscale_messages::store::Entry;
 use fennelscale_quota_lease::{Ask, Counts, Sent, Terms};
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
             fennelscale_messages::mix(fennelscale_messages::hash(tenant.as_bytes()) ^ u64::from(host.0))
         };
         let local =
-            self.seats.seats.iter().filter(|seat| seat.region == self.location.1).map(|seat| seat.host);
+            self.seats.members.iter().filter(|seat| seat.region == self.location.1).map(|seat| seat.host);
         let reachable = local.filter(|host| *host == self.local_host || self.is_reachable(*host, now));
         reachable.max_by_key(weight).unwrap_or(self.local_host)
     }
@@ -52,8 +52,12 @@
         for sent in sent {
             match sent {
                 Sent::Down(proxy, grant) => match self.relay_routes.get(&proxy) {
-                    Some(via) => self.outputs.push(Output::SendToRegistry(*via, Word::Grant(proxy, grant))),
-                    None => self.outputs.push(Output::SendToProxy(proxy, Rc::new(Down::Grant(grant)))),
+                    Some(via) => {
+                        self.outputs.push(Output::SendToRegistry(*via, RegistryMessage::Grant(proxy, grant)))
+                    }
+                    None => {
+                        self.outputs.push(Output::SendToProxy(proxy, Rc::new(RegistryToProxy::Grant(grant))))
+                    }
                 },
                 Sent::Up(tenant, units, next, demand) => {
                     self.request_from_holder(now, tenant, units, next, demand)
@@ -69,9 +73,10 @@
                 let grant = self.grant_quota(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
                 self.on_relay_grant(now, grant);
             }
-            Some(host) => self
-                .outputs
-                .push(Output::SendToRegistry(host, Word::Ask { from, tenant, units, next, demand })),
+            Some(host) => self.outputs.push(Output::SendToRegistry(
+                host,
+                RegistryMessage::RequestUnits { from, tenant, units, next_window: next, demand },
+            )),
             None => {
                 let terms = self.quota_terms.get(&tenant).copied().unwrap_or_default();
                 self.on_relay_grant(now, unavailable_grant(&tenant, next, terms));
@@ -124,10 +129,11 @@
     /// limit.
     pub(crate) fn update_quota_terms(&mut self, name: &str, entry: &Entry) {
         let Some(tenant) = name.strip_prefix("t:") else { return };
-        let fact = entry.body.as_deref().map(|body| fennelscale_config::fact(name, &entry.host, body));
+        let fact = entry.body.as_deref().map(|body| fennelscale_config::parse_item(name, &entry.host, body));
         match fact {
-            Some(Ok(Fact::Tenant(limits))) if limits.rate > 0.0 => {
-                self.quota_terms.insert(tenant.to_owned(), Terms { rate: limits.rate, burst: limits.burst });
+            Some(Ok(ParsedItem::Tenant(limits))) if limits.rate_per_s > 0.0 => {
+                self.quota_terms
+                    .insert(tenant.to_owned(), Terms { rate: limits.rate_per_s, burst: limits.burst });
             }
             _ => drop(self.quota_terms.remove(tenant)),
         }
@@ -137,5 +143,5 @@
 /// The answer while no registry grants: the proxy spends without grants until the window after next.
 fn unavailable_grant(tenant: &str, next: bool, terms: Terms) -> Grant {
     let (tenant, ends) = (tenant.to_owned(), terms.window());
-    Grant { tenant, units: 0.0, window: 0, begins: 0.0, ends, next, closed: true }
+    Grant { tenant, units: 0.0, window: 0, begins_in: 0.0, ends_in: ends, next_window: next, closed: true }
 }
--- a/system/membership/src/status.rs
+++ b/system/membership/src/status.rs
@@ -11,7 +11,7 @@
         vec![
             ("registry", self.local_host.to_string()),
             ("zone", self.location.0.clone()),
-            ("seats", self.seats.seats.len().to_string()),
+            ("seats", self.seats.members.len().to_string()),
             ("seats_version", self.seats.version.to_string()),
             ("registries_heard", reachable.to_string()),
             ("copy_fresh", self.freshness.is_fresh(now).to_string()),
--- a/system/replication/src/lib.rs
+++ b/system/replication/src/lib.rs
@@ -10,12 +10,12 @@
 //! - Nothing goes out as news before it is chosen; so nobody ever sees a value that might not come to be.
 //! - A call is taken whole or not at all: its entries are one write, taken by each seat in one step of its disk.
 //! - A call that was refused is never in force: who writes next takes from earlier turns only what may have been chosen
-//!   ([`Book::base`]), before it decides on anything.
+//!   ([`Replica::base`]), before it decides on anything.
 //! - Copies merge name by name, the higher stamp stays: order, repetition and loss of words change nothing.
 //!
 //! # What the caller owes
 //!
-//! After each input: take [`Book::writes`], bring them to the disk and sync, and only then carry out [`Book::outs`]. Words to
+//! After each input: take [`Replica::take_writes`], bring them to the disk and sync, and only then carry out [`Replica::take_outputs`]. Words to
 //! one seat go out in order or not at all. `now` never goes back.
 //!
 //! # Inside
@@ -34,28 +34,30 @@
 mod writer;
 
 pub use catch_up::CHUNK_BYTES;
-pub use founding::Founding;
+pub use founding::BootstrapRole;
 pub use position::Progress;
 
 pub use calls::Origin;
 
-use fennelscale_config::Standing;
+use fennelscale_config::ConfigIndex;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    Entry, Member, MemberList, NamedEntry, Stamp, StoreMessage, StoreResponse, Term,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use writer::Turn;
-pub use writer::{OUT_OF_CONTACT, UNTAKEN};
+pub use writer::{ACCEPT_TIMEOUT, QUORUM_CONTACT_TIMEOUT};
 
 /// Milliseconds of a clock that never goes back.
 pub type Millis = f64;
 
 /// The name of the list of seats.
-pub const SEATS: &str = "m:seats";
+pub const MEMBERS_KEY: &str = "m:seats";
 
 /// Between two beats.
-pub const BEAT: Millis = 400.0;
+pub const HEARTBEAT_INTERVAL: Millis = 400.0;
 /// A seat that was not heard for this long is not counted on: three beats, and the longest way.
-pub const SILENT: Millis = 1300.0;
+pub const PEER_TIMEOUT: Millis = 1300.0;
 /// A write that a living writer does not choose is asked for after this.
 const STUCK: Millis = 2600.0;
 /// Seats that ask by themselves do so one after the other, this far apart.
@@ -72,29 +74,29 @@
 
 /// What a seat must not forget beside its items.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
-pub struct Vows {
+pub struct AcceptorState {
     /// Nothing of earlier turns is taken any more.
-    pub promised: Epoch,
+    pub promised: Term,
     /// The turn whose first write was taken last.
-    pub joined: Epoch,
+    pub joined: Term,
 }
 
 /// What was on the disk at the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Memory {
+pub struct PersistedState {
     /// What was promised; none on an empty disk.
-    pub vows: Option<Vows>,
+    pub acceptor: Option<AcceptorState>,
     /// How far the copy goes, and how this store was started first.
     pub progress: Progress,
     /// The items.
     pub items: BTreeMap<String, Item>,
 }
 
-impl Memory {
+impl PersistedState {
     /// What a disk holds after a write.
-    pub fn take(&mut self, writes: Writes) {
-        let Writes { vows, progress, items } = writes;
-        self.vows = vows.or(self.vows);
+    pub fn apply(&mut self, writes: DiskWrites) {
+        let DiskWrites { acceptor, progress, items } = writes;
+        self.acceptor = acceptor.or(self.acceptor);
         self.progress = progress.unwrap_or(self.progress);
         self.items.extend(items);
     }
@@ -102,9 +104,9 @@
 
 /// What must be on the disk before anything is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Writes {
+pub struct DiskWrites {
     /// The promises, where they have changed.
-    pub vows: Option<Vows>,
+    pub acceptor: Option<AcceptorState>,
     /// How far the copy goes, with all else that is written.
     pub progress: Option<Progress>,
     /// The items that have changed.
@@ -113,34 +115,34 @@
 
 /// What the host does, once the writes are safe.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Sends a word to a seat.
-    Send(Host, Word),
+    Send(Host, StoreMessage),
     /// Answers a call of this machine's registry.
-    Answer(u64, Told),
+    Answer(u64, StoreResponse),
     /// Tells the registry of entries that are chosen now.
-    News(Vec<Named>),
+    Chosen(Vec<NamedEntry>),
     /// Tells the registry of the seats.
-    Seats(Seats),
+    Members(MemberList),
     /// Tells the registry whether this copy is as new as a quorum's, with each beat.
-    Fresh(bool),
+    UpToDate(bool),
     /// A line for the log: the event and what it is about.
     Log(&'static str, String),
 }
 
 /// What the machine is told of its place.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ReplicaConfig {
     /// This machine.
-    pub me: Seat,
+    pub local: Member,
     /// Machines that are told to be there, in the order of the settings.
     pub seeds: Vec<Host>,
     /// The whole system starts for the first time.
     pub bootstrap: bool,
     /// The machines, zones and regions that may be lost at once.
-    pub tolerance: (usize, usize, usize),
+    pub fault_tolerance: (usize, usize, usize),
     /// A number of this life, for what is drawn by chance.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -157,12 +159,12 @@
 
 /// One store.
 #[derive(Clone, Debug)]
-pub struct Book {
-    place: Place,
-    vows: Vows,
+pub struct Replica {
+    place: ReplicaConfig,
+    acceptor: AcceptorState,
     items: BTreeMap<String, Item>,
     /// What the items say, by the newest word on each.
-    standing: Standing,
+    standing: ConfigIndex,
     /// Of the chosen entries.
     digest: u64,
     /// The chosen entries by their stamps.
@@ -172,7 +174,7 @@
     progress: Progress,
     contiguous: position::Contiguous,
     transfer: Option<catch_up::Transfer>,
-    seats: Seats,
+    seats: MemberList,
     /// This seat has forgotten nothing.
     votes: bool,
     leaving: bool,
@@ -202,19 +204,19 @@
     learned: BTreeSet<Host>,
     lesson: BTreeMap<String, Item>,
     dirty: BTreeSet<String>,
-    dirty_vows: bool,
+    dirty_acceptor: bool,
     dirty_progress: bool,
-    news: Vec<Named>,
-    out: Vec<Out>,
+    news: Vec<NamedEntry>,
+    out: Vec<Output>,
 }
 
 /// How many of these seats a write needs: so many that two quorums share two seats, where that many are still there after
 /// the losses that are to be borne; else a bare majority, which is what is left then.
-pub fn quorum(seats: &Seats, (machines, zones, regions): (usize, usize, usize)) -> usize {
-    let n = seats.seats.len();
-    let largest = |of: fn(&Seat) -> &str, count: usize| {
+pub fn quorum(seats: &MemberList, (machines, zones, regions): (usize, usize, usize)) -> usize {
+    let n = seats.members.len();
+    let largest = |of: fn(&Member) -> &str, count: usize| {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
-        seats.seats.iter().for_each(|seat| *sizes.entry(of(seat)).or_default() += 1);
+        seats.members.iter().for_each(|seat| *sizes.entry(of(seat)).or_default() += 1);
         let mut sizes: Vec<usize> = sizes.into_values().collect();
         sizes.sort_unstable_by(|a, b| b.cmp(a));
         sizes.into_iter().take(count).sum::<usize>()
@@ -225,29 +227,29 @@
     twice.min(n.saturating_sub(lost)).max(majority).min(n.max(1))
 }
 
-impl Book {
+impl Replica {
     /// A store with what its disk held.
-    pub fn new(place: Place, memory: Memory, now: Millis) -> Self {
-        let Memory { vows, progress, items } = memory;
-        let blank = vows.is_none();
+    pub fn new(place: ReplicaConfig, memory: PersistedState, now: Millis) -> Self {
+        let PersistedState { acceptor, progress, items } = memory;
+        let blank = acceptor.is_none();
         let mut book = Self {
-            vows: vows.unwrap_or_default(),
+            acceptor: acceptor.unwrap_or_default(),
             items,
-            standing: Standing::default(),
+            standing: ConfigIndex::default(),
             digest: 0,
             by_stamp: BTreeSet::new(),
             pending: BTreeSet::new(),
             progress,
             contiguous: position::Contiguous::default(),
             transfer: None,
-            seats: Seats::default(),
+            seats: MemberList::default(),
             votes: false,
             leaving: false,
             turn: Turn::Idle,
             peers: BTreeMap::new(),
             contact: BTreeMap::new(),
             candidates: BTreeMap::new(),
-            calls: calls::Calls::new(place.life),
+            calls: calls::Calls::new(place.incarnation),
             round: 0,
             beat_at: now,
             announce_at: now,
@@ -261,17 +263,17 @@
             learned: BTreeSet::new(),
             lesson: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            dirty_vows: false,
+            dirty_acceptor: false,
             dirty_progress: false,
             news: Vec::new(),
             out: Vec::new(),
             place,
         };
-        book.round = book.vows.promised.round;
+        book.round = book.acceptor.promised.number;
         book.index();
-        book.contiguous = position::Contiguous::at_start(book.progress.position, book.vows.joined);
+        book.contiguous = position::Contiguous::at_start(book.progress.position, book.acceptor.joined);
         book.take_seats();
-        book.votes = !blank && book.is_seat(book.place.me.host);
+        book.votes = !blank && book.is_seat(book.place.local.host);
         book.inherited = !book.pending.is_empty();
         if blank {
             book.note_first_start();
@@ -295,52 +297,52 @@
         }
     }
 
-    /// What must be on the disk before [`Self::outs`] are carried out.
-    pub fn writes(&mut self) -> Writes {
-        let vows = std::mem::take(&mut self.dirty_vows).then_some(self.vows);
+    /// What must be on the disk before [`Self::take_outputs`] are carried out.
+    pub fn take_writes(&mut self) -> DiskWrites {
+        let acceptor = std::mem::take(&mut self.dirty_acceptor).then_some(self.acceptor);
         let dirty = std::mem::take(&mut self.dirty);
         // How far the copy goes is told with what it goes by; alone it is not worth a sync.
-        let write = std::mem::take(&mut self.dirty_progress) || vows.is_some() || !dirty.is_empty();
+        let write = std::mem::take(&mut self.dirty_progress) || acceptor.is_some() || !dirty.is_empty();
         let progress = write.then_some(self.progress);
         let item = |name: String| {
             let item = self.items.get(&name).cloned().unwrap_or_default();
             (name, item)
         };
-        Writes { vows, progress, items: dirty.into_iter().map(item).collect() }
+        DiskWrites { acceptor, progress, items: dirty.into_iter().map(item).collect() }
     }
 
     /// What is to be done, in this order.
-    pub fn outs(&mut self) -> Vec<Out> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         let news = std::mem::take(&mut self.news);
         if !news.is_empty() {
-            self.out.push(Out::News(news));
+            self.out.push(Output::Chosen(news));
         }
         std::mem::take(&mut self.out)
     }
 
     /// All that is chosen, for a registry that begins to listen.
-    pub fn all(&self) -> Vec<Named> {
-        let chosen = self.chosen().filter(|(name, _)| *name != SEATS);
+    pub fn published_entries(&self) -> Vec<NamedEntry> {
+        let chosen = self.chosen_entries().filter(|(name, _)| *name != MEMBERS_KEY);
         chosen.map(|(name, entry)| (name.clone(), versions::published(entry))).collect()
     }
 
     /// The entries that are chosen, the list of seats among them.
-    pub fn chosen(&self) -> impl Iterator<Item = (&String, &Entry)> {
+    pub fn chosen_entries(&self) -> impl Iterator<Item = (&String, &Entry)> {
         self.items.iter().filter_map(|(name, item)| Some((name, item.chosen.as_ref()?)))
     }
 
     /// The list of seats.
-    pub fn seats(&self) -> &Seats {
+    pub fn members(&self) -> &MemberList {
         &self.seats
     }
 
     /// Whether this copy is as new as a quorum's.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_up_to_date(&self) -> bool {
         self.fresh
     }
 
     /// Whether this store is the one that writes.
-    pub fn is_writer(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.turn, Turn::Holding(_))
     }
 
@@ -350,8 +352,8 @@
     }
 
     /// What was promised.
-    pub fn vows(&self) -> Vows {
-        self.vows
+    pub fn acceptor(&self) -> AcceptorState {
+        self.acceptor
     }
 
     /// An item, with what is pending of it.
@@ -360,24 +362,24 @@
     }
 
     fn is_seat(&self, host: Host) -> bool {
-        self.seats.seats.iter().any(|seat| seat.host == host)
+        self.seats.members.iter().any(|seat| seat.host == host)
     }
 
     fn quorum(&self) -> usize {
-        quorum(&self.seats, self.place.tolerance)
+        quorum(&self.seats, self.place.fault_tolerance)
     }
 
     fn others(&self) -> Vec<Host> {
-        let me = self.place.me.host;
-        self.seats.seats.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
+        let me = self.place.local.host;
+        self.seats.members.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
     }
 
-    fn send(&mut self, to: Host, word: Word) {
-        self.out.push(Out::Send(to, word));
+    fn send(&mut self, to: Host, word: StoreMessage) {
+        self.out.push(Output::Send(to, word));
     }
 
     fn log(&mut self, event: &'static str, what: String) {
-        self.out.push(Out::Log(event, what));
+        self.out.push(Output::Log(event, what));
     }
 
     /// The newest word on a name: what is taken in this turn goes before what is chosen.
@@ -388,11 +390,11 @@
 
     fn refact(&mut self, name: &str) {
         let entry = self.view(name).and_then(|e| Some((e.host.clone(), e.body.clone()?)));
-        let fact = entry.and_then(|(host, body)| fennelscale_config::fact(name, &host, &body).ok());
+        let fact = entry.and_then(|(host, body)| fennelscale_config::parse_item(name, &host, &body).ok());
         self.standing.set(name, fact);
     }
 
-    /// Time passes; to be told every so often, at least each quarter of a [`BEAT`].
+    /// Time passes; to be told every so often, at least each quarter of a [`HEARTBEAT_INTERVAL`].
     pub fn tick(&mut self, now: Millis) {
         self.membership_tick(now);
         self.transfer_tick(now);
@@ -402,13 +404,13 @@
             return;
         }
         // After a start others are to find soon that this copy is as new as theirs, or not.
-        self.beat_at = now + if self.fresh { BEAT } else { BEAT / 3.0 };
+        self.beat_at = now + if self.fresh { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
         self.look_stuck(now);
         if self.votes {
-            let beat = Word::Beat {
-                seats: self.seats.version,
-                promised: self.vows.promised,
-                votes: true,
+            let beat = StoreMessage::Heartbeat {
+                members_version: self.seats.version,
+                promised: self.acceptor.promised,
+                voting: true,
                 leaving: self.leaving,
                 unconfirmed: self.inherited,
                 newest: self.newest(),
@@ -426,18 +428,18 @@
     fn look_fresh(&mut self, now: Millis) {
         let position = self.progress.position;
         let covered = |peer: &Peer| {
-            peer.votes && !peer.unconfirmed && now - peer.heard < SILENT && peer.newest <= position
+            peer.votes && !peer.unconfirmed && now - peer.heard < PEER_TIMEOUT && peer.newest <= position
         };
         let heard = self.others().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
         let enough = heard + usize::from(self.votes) >= self.quorum();
-        self.fresh = !self.seats.seats.is_empty() && enough && !self.inherited;
+        self.fresh = !self.seats.members.is_empty() && enough && !self.inherited;
         // Said with each beat: the registry goes by it for a while only, since a store that hangs cannot take it back.
-        self.out.push(Out::Fresh(self.fresh));
+        self.out.push(Output::UpToDate(self.fresh));
     }
 
     /// Seats that ask by themselves take their turns, by their place in the list.
     pub(crate) fn place_in_list(&self) -> f64 {
-        self.seats.seats.iter().position(|seat| seat.host == self.place.me.host).unwrap_or(0) as f64
+        self.seats.members.iter().position(|seat| seat.host == self.place.local.host).unwrap_or(0) as f64
     }
 
     /// A write that was taken here stays unknown where its writer died before it could say that it is chosen, though it may have
@@ -455,7 +457,7 @@
         let since = self.stuck.filter(|(stamp, _)| *stamp == oldest).map_or(now, |(_, since)| since);
         self.stuck = Some((oldest, since));
         // A writer that lives will say so, unless it has forgotten.
-        let wait = if self.writer(now).is_some() { STUCK } else { SILENT };
+        let wait = if self.writer(now).is_some() { STUCK } else { PEER_TIMEOUT };
         if now - since >= wait + self.place_in_list() * APART {
             self.stuck = None;
             self.ask_turn(now);
@@ -463,15 +465,23 @@
     }
 
     /// A word from another store.
-    pub fn word(&mut self, now: Millis, from: Host, word: Word) {
+    pub fn receive(&mut self, now: Millis, from: Host, word: StoreMessage) {
         // Only who writes, or asks to, goes by it.
         if !matches!(self.turn, Turn::Idle) && self.is_seat(from) {
             self.contact.insert(from, now);
         }
         match word {
-            Word::Announce { seat, position } => self.on_announce(now, from, seat, position),
-            Word::Beat { seats, promised, votes, leaving, unconfirmed, newest, digest } => {
-                self.round = self.round.max(promised.round);
+            StoreMessage::Announce { member: seat, position } => self.on_announce(now, from, seat, position),
+            StoreMessage::Heartbeat {
+                members_version: seats,
+                promised,
+                voting: votes,
+                leaving,
+                unconfirmed,
+                newest,
+                digest,
+            } => {
+                self.round = self.round.max(promised.number);
                 let peer = self.peers.entry(from).or_default();
                 (peer.heard, peer.votes, peer.leaving) = (now, votes, leaving);
                 (peer.unconfirmed, peer.newest) = (unconfirmed, newest);
@@ -485,33 +495,33 @@
                     self.compare(now, from, newest, digest);
                 }
             }
-            Word::Prepare(epoch, since) => self.on_prepare(from, epoch, since),
-            Word::Promise { epoch, joined, chosen, more, pending } => {
+            StoreMessage::Prepare(epoch, since) => self.on_prepare(from, epoch, since),
+            StoreMessage::Promise { term: epoch, joined, chosen, more, pending } => {
                 if more {
                     self.give_up_asking(now, from, epoch);
                 } else {
                     self.on_promise(now, from, epoch, joined, chosen, pending);
                 }
             }
-            Word::Begin { epoch, entries, digest, lacked } => {
+            StoreMessage::BeginTerm { term: epoch, entries, digest, missing: lacked } => {
                 self.on_begin(from, epoch, entries, digest, lacked);
             }
-            Word::Accept { stamp, entries, chosen } => self.on_accept(from, stamp, entries, chosen),
-            Word::Accepted(stamp) => self.on_accepted(now, from, stamp),
-            Word::Refused(epoch) => self.on_refused(epoch),
-            Word::Behind(epoch, since) => self.on_behind(from, epoch, since),
-            Word::Chosen(stamp) => self.choose(stamp.epoch, stamp.turn + 1),
-            Word::SeatList(entry) => self.merge(vec![(SEATS.to_owned(), entry)]),
-            Word::CatchUp => self.begin_transfer(now, from),
-            Word::Fetch { since, after } => self.on_fetch(from, since, after),
-            Word::Chunk(chunk) => self.on_chunk(now, from, chunk),
-            Word::Learn(since) => self.on_learn(from, since),
-            Word::Learned { more: true, .. } => self.begin_transfer(now, from),
-            Word::Learned { promised, joined, chosen, more: false, pending } => {
+            StoreMessage::Accept { stamp, entries, chosen } => self.on_accept(from, stamp, entries, chosen),
+            StoreMessage::Accepted(stamp) => self.on_accepted(now, from, stamp),
+            StoreMessage::Rejected(epoch) => self.on_refused(epoch),
+            StoreMessage::Behind(epoch, since) => self.on_behind(from, epoch, since),
+            StoreMessage::Chosen(stamp) => self.choose(stamp.term, stamp.sequence + 1),
+            StoreMessage::MemberList(entry) => self.merge(vec![(MEMBERS_KEY.to_owned(), entry)]),
+            StoreMessage::CatchUp => self.begin_transfer(now, from),
+            StoreMessage::Fetch { since, after } => self.on_fetch(from, since, after),
+            StoreMessage::Chunk(chunk) => self.on_chunk(now, from, chunk),
+            StoreMessage::Recover(since) => self.on_learn(from, since),
+            StoreMessage::RecoveryState { more: true, .. } => self.begin_transfer(now, from),
+            StoreMessage::RecoveryState { promised, joined, chosen, more: false, pending } => {
                 self.on_learned(from, promised, joined, chosen, pending);
             }
-            Word::Pass(id, ask) => self.call(now, Origin::Seat(from, id), ask),
-            Word::Passed(id, told) => self.on_passed(now, from, id, told),
+            StoreMessage::Forward(id, ask) => self.submit(now, Origin::Peer(from, id), ask),
+            StoreMessage::ForwardResponse(id, told) => self.on_passed(now, from, id, told),
         }
     }
 }
--- a/system/replication/tests/world/mod.rs
+++ b/system/replication/tests/world/mod.rs
@@ -3,9 +3,9 @@
 //! as news is noted and compared.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Change, Seat, Told, Word};
 use fennelscale_messages::mix;
-use fennelscale_replication::{Book, Item, Memory, Origin, Out, Place, Vows};
+use fennelscale_messages::store::{Change, Member, StoreMessage, StoreRequest, StoreResponse};
+use fennelscale_replication::{AcceptorState, Item, Origin, Output, PersistedState, Replica, ReplicaConfig};
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP: f64 = 50.0;
@@ -30,9 +30,9 @@
 }
 
 struct Node {
-    seat: Seat,
-    disk: Memory,
-    book: Option<Book>,
+    seat: Member,
+    disk: PersistedState,
+    book: Option<Replica>,
     lives: u64,
     /// Versions that went out as news in this life.
     seen: BTreeMap<String, u64>,
@@ -40,8 +40,8 @@
 }
 
 struct Call {
-    ask: Ask,
-    told: Option<Told>,
+    ask: StoreRequest,
+    told: Option<StoreResponse>,
     began: f64,
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// A word on its way: to, from, and the lives of both when it was sent.
-type Sent = (usize, usize, Word, u64, u64);
+type Sent = (usize, usize, StoreMessage, u64, u64);
 
 pub struct World {
     pub now: f64,
@@ -78,12 +78,12 @@
     longest: usize,
 }
 
-fn seat(n: usize, zone: usize) -> Seat {
-    Seat { host: Host(n as u32 + 1), zone: format!("z{zone}"), region: format!("r{}", zone % 3) }
+fn seat(n: usize, zone: usize) -> Member {
+    Member { host: Host(n as u32 + 1), zone: format!("z{zone}"), region: format!("r{}", zone % 3) }
 }
 
 fn node(n: usize, zone: usize) -> Node {
-    let (disk, seen) = (Memory::default(), BTreeMap::new());
+    let (disk, seen) = (PersistedState::default(), BTreeMap::new());
     Node { seat: seat(n, zone), disk, book: None, lives: 0, seen, gone: false }
 }
 
@@ -136,14 +136,14 @@
         }
         node.lives += 1;
         node.seen.clear();
-        let place = Place {
-            me: node.seat.clone(),
+        let place = ReplicaConfig {
+            local: node.seat.clone(),
             seeds,
             bootstrap,
-            tolerance: (1, 1, 1),
-            life: mix(n as u64 ^ node.lives << 32) >> 24,
+            fault_tolerance: (1, 1, 1),
+            incarnation: mix(n as u64 ^ node.lives << 32) >> 24,
         };
-        node.book = Some(Book::new(place, node.disk.clone(), now));
+        node.book = Some(Replica::new(place, node.disk.clone(), now));
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -154,11 +154,14 @@
         self.kill(n);
         let forgets = self.mutant != Mutant::AmnesiacVotes;
         let node = &mut self.nodes[n];
-        let (vows, seats) = (node.disk.vows, node.disk.items.remove(fennelscale_replication::SEATS));
-        node.disk = Memory::default();
+        let (acceptor, seats) =
+            (node.disk.acceptor, node.disk.items.remove(fennelscale_replication::MEMBERS_KEY));
+        node.disk = PersistedState::default();
         if !forgets {
-            node.disk.vows = vows.map(|_| Vows::default());
-            node.disk.items.extend(seats.map(|seats| (fennelscale_replication::SEATS.to_owned(), seats)));
+            node.disk.acceptor = acceptor.map(|_| AcceptorState::default());
+            node.disk
+                .items
+                .extend(seats.map(|seats| (fennelscale_replication::MEMBERS_KEY.to_owned(), seats)));
         }
     }
 
@@ -173,7 +176,7 @@
         if planned {
             self.start(fresh, false);
             self.run(500.0);
-            self.with(n, Book::leave);
+            self.with(n, Replica::begin_leave);
             self.run(700.0);
         }
         self.kill(n);
@@ -201,28 +204,31 @@
         self.nodes.iter().position(|node| node.seat.host == host)
     }
 
-    fn with(&mut self, n: usize, input: impl FnOnce(&mut Book, f64)) {
+    fn with(&mut self, n: usize, input: impl FnOnce(&mut Replica, f64)) {
         let now = self.now;
         let Some(book) = self.nodes[n].book.as_mut() else { return };
         input(book, now);
-        let writes = book.writes();
-        let outs = book.outs();
+        let writes = book.take_writes();
+        let outs = book.take_outputs();
         // A host that does not sync loses what the last steps wrote.
         if self.mutant != Mutant::NoSync || self.chance.share() < 0.3 {
-            self.nodes[n].disk.take(writes);
+            self.nodes[n].disk.apply(writes);
         }
         outs.into_iter().for_each(|out| self.carry_out(n, out));
     }
 
-    fn carry_out(&mut self, n: usize, out: Out) {
+    fn carry_out(&mut self, n: usize, out: Output) {
         match out {
-            Out::Send(to, word) => {
+            Output::Send(to, word) => {
                 let Some(to) = self.at(to) else { return };
                 if matches!(
                     word,
-                    Word::Chunk(_) | Word::Learned { .. } | Word::Promise { .. } | Word::Begin { .. }
+                    StoreMessage::Chunk(_)
+                        | StoreMessage::RecoveryState { .. }
+                        | StoreMessage::Promise { .. }
+                        | StoreMessage::BeginTerm { .. }
                 ) {
-                    self.longest = self.longest.max(fennelscale_messages::frame(&word).len());
+                    self.longest = self.longest.max(fennelscale_messages::encode_frame(&word).len());
                 }
                 let near = self.nodes[n].seat.region == self.nodes[to].seat.region;
                 let way = if near { 1.0 } else { 55.0 } * (1.0 + 0.5 * self.chance.share());
@@ -233,13 +239,13 @@
                 let lives = (self.nodes[n].lives, self.nodes[to].lives);
                 self.wire.insert(((due * 1000.0) as u64, self.order), (to, n, word, lives.0, lives.1));
             }
-            Out::News(entries) => entries.into_iter().for_each(|entry| self.news(n, entry)),
-            Out::Answer(id, told) => self.answered(id, told),
-            Out::Seats(_) | Out::Fresh(_) | Out::Log(..) => {}
+            Output::Chosen(entries) => entries.into_iter().for_each(|entry| self.news(n, entry)),
+            Output::Answer(id, told) => self.answered(id, told),
+            Output::Members(_) | Output::UpToDate(_) | Output::Log(..) => {}
         }
     }
 
-    fn news(&mut self, n: usize, (name, entry): fennelscale_messages::depot::Named) {
+    fn news(&mut self, n: usize, (name, entry): fennelscale_messages::store::NamedEntry) {
         let content = entry.body.clone().map(|body| format!("{}{body}", entry.host));
         let known = self.contents.entry((name.clone(), entry.revision)).or_insert_with(|| content.clone());
         if *known != content {
@@ -255,8 +261,8 @@
         };
         // Another call with the very same change may have been taken where this one was refused.
         let another = self.calls.values().any(|call| {
-            let refused = matches!(call.told, Some(Told::Conflict(_) | Told::Invalid(_)));
-            let Ask::Change(changes) = &call.ask else { return false };
+            let refused = matches!(call.told, Some(StoreResponse::Conflict(_) | StoreResponse::Invalid(_)));
+            let StoreRequest::Change(changes) = &call.ask else { return false };
             let same = |c: &Change| c.name == name && c.revision == entry.revision && c.body == entry.body;
             !refused && changes.iter().any(same)
         });
@@ -265,13 +271,15 @@
         }
     }
 
-    fn answered(&mut self, id: u64, told: Told) {
+    fn answered(&mut self, id: u64, told: StoreResponse) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call.told.is_some() {
             self.broken.push(format!("call {id} was answered twice"));
         }
-        if let (Told::Conflict(_) | Told::Invalid(_), Ask::Change(changes)) = (&told, &call.ask) {
+        if let (StoreResponse::Conflict(_) | StoreResponse::Invalid(_), StoreRequest::Change(changes)) =
+            (&told, &call.ask)
+        {
             for c in changes {
                 let standing = self.contents.contains_key(&(c.name.clone(), c.revision));
                 // What stood before it was refused is not this call's doing.
@@ -280,21 +288,21 @@
                 }
             }
         }
-        self.acknowledged += usize::from(told == Told::Done);
+        self.acknowledged += usize::from(told == StoreResponse::Done);
         call.told = Some(told);
     }
 
     pub fn is_writer(&self, n: usize) -> bool {
-        self.nodes[n].book.as_ref().is_some_and(Book::is_writer)
+        self.nodes[n].book.as_ref().is_some_and(Replica::is_leader)
     }
 
     pub fn is_fresh(&self, n: usize) -> bool {
-        self.nodes[n].book.as_ref().is_some_and(Book::is_fresh)
+        self.nodes[n].book.as_ref().is_some_and(Replica::is_up_to_date)
     }
 
     /// Machines with a seat, as a store knows the list.
     pub fn seats(&self, n: usize) -> Vec<usize> {
-        let seats = self.nodes[n].book.iter().flat_map(|book| &book.seats().seats);
+        let seats = self.nodes[n].book.iter().flat_map(|book| &book.members().members);
         seats.filter_map(|seat| self.at(seat.host)).collect()
     }
 
@@ -315,11 +323,11 @@
 
     /// A store is told that its process is about to end.
     pub fn leave(&mut self, n: usize) {
-        self.with(n, Book::leave);
+        self.with(n, Replica::begin_leave);
     }
 
     pub fn waits_to_leave(&self, n: usize) -> Option<&'static str> {
-        self.nodes[n].book.as_ref().and_then(|book| book.waits_to_leave(self.now))
+        self.nodes[n].book.as_ref().and_then(|book| book.leave_blocker(self.now))
     }
 
     /// The most bytes that one message has had so far.
@@ -329,7 +337,7 @@
 
     /// The one who writes, if one does.
     pub fn writer(&self) -> Option<usize> {
-        (0..self.len()).find(|n| self.nodes[*n].book.as_ref().is_some_and(Book::is_writer))
+        (0..self.len()).find(|n| self.nodes[*n].book.as_ref().is_some_and(Replica::is_leader))
     }
 
     /// A process dies, and what it had sent is lost with it.
@@ -339,18 +347,20 @@
     }
 
     /// Hands a store a word; what it answers its sender.
-    pub fn hand(&mut self, to: usize, from: usize, word: Word) -> Vec<Word> {
+    pub fn hand(&mut self, to: usize, from: usize, word: StoreMessage) -> Vec<StoreMessage> {
         let (now, host) = (self.now, self.nodes[from].seat.host);
         let Some(book) = self.nodes[to].book.as_mut() else { return Vec::new() };
-        book.word(now, host, word);
-        let answers = book.outs().into_iter();
+        book.receive(now, host, word);
+        let answers = book.take_outputs().into_iter();
         answers
-            .filter_map(|out| if let Out::Send(to, word) = out { (to == host).then_some(word) } else { None })
+            .filter_map(
+                |out| if let Output::Send(to, word) = out { (to == host).then_some(word) } else { None },
+            )
             .collect()
     }
 
-    pub fn vows(&self, n: usize) -> Option<Vows> {
-        self.nodes[n].book.as_ref().map(Book::vows)
+    pub fn acceptor(&self, n: usize) -> Option<AcceptorState> {
+        self.nodes[n].book.as_ref().map(Replica::acceptor)
     }
 
     /// A machine whose place was taken starts again.
@@ -360,7 +370,7 @@
     }
 
     pub fn is_voting(&self, n: usize) -> Option<bool> {
-        self.nodes[n].book.as_ref().map(Book::is_voting)
+        self.nodes[n].book.as_ref().map(Replica::is_voting)
     }
 
     pub fn item(&self, n: usize, name: &str) -> Option<Item> {
@@ -369,22 +379,22 @@
 
     /// What a store holds as chosen, in one hash.
     pub fn digest(&self, n: usize) -> u64 {
-        let chosen = self.nodes[n].book.iter().flat_map(Book::chosen);
+        let chosen = self.nodes[n].book.iter().flat_map(Replica::chosen_entries);
         chosen.fold(0, |digest, (name, entry)| digest ^ fennelscale_config::entry_hash((name, entry)))
     }
 
-    pub fn position(&self, n: usize) -> fennelscale_messages::depot::Stamp {
-        self.nodes[n].book.as_ref().map(Book::position).unwrap_or_default()
+    pub fn position(&self, n: usize) -> fennelscale_messages::store::Stamp {
+        self.nodes[n].book.as_ref().map(Replica::position).unwrap_or_default()
     }
 
-    pub fn call(&mut self, n: usize, ask: Ask) -> u64 {
+    pub fn call(&mut self, n: usize, ask: StoreRequest) -> u64 {
         let id = self.calls.len() as u64 + 1;
         self.calls.insert(id, Call { ask: ask.clone(), told: None, began: self.now });
-        self.with(n, |book, now| book.call(now, Origin::Registry(id), ask));
+        self.with(n, |book, now| book.submit(now, Origin::Registry(id), ask));
         id
     }
 
-    pub fn told(&self, id: u64) -> Option<Told> {
+    pub fn told(&self, id: u64) -> Option<StoreResponse> {
         self.calls.get(&id).and_then(|call| call.told.clone())
     }
 
@@ -404,13 +414,13 @@
                 let stands = self.nodes[to].lives == to_life && self.nodes[from].lives == from_life;
                 if stands && !self.cut.contains(&(from, to)) {
                     let host = self.nodes[from].seat.host;
-                    self.with(to, |book, now| book.word(now, host, word));
+                    self.with(to, |book, now| book.receive(now, host, word));
                 }
             }
             self.now = next_tick;
-            (0..self.nodes.len()).for_each(|n| self.with(n, Book::tick));
-            let writers = self.nodes.iter().filter_map(|n| n.book.as_ref()).filter(|b| b.is_writer());
-            let mut turns: Vec<_> = writers.map(|b| b.vows().promised).collect();
+            (0..self.nodes.len()).for_each(|n| self.with(n, Replica::tick));
+            let writers = self.nodes.iter().filter_map(|n| n.book.as_ref()).filter(|b| b.is_leader());
+            let mut turns: Vec<_> = writers.map(|b| b.acceptor().promised).collect();
             turns.sort_unstable();
             if turns.windows(2).any(|pair| pair[0] == pair[1]) {
                 self.broken.push("two write in one turn".into());
@@ -426,22 +436,22 @@
         let live: Vec<usize> = (0..self.len()).filter(|n| !self.nodes[*n].gone).collect();
         for n in live {
             let read = (0..6).find_map(|_| {
-                let id = self.call(n, Ask::Read);
+                let id = self.call(n, StoreRequest::Read);
                 self.run(1500.0);
-                if let Some(Told::Items(items)) = self.told(id) { Some(items) } else { None }
+                if let Some(StoreResponse::Items(items)) = self.told(id) { Some(items) } else { None }
             });
             match read {
                 Some(items) => self.compare(n, &items.into_iter().collect()),
                 None => {
                     let state = |node: &Node| {
                         let book = node.book.as_ref()?;
-                        let seats: Vec<u32> = book.seats().seats.iter().map(|s| s.host.0).collect();
+                        let seats: Vec<u32> = book.members().members.iter().map(|s| s.host.0).collect();
                         Some((
                             node.seat.host.0,
                             node.gone,
                             book.is_voting(),
-                            book.is_writer(),
-                            book.vows(),
+                            book.is_leader(),
+                            book.acceptor(),
                             seats,
                         ))
                     };
@@ -452,11 +462,12 @@
         }
     }
 
-    fn compare(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::depot::Entry>) {
-        let changes =
-            |call: &Call| if let Ask::Change(changes) = &call.ask { changes.clone() } else { Vec::new() };
+    fn compare(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::store::Entry>) {
+        let changes = |call: &Call| {
+            if let StoreRequest::Change(changes) = &call.ask { changes.clone() } else { Vec::new() }
+        };
         let mut broken = Vec::new();
-        for call in self.calls.values().filter(|call| call.told == Some(Told::Done)) {
+        for call in self.calls.values().filter(|call| call.told == Some(StoreResponse::Done)) {
             for change in changes(call) {
                 let standing = items.get(&change.name);
                 // A newer version that dropped it may be in force.
@@ -478,9 +489,10 @@
                     ));
                 }
             }
-            if let Ask::Evacuate(zone, on, _) = &call.ask {
-                let later =
-                    |o: &Call| matches!(&o.ask, Ask::Evacuate(z, ..) if z == zone) && o.began > call.began;
+            if let StoreRequest::Evacuate(zone, on, _) = &call.ask {
+                let later = |o: &Call| {
+                    matches!(&o.ask, StoreRequest::Evacuate(z, ..) if z == zone) && o.began > call.began
+                };
                 if !self.calls.values().any(later) {
                     let stands = self.nodes[n].book.as_ref().and_then(|b| b.item(&format!("e:{zone}")));
                     let stands = stands.and_then(|i| i.chosen.as_ref()).is_some_and(|e| e.body.is_some());
@@ -511,7 +523,7 @@
 
 /// Has the stores take their first call.
 pub fn ready(world: &mut World) {
-    let id = world.call(1, Ask::Change(vec![service(), change(0, 1, 0, 0)]));
+    let id = world.call(1, StoreRequest::Change(vec![service(), change(0, 1, 0, 0)]));
     world.run(1500.0);
-    assert_eq!(world.told(id), Some(Told::Done), "the first call is taken");
+    assert_eq!(world.told(id), Some(StoreResponse::Done), "the first call is taken");
 }
--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -3,23 +3,23 @@
 use crate::Millis;
 use fennelscale_membership::RegistryState;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Seat, Told, Word};
-use fennelscale_replication::{Book, Memory, Origin, Out, Place};
+use fennelscale_messages::store::{Member, StoreMessage, StoreRequest, StoreResponse};
+use fennelscale_replication::{Origin, Output, PersistedState, Replica, ReplicaConfig};
 
 /// A store reads its disk and has dialled its registry after this, in ms.
 const JOINS: Millis = 250.0;
 
 /// What a store sends, and what its registry's callers hear.
 pub(crate) enum Does {
-    Send(Host, Word),
-    Answer(u64, Told),
+    Send(Host, StoreMessage),
+    Answer(u64, StoreResponse),
 }
 
 /// One core machine.
 pub(crate) struct Core {
-    pub(crate) seat: Seat,
-    disk: Memory,
-    pub(crate) book: Option<Book>,
+    pub(crate) seat: Member,
+    disk: PersistedState,
+    pub(crate) book: Option<Replica>,
     pub(crate) round: Option<RegistryState>,
     /// Counts starts of either process: lines of an earlier life are closed.
     pub(crate) lives: u64,
@@ -31,7 +31,7 @@
 impl Core {
     pub(crate) fn new(n: usize, zones: usize, regions: usize) -> Self {
         let zone = n % zones;
-        let seat = Seat {
+        let seat = Member {
             host: Host(n as u32 + 1),
             zone: format!("z{zone}"),
             region: format!("r{}", zone % regions),
@@ -41,11 +41,19 @@
 
     /// An empty machine at another address in the zone of one that is gone.
     pub(crate) fn in_place_of(gone: &Self, n: usize) -> Self {
-        Self::empty(Seat { host: Host(n as u32 + 1), ..gone.seat.clone() })
+        Self::empty(Member { host: Host(n as u32 + 1), ..gone.seat.clone() })
     }
 
-    fn empty(seat: Seat) -> Self {
-        Self { seat, disk: Memory::default(), book: None, round: None, lives: 0, next: 0, joins: None }
+    fn empty(seat: Member) -> Self {
+        Self {
+            seat,
+            disk: PersistedState::default(),
+            book: None,
+            round: None,
+            lives: 0,
+            next: 0,
+            joins: None,
+        }
     }
 
     pub(crate) fn start(&mut self, now: Millis, seeds: &[Host], bootstrap: bool) {
@@ -54,9 +62,14 @@
         }
         self.lives += 1;
         let life = fennelscale_messages::mix(u64::from(self.seat.host.0) << 32 ^ self.lives) >> 24;
-        let place =
-            Place { me: self.seat.clone(), seeds: seeds.to_vec(), bootstrap, tolerance: (1, 1, 1), life };
-        let book = Book::new(place, self.disk.clone(), now);
+        let place = ReplicaConfig {
+            local: self.seat.clone(),
+            seeds: seeds.to_vec(),
+            bootstrap,
+            fault_tolerance: (1, 1, 1),
+            incarnation: life,
+        };
+        let book = Replica::new(place, self.disk.clone(), now);
         let round =
             RegistryState::new(self.seat.host, life, &self.seat.zone, &self.seat.region, bootstrap, now);
         self.joins = Some(now + JOINS);
@@ -70,7 +83,7 @@
 
     pub(crate) fn wipe(&mut self) {
         self.kill();
-        self.disk = Memory::default();
+        self.disk = PersistedState::default();
     }
 
     /// The store has dialled its registry and tells all that it holds.
@@ -80,39 +93,39 @@
         }
         let (Some(book), Some(round)) = (&self.book, self.round.as_mut()) else { return };
         self.joins = None;
-        round.on_seats(now, book.seats().clone());
-        round.on_items(now, true, book.all());
-        round.on_store_freshness(now, book.is_fresh());
+        round.on_seats(now, book.members().clone());
+        round.on_items(now, true, book.published_entries());
+        round.on_store_freshness(now, book.is_up_to_date());
     }
 
     /// Gives the store an input; what it writes is on the disk before anything of it is sent.
-    pub(crate) fn store(&mut self, now: Millis, input: impl FnOnce(&mut Book, Millis)) -> Vec<Does> {
+    pub(crate) fn store(&mut self, now: Millis, input: impl FnOnce(&mut Replica, Millis)) -> Vec<Does> {
         self.join(now);
         let joined = self.joins.is_none();
         let Some(book) = self.book.as_mut() else { return Vec::new() };
         input(book, now);
-        self.disk.take(book.writes());
-        let outs = book.outs();
+        self.disk.apply(book.take_writes());
+        let outs = book.take_outputs();
         let mut does = Vec::new();
         for out in outs {
             let Some(round) = self.round.as_mut() else { break };
             match out {
-                Out::Send(to, word) => does.push(Does::Send(to, word)),
-                Out::Answer(id, told) => does.push(Does::Answer(id, told)),
-                Out::News(_) | Out::Seats(_) | Out::Fresh(_) if !joined => {}
-                Out::News(entries) => round.on_items(now, false, entries),
-                Out::Seats(seats) => round.on_seats(now, seats),
-                Out::Fresh(fresh) => round.on_store_freshness(now, fresh),
-                Out::Log(..) => {}
+                Output::Send(to, word) => does.push(Does::Send(to, word)),
+                Output::Answer(id, told) => does.push(Does::Answer(id, told)),
+                Output::Chosen(_) | Output::Members(_) | Output::UpToDate(_) if !joined => {}
+                Output::Chosen(entries) => round.on_items(now, false, entries),
+                Output::Members(seats) => round.on_seats(now, seats),
+                Output::UpToDate(fresh) => round.on_store_freshness(now, fresh),
+                Output::Log(..) => {}
             }
         }
         does
     }
 
     /// Has the store decide on a call; its number.
-    pub(crate) fn ask(&mut self, now: Millis, ask: Ask) -> (u64, Vec<Does>) {
+    pub(crate) fn ask(&mut self, now: Millis, ask: StoreRequest) -> (u64, Vec<Does>) {
         self.next += 1;
         let id = self.lives << 32 | self.next;
-        (id, self.store(now, |book, now| book.call(now, Origin::Registry(id), ask)))
+        (id, self.store(now, |book, now| book.submit(now, Origin::Registry(id), ask)))
     }
 }
