--- a/system/membership/src/contact.rs
+++ b/system/membership/src/contact.rs
@@ -5,12 +5,12 @@
 use crate::{Millis, RegistryState};
 use fennelscale_messages::session::CONTACT_LEASE;
 
-/// How long a registry that knows no voters is assumed to wait for the bootstrap of the cluster.
+/// How long a registry that knows no core members is assumed to wait for the bootstrap of the cluster.
 const BOOTSTRAP_WAIT: Millis = 4000.0;
 
 impl RegistryState {
-    /// Time since this registry was last in contact, that is, had heard from a majority of the voters and its
-    /// store's copy was as new as a quorum's.
+    /// Time since this registry was last in contact, that is, had heard from a majority of the core members
+    /// and its store's copy was as new as a quorum's.
     pub fn contact_age(&self, now: Millis) -> Millis {
         // The store's confirmation ages like all contact, because a store that hangs cannot revoke it.
         (now - self.majority_heard_at(now).min(self.freshness.confirmed_at()).max(self.startup_grace_end()))
@@ -22,10 +22,10 @@
         self.contact_age(now) > CONTACT_LEASE
     }
 
-    /// The latest time at which a majority of the voters, including this one, had been heard from.
+    /// The latest time at which a majority of the core members, including this one, had been heard from.
     fn majority_heard_at(&self, now: Millis) -> Millis {
-        let heard = |host| self.peers.get(&host).map_or(self.started_at, |peer| peer.last_heard);
-        let mut heard: Vec<Millis> = self.other_voters().into_iter().map(heard).collect();
+        let last_heard = |host| self.peers.get(&host).map_or(self.started_at, |peer| peer.last_heard);
+        let mut heard: Vec<Millis> = self.other_core_members().into_iter().map(last_heard).collect();
         heard.sort_by(|a, b| b.total_cmp(a));
         match self.majority().checked_sub(2) {
             None => now,
@@ -33,9 +33,10 @@
         }
     }
 
-    /// A registry that has just started counts as in contact until this time; one that knows no voters may
-    /// wait for the bootstrap.
+    /// A registry that has just started counts as in contact until this time; one that knows no core members
+    /// may wait for the bootstrap.
     fn startup_grace_end(&self) -> Millis {
-        self.started_at + if self.seats.members.is_empty() { BOOTSTRAP_WAIT - CONTACT_LEASE } else { 0.0 }
+        self.started_at
+            + if self.core_members.members.is_empty() { BOOTSTRAP_WAIT - CONTACT_LEASE } else { 0.0 }
     }
 }
--- a/system/membership/src/copies.rs
+++ b/system/membership/src/copies.rs
@@ -5,9 +5,9 @@
 //!
 //! - A copy counts as fresh for [`CONTACT_LEASE`] after the store's last confirmation and no longer: a store
 //!   that hangs cannot revoke its confirmation.
-//! - A proxy whose digest is one that this copy had within [`RECENT_DIGEST_AGE`] lacks only changes that are
-//!   in transit. Only a proxy with another digest in two consecutive heartbeats is compared with, part by
-//!   part, and sent the parts that differ.
+//! - A proxy whose checksum is one that this copy had within [`RECENT_CHECKSUM_AGE`] lacks only changes that
+//!   are in transit. Only a proxy with another checksum in two consecutive heartbeats is compared with, part
+//!   by part, and sent the parts that differ.
 //! - Comparisons with one proxy are [`MIN_COMPARE_INTERVAL`] apart, with exponential backoff up to
 //!   [`MAX_COMPARE_INTERVAL`]: resent data never fills a link so that it has to be sent again.
 
@@ -15,16 +15,16 @@
 use fennelscale_messages::session::CONTACT_LEASE;
 use std::collections::VecDeque;
 
-/// How long after the next change an earlier digest counts as recent: twice the longest network delay, plus a
-/// full link.
-pub const RECENT_DIGEST_AGE: Millis = 1500.0;
+/// How long after the next change an earlier checksum counts as recent: twice the longest network delay, plus
+/// a full link.
+pub const RECENT_CHECKSUM_AGE: Millis = 1500.0;
 /// Interval between the first two comparisons with a proxy.
 const MIN_COMPARE_INTERVAL: Millis = 1000.0;
 /// Maximum interval between comparisons with a proxy.
 const MAX_COMPARE_INTERVAL: Millis = 8000.0;
-/// Maximum of remembered digests; with more changes than this at a time, a proxy may be compared with
+/// Maximum of remembered checksums; with more changes than this at a time, a proxy may be compared with
 /// needlessly.
-const MAX_RECENT_DIGESTS: usize = 4096;
+const MAX_RECENT_CHECKSUMS: usize = 4096;
 
 /// Whether the store confirmed that the copy is as new as a quorum's, and when.
 #[derive(Clone, Copy, Debug)]
@@ -59,7 +59,7 @@
     }
 }
 
-/// What a proxy's digest says of its copy.
+/// What a proxy's checksum says of its copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CopyStatus {
     /// The copies are equal.
@@ -70,25 +70,25 @@
     Differing,
 }
 
-/// The digests that this copy had recently, with the time at which each was superseded.
+/// The checksums that this copy had recently, with the time at which each was superseded.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RecentDigests(VecDeque<(Millis, u64)>);
+pub(crate) struct RecentChecksums(VecDeque<(Millis, u64)>);
 
-impl RecentDigests {
-    /// A digest of the copy is replaced by another one.
-    pub(crate) fn supersede(&mut self, now: Millis, digest: u64) {
-        while self.0.len() >= MAX_RECENT_DIGESTS
-            || self.0.front().is_some_and(|(at, _)| now - at > RECENT_DIGEST_AGE)
+impl RecentChecksums {
+    /// A checksum of the copy is replaced by another one.
+    pub(crate) fn supersede(&mut self, now: Millis, checksum: u64) {
+        while self.0.len() >= MAX_RECENT_CHECKSUMS
+            || self.0.front().is_some_and(|(at, _)| now - at > RECENT_CHECKSUM_AGE)
         {
             self.0.pop_front();
         }
-        self.0.push_back((now, digest));
+        self.0.push_back((now, checksum));
     }
 
-    /// Compares a copy with a digest with this one, whose digest is `local`.
-    pub(crate) fn compare(&self, now: Millis, local: u64, digest: u64) -> CopyStatus {
-        let recent = |(at, known): &(Millis, u64)| *known == digest && now - at <= RECENT_DIGEST_AGE;
-        if local == digest {
+    /// Compares a copy with a checksum with this one, whose checksum is `local`.
+    pub(crate) fn compare(&self, now: Millis, local: u64, checksum: u64) -> CopyStatus {
+        let recent = |(at, known): &(Millis, u64)| *known == checksum && now - at <= RECENT_CHECKSUM_AGE;
+        if local == checksum {
             CopyStatus::Current
         } else if self.0.iter().any(recent) {
             CopyStatus::Following
@@ -114,8 +114,8 @@
 /// What follows from a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ComparisonResult {
-    /// The proxy is to be asked for its digests, part by part.
-    pub(crate) needs_digests: bool,
+    /// The proxy is to be asked for its digest (the checksums of its parts).
+    pub(crate) needs_digest: bool,
     /// The copy began to lag (`true`) or has caught up (`false`).
     pub(crate) lag_change: Option<bool>,
 }
@@ -126,7 +126,7 @@
         if status != CopyStatus::Differing {
             let lagged = self.lags;
             *self = Self::default();
-            return ComparisonResult { needs_digests: false, lag_change: lagged.then_some(false) };
+            return ComparisonResult { needs_digest: false, lag_change: lagged.then_some(false) };
         }
         let differed_before = std::mem::replace(&mut self.differs, true);
         if !differed_before || now < self.next_at {
@@ -135,7 +135,7 @@
         self.interval = (2.0 * self.interval).clamp(MIN_COMPARE_INTERVAL, MAX_COMPARE_INTERVAL);
         self.next_at = now + self.interval;
         let began = !std::mem::replace(&mut self.lags, true);
-        ComparisonResult { needs_digests: true, lag_change: began.then_some(true) }
+        ComparisonResult { needs_digest: true, lag_change: began.then_some(true) }
     }
 
     /// Whether the copy differed at the last heartbeat.
--- a/system/membership/src/duties.rs
+++ b/system/membership/src/duties.rs
@@ -1,19 +1,19 @@
 //! Duties: exclusive tasks, each held by one registry at a time through a majority lease that is kept in
 //! memory.
 //!
-//! A registry claims duties in its heartbeats. Each voter grants one claim of a duty at a time, for
+//! A registry claims duties in its heartbeats. Each core member grants one claim of a duty at a time, for
 //! [`GRANT_DURATION`] from the receipt of the heartbeat; the claimant acts for [`HOLDER_DURATION`] from when
 //! it *sent* a heartbeat that a majority granted. Both are measured by monotonic clocks and sending precedes
-//! receipt, so a claim has expired at its holder for `GRANT_DURATION - HOLDER_DURATION` before a voter grants
-//! another; and two majorities share a voter. A voter that restarts may have granted a claim that it no
-//! longer knows of, so it grants none for [`GRANT_DURATION`].
+//! receipt, so a claim has expired at its holder for `GRANT_DURATION - HOLDER_DURATION` before a core member
+//! grants another; and two majorities share a core member. A core member that restarts may have granted a
+//! claim that it no longer knows of, so it grants none for [`GRANT_DURATION`].
 
 use crate::Millis;
 use fennelscale_messages::Host;
 pub use fennelscale_quota_lease::{SHARDS, bit_of};
 use std::collections::BTreeMap;
 
-/// How long a voter's grant excludes other claimants.
+/// How long a core member's grant excludes other claimants.
 pub const GRANT_DURATION: Millis = 1500.0;
 /// How long the holder acts on a grant. The difference covers a pause between the check of the lease and the
 /// effect.
@@ -31,22 +31,22 @@
         .fold(0, |all, key| all | 1 << key)
 }
 
-/// The duties as one registry sees them, as claimant and as voter.
+/// The duties as one registry sees them, as claimant and as core member.
 #[derive(Clone, Debug)]
 pub struct DutyLeases {
     claims: u64,
     /// When each heartbeat was sent, by its number.
     heartbeats: BTreeMap<u64, Millis>,
-    /// For each voter, until when its grant of each duty may be acted on.
+    /// For each core member, until when its grant of each duty may be acted on.
     grants: BTreeMap<Host, [Millis; SHARDS as usize + 1]>,
     held: u64,
     held_since: [Millis; SHARDS as usize + 1],
-    /// As a voter: the claimant that each duty is granted to, and until when.
+    /// As a core member: the claimant that each duty is granted to, and until when.
     votes: [(Host, Millis); SHARDS as usize + 1],
 }
 
 impl DutyLeases {
-    /// No claims; as a voter it may have granted claims up to `now`.
+    /// No claims; as a core member it may have granted claims up to `now`.
     pub fn new(now: Millis) -> Self {
         let votes = [(Host::default(), now + GRANT_DURATION); SHARDS as usize + 1];
         Self {
@@ -80,10 +80,10 @@
         self.heartbeats.get(&number).copied()
     }
 
-    /// Records a voter's answer to a heartbeat.
-    pub(crate) fn record_grant(&mut self, voter: Host, number: u64, granted: u64) {
+    /// Records a core member's answer to a heartbeat.
+    pub(crate) fn record_grant(&mut self, member: Host, number: u64, granted: u64) {
         let Some(&sent) = self.heartbeats.get(&number) else { return };
-        let grants = self.grants.entry(voter).or_insert([f64::MIN; SHARDS as usize + 1]);
+        let grants = self.grants.entry(member).or_insert([f64::MIN; SHARDS as usize + 1]);
         for (key, until) in grants.iter_mut().enumerate() {
             if granted & 1 << key != 0 {
                 *until = until.max(sent + HOLDER_DURATION);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// As a voter: grants those of a claimant's claims that no other claimant holds, and returns them.
+    /// As a core member: grants those of a claimant's claims that no other claimant holds, and returns them.
     pub fn vote(&mut self, now: Millis, claimant: Host, claims: u64) -> u64 {
         let mut granted = 0;
         for (key, (host, until)) in self.votes.iter_mut().enumerate() {
--- a/system/membership/src/failure_counts.rs
+++ b/system/membership/src/failure_counts.rs
@@ -19,8 +19,8 @@
     /// A proxy with a session here reports the counts of its current incarnation.
     pub(crate) fn on_failure_counts(&mut self, now: Millis, from: Host, mut counts: Vec<OrderCount>) {
         counts.truncate(MAX_ORDERS_PER_PROXY);
-        self.members.session_heard(from, now);
-        let Some(incarnation) = self.members.incarnation(from) else { return };
+        self.proxies.session_heard(from, now);
+        let Some(incarnation) = self.proxies.incarnation(from) else { return };
         let before = self.failure_counts.insert(from, (incarnation, counts.clone()));
         let before =
             before.filter(|(known, _)| *known == incarnation).map(|(_, counts)| counts).unwrap_or_default();
--- a/system/membership/src/feed.rs
+++ b/system/membership/src/feed.rs
@@ -52,10 +52,10 @@
 
     /// Records an event. `mark` distinguishes it from the same event at another time, independent of the
     /// registry that observed it.
-    pub fn record(&mut self, at: Millis, kind: EventKind, what: &str, mark: u64, cause: String) {
-        let id = format!("{}/{what}/{mark:x}", kind.name());
-        let place = FeedPosition { incarnation: self.incarnation, number: self.next };
-        self.events.push_back(Event { position: place, id, kind, subject: what.to_owned(), cause, at });
+    pub fn record(&mut self, at: Millis, kind: EventKind, subject: &str, mark: u64, cause: String) {
+        let id = format!("{}/{subject}/{mark:x}", kind.name());
+        let position = FeedPosition { incarnation: self.incarnation, number: self.next };
+        self.events.push_back(Event { position, id, kind, subject: subject.to_owned(), cause, at });
         self.next += 1;
         if self.events.len() > CAPACITY {
             self.events.pop_front();
@@ -63,13 +63,13 @@
     }
 
     /// Records an event that only this registry observed.
-    pub fn record_local(&mut self, at: Millis, kind: EventKind, what: &str, cause: String) {
-        self.record(at, kind, what, fennelscale_messages::mix(self.incarnation ^ self.next), cause);
+    pub fn record_local(&mut self, at: Millis, kind: EventKind, subject: &str, cause: String) {
+        self.record(at, kind, subject, fennelscale_messages::mix(self.incarnation ^ self.next), cause);
     }
 
     /// Records a refused call. The rate is limited so that a caller whose calls are all refused cannot evict
     /// all other events.
-    pub fn record_refused_call(&mut self, now: Millis, what: &str, cause: &str) {
+    pub fn record_refused_call(&mut self, now: Millis, call: &str, cause: &str) {
         let second = (now / 1000.0) as u64;
         if self.refused.0 != second {
             (self.refused.0, self.refused.1) = (second, 0);
@@ -83,7 +83,7 @@
             0 => String::new(),
             n => format!(" (and {n} that were not told)"),
         };
-        self.record_local(now, EventKind::CallRefused, what, format!("{cause}{unrecorded}"));
+        self.record_local(now, EventKind::CallRefused, call, format!("{cause}{unrecorded}"));
     }
 
     /// The events to send to the store now. Events that could not be sent are offered again.
@@ -104,23 +104,22 @@
 
     /// Reads the events of this incarnation after a position. A position of another incarnation starts at the
     /// oldest event.
-    pub fn read(&self, now: Millis, wanted: &EventQuery) -> EventPage {
+    pub fn read(&self, now: Millis, query: &EventQuery) -> EventPage {
         let oldest = self.events.front().map_or(self.next, |event| event.position.number);
-        let (first, missed) = match wanted.after {
+        let (first, missed) = match query.after {
             None => (oldest, oldest > 1),
             // A position beyond the newest event was not issued by this incarnation.
-            Some(FeedPosition { incarnation: life, number })
-                if life == self.incarnation && number < self.next =>
+            Some(FeedPosition { incarnation, number })
+                if incarnation == self.incarnation && number < self.next =>
             {
                 (number + 1, number + 1 < oldest)
             }
             Some(_) => (oldest, true),
         };
-        let limit =
-            if wanted.limit == 0 { MAX_EVENTS_PER_READ } else { wanted.limit.min(MAX_EVENTS_PER_READ) };
+        let limit = if query.limit == 0 { MAX_EVENTS_PER_READ } else { query.limit.min(MAX_EVENTS_PER_READ) };
         let (mut events, mut last) = (Vec::new(), first.saturating_sub(1));
         for event in self.events.iter().skip(first.saturating_sub(oldest) as usize) {
-            if wanted.matches(event) {
+            if query.matches(event) {
                 if events.len() == limit {
                     break;
                 }
@@ -171,7 +170,7 @@
     fn a_reader_is_told_of_missed_events_if_it_is_slow_or_its_position_is_unknown() {
         let feed = feed(CAPACITY as u64 + 10);
         let read = |after: Option<(u64, u64)>| {
-            let after = after.map(|(life, number)| FeedPosition { incarnation: life, number });
+            let after = after.map(|(incarnation, number)| FeedPosition { incarnation, number });
             feed.read(0.0, &EventQuery { after, ..EventQuery::default() })
         };
         assert!(read(Some((7, 2))).missed && read(None).missed);
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -4,10 +4,10 @@
 //! # Invariants
 //!
 //! - A proxy is a member while it has a session with at least one registry; registries exchange their session
-//!   lists ([`members`]).
-//! - A duty is held by one registry at a time ([`duties`]): a majority of the voters grants its claim, each
-//!   for longer than the holder acts on the grant, measured by monotonic clocks. A registry that has just
-//!   started grants no claim until every grant that it may have given before the restart has expired.
+//!   lists ([`proxies`]).
+//! - A duty is held by one registry at a time ([`duties`]): a majority of the core members grants its claim,
+//!   each for longer than the holder acts on the grant, measured by monotonic clocks. A registry that has
+//!   just started grants no claim until every grant that it may have given before the restart has expired.
 //! - Backend lists are ordered by their stamps; an older list is ignored ([`RegistryState::backend_list`]).
 //!
 //! # Requirements on the caller
@@ -21,8 +21,8 @@
 mod failure_counts;
 pub mod feed;
 pub mod maintenance;
-pub mod members;
 pub mod merge;
+pub mod proxies;
 mod proxy_updates;
 mod quota_events;
 mod quota_grants;
@@ -40,7 +40,7 @@
 use fennelscale_messages::store::MemberList;
 use fennelscale_quota_lease::{Ask, Counts, Relay, Terms};
 use maintenance::MaintenanceState;
-use members::Members;
+use proxies::ProxyDirectory;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -53,7 +53,7 @@
 /// longest network delay.
 pub const PEER_TIMEOUT: Millis = 1400.0;
 /// Proxies report within this time that they no longer spend quota without grants.
-const RECONNECT_DELAY: Millis = 1000.0;
+const SELF_GRANT_REPORT_DELAY: Millis = 1000.0;
 /// How often the holder of the list duty reads the backend list.
 pub const LIST_INTERVAL: Millis = 700.0;
 /// How often a registry that knows of no holder of the list duty reads it.
@@ -97,11 +97,11 @@
     DeliverEvents(Host, u64, EventPage),
     /// Asks the proxies with a session here about a request and sends their answers to that registry, with
     /// this query number.
-    ReadRequestTrace(Host, u64, u64),
+    LookUpRequest(Host, u64, u64),
     /// Answers of another registry's proxies to a request query of this registry.
-    DeliverRequestTrace(Host, u64, Vec<(Host, String)>),
+    DeliverRequestRecords(Host, u64, Vec<(Host, String)>),
     /// The answer of a proxy with a session here to a request query.
-    DeliverProxyTrace(Host, u64, String),
+    DeliverRequestRecord(Host, u64, String),
     /// A log line: event name and text.
     Log(&'static str, String),
 }
@@ -121,9 +121,9 @@
     started_at: Millis,
     /// Zone and region.
     location: (String, String),
-    seats: MemberList,
+    core_members: MemberList,
     peers: BTreeMap<Host, Peer>,
-    members: Members,
+    proxies: ProxyDirectory,
     duties: DutyLeases,
     quota_counts: Counts,
     quota_relay: Relay,
@@ -131,8 +131,8 @@
     relay_routes: BTreeMap<Host, Host>,
     quota_terms: BTreeMap<String, Terms>,
     config: ItemCopy,
-    /// Recent digests of `config`.
-    recent_digests: copies::RecentDigests,
+    /// Recent checksums of `config`.
+    recent_checksums: copies::RecentChecksums,
     freshness: copies::Freshness,
     /// Whether proxies were last told that the copy is fresh.
     announced_fresh: bool,
@@ -180,16 +180,16 @@
             incarnation,
             started_at: now,
             location: (zone.to_owned(), region.to_owned()),
-            seats: MemberList::default(),
+            core_members: MemberList::default(),
             peers: BTreeMap::new(),
-            members: Members::default(),
+            proxies: ProxyDirectory::default(),
             duties: DutyLeases::new(if bootstrap { f64::MIN } else { now }),
             quota_counts: Counts::default(),
             quota_relay: Relay::default(),
             relay_routes: BTreeMap::new(),
             quota_terms: BTreeMap::new(),
             config: ItemCopy::default(),
-            recent_digests: copies::RecentDigests::default(),
+            recent_checksums: copies::RecentChecksums::default(),
             freshness: copies::Freshness::unconfirmed(now),
             announced_fresh: false,
             resend_counts: (0, 0),
@@ -219,8 +219,8 @@
     }
 
     /// All proxies that are members.
-    pub fn members(&self, now: Millis) -> Vec<ProxyInfo> {
-        self.members.all(now)
+    pub fn proxies(&self, now: Millis) -> Vec<ProxyInfo> {
+        self.proxies.all(now)
     }
 
     /// The newest backend list.
@@ -241,17 +241,17 @@
     /// The proxies that a client in a region should use: the ready ones of its region, or all ready ones if
     /// there are none.
     pub fn resolve(&self, now: Millis, region: &str) -> Vec<ProxyInfo> {
-        let ready: Vec<ProxyInfo> = self.members.all(now).into_iter().filter(|member| member.ready).collect();
+        let ready: Vec<ProxyInfo> = self.proxies.all(now).into_iter().filter(|member| member.ready).collect();
         let near: Vec<ProxyInfo> = ready.iter().filter(|member| member.region == region).cloned().collect();
         if near.is_empty() { ready } else { near }
     }
 
     fn majority(&self) -> usize {
-        self.seats.members.len() / 2 + 1
+        self.core_members.members.len() / 2 + 1
     }
 
-    fn other_voters(&self) -> BTreeSet<Host> {
-        let mut others: BTreeSet<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
+    fn other_core_members(&self) -> BTreeSet<Host> {
+        let mut others: BTreeSet<Host> = self.core_members.members.iter().map(|member| member.host).collect();
         others.remove(&self.local_host);
         others
     }
@@ -264,13 +264,13 @@
         self.peers.get(&host).is_some_and(|peer| now - peer.last_heard < PEER_TIMEOUT)
     }
 
-    /// The store reports the chosen list of voters.
-    pub fn on_seats(&mut self, now: Millis, seats: MemberList) {
-        if seats.version != self.seats.version {
-            let hosts: Vec<String> = seats.members.iter().map(|seat| seat.host.to_string()).collect();
-            self.feed.record(now, EventKind::SeatsChanged, "seats", seats.version, hosts.join(" "));
+    /// The store reports the chosen list of core members.
+    pub fn on_core_members(&mut self, now: Millis, members: MemberList) {
+        if members.version != self.core_members.version {
+            let hosts: Vec<String> = members.members.iter().map(|member| member.host.to_string()).collect();
+            self.feed.record(now, EventKind::SeatsChanged, "seats", members.version, hosts.join(" "));
         }
-        self.seats = seats;
+        self.core_members = members;
         self.announce_registries(now);
         self.next_heartbeat = now;
     }
@@ -281,23 +281,24 @@
     }
 
     fn registries_message(&self, now: Millis) -> RegistryToProxy {
-        let place = |host: Host, zone: &str, region: &str| RegistryInfo {
+        let info = |host: Host, zone: &str, region: &str| RegistryInfo {
             host,
             zone: zone.to_owned(),
             region: region.to_owned(),
             reachable: host == self.local_host || self.is_reachable(host, now),
         };
-        let seats = self.seats.members.iter().map(|seat| place(seat.host, &seat.zone, &seat.region));
-        let mut all: Vec<RegistryInfo> = seats.collect();
+        let members =
+            self.core_members.members.iter().map(|member| info(member.host, &member.zone, &member.region));
+        let mut all: Vec<RegistryInfo> = members.collect();
         if !all.iter().any(|known| known.host == self.local_host) {
-            all.push(place(self.local_host, &self.location.0, &self.location.1));
+            all.push(info(self.local_host, &self.location.0, &self.location.1));
         }
         RegistryToProxy::Registries(all)
     }
 
     /// Advances time; to be called about every 50 ms.
     pub fn tick(&mut self, now: Millis) {
-        for host in self.members.expire(now) {
+        for host in self.proxies.expire(now) {
             self.outputs.push(Output::CloseSession(host));
             self.feed.record_local(now, EventKind::MemberSilent, &host.to_string(), self.registry_label());
             self.outputs.push(Output::Log("session-silent", format!("proxy={host}")));
@@ -311,7 +312,7 @@
                 self.announce_registries(now);
             }
             self.quota_counts.sweep(now);
-            let known: BTreeSet<Host> = self.members.all(now).iter().map(|member| member.host).collect();
+            let known: BTreeSet<Host> = self.proxies.all(now).iter().map(|member| member.host).collect();
             self.relay_routes.retain(|proxy, _| known.contains(proxy));
             self.failure_counts.retain(|proxy, _| known.contains(proxy));
         }
@@ -319,7 +320,7 @@
         self.quota_relay.tick(now, &mut sent);
         self.send_relay_outputs(now, sent);
         self.request_list_read(now);
-        self.announce_members(now);
+        self.announce_proxies(now);
         self.update_stored_proxy_count(now);
         self.advance_maintenance(now);
         self.record_recovered_quotas(now);
@@ -335,8 +336,8 @@
     }
 
     /// An operator's call was rejected by this registry.
-    pub fn on_call_refused(&mut self, now: Millis, what: &str, cause: &str) {
-        self.feed.record_refused_call(now, what, cause);
+    pub fn on_call_refused(&mut self, now: Millis, call: &str, cause: &str) {
+        self.feed.record_refused_call(now, call, cause);
     }
 
     /// The host that this registry runs on.
@@ -344,36 +345,36 @@
         self.local_host
     }
 
-    /// Whether a host runs a registry according to the known voters. True for every host while no voters are
-    /// known.
+    /// Whether a host runs a registry according to the known core members. True for every host while no core
+    /// members are known.
     pub fn is_registry(&self, host: Host) -> bool {
         host == self.local_host
-            || self.seats.members.is_empty()
-            || self.seats.members.iter().any(|seat| seat.host == host)
+            || self.core_members.members.is_empty()
+            || self.core_members.members.iter().any(|member| member.host == host)
     }
 
     /// The proxies with a session here.
     pub fn sessions(&self) -> Vec<Host> {
-        self.members.sessions()
+        self.proxies.sessions()
     }
 
     /// The other registries that are reachable.
     pub fn reachable_registries(&self, now: Millis) -> Vec<Host> {
-        self.other_voters().into_iter().filter(|host| self.is_reachable(*host, now)).collect()
+        self.other_core_members().into_iter().filter(|host| self.is_reachable(*host, now)).collect()
     }
 
     /// Counts the proxies that share quotas and those that may be isolated. A registry that has just started
     /// knows few proxies and uses the stored number if that is higher: a number too high makes each share
     /// smaller, one too low would let the shares exceed the quota.
-    fn proxy_counts(&self, now: Millis) -> members::ProxyCounts {
-        let counts = self.members.counts(now);
+    fn proxy_counts(&self, now: Millis) -> proxies::ProxyCounts {
+        let counts = self.proxies.counts(now);
         let starting = now - self.started_at < STARTUP_PERIOD;
         let total = if starting || self.has_lost_contact(now) {
             counts.total.max(self.stored_proxy_count)
         } else {
             counts.total
         };
-        members::ProxyCounts { total, ..counts }
+        proxies::ProxyCounts { total, ..counts }
     }
 
     /// The number of proxies as proxies are told it; 0 while it is unknown. When all registries start
@@ -389,7 +390,7 @@
 
     /// The holder of the list duty also stores the number of proxies once a change has lasted.
     fn update_stored_proxy_count(&mut self, now: Millis) {
-        let proxies = self.members.counts(now).total;
+        let proxies = self.proxies.counts(now).total;
         let unchanged =
             (proxies - self.stored_proxy_count).abs() <= self.stored_proxy_count * PROXY_COUNT_TOLERANCE;
         if unchanged
@@ -404,7 +405,7 @@
         let delay = if proxies > self.stored_proxy_count {
             HEARTBEAT_INTERVAL
         } else {
-            members::SILENT_PROXY_RETENTION
+            proxies::SILENT_PROXY_RETENTION
         };
         if now - since > delay {
             self.count_differs_since = Some(now);
@@ -416,20 +417,20 @@
         self.heartbeat_number += 1;
         let claims = self.duties.claims();
         self.duties.record_heartbeat(self.heartbeat_number, now);
-        let (roll, listing) = (self.members.session_list_hash(), self.backend_list.stamp);
-        let highest = self.highest_list_number.max(listing.0);
+        let (sessions_hash, list_stamp) = (self.proxies.session_list_hash(), self.backend_list.stamp);
+        let highest_list = self.highest_list_number.max(list_stamp.0);
         let heartbeat = RegistryMessage::Heartbeat {
             incarnation: self.incarnation,
             number: self.heartbeat_number,
             claims,
-            sessions_hash: roll,
-            list_stamp: listing,
-            highest_list: highest,
+            sessions_hash,
+            list_stamp,
+            highest_list,
         };
-        for host in self.other_voters() {
+        for host in self.other_core_members() {
             self.outputs.push(Output::SendToRegistry(host, heartbeat.clone()));
         }
-        if self.seats.members.iter().any(|seat| seat.host == self.local_host) {
+        if self.core_members.members.iter().any(|member| member.host == self.local_host) {
             let granted = self.duties.vote(now, self.local_host, claims);
             self.duties.record_grant(self.local_host, self.heartbeat_number, granted);
         }
@@ -453,12 +454,12 @@
             self.outputs
                 .push(Output::Log("duties", format!("held={held:x} gained={gained:x} lost={lost:x}")));
             for key in 0..=duties::SHARDS {
-                let what =
+                let name =
                     if 1 << key == duties::LIST_DUTY { "list".to_owned() } else { format!("tenants-{key}") };
                 if gained & 1 << key != 0 {
-                    self.feed.record_local(now, EventKind::DutyTaken, &what, self.registry_label());
+                    self.feed.record_local(now, EventKind::DutyTaken, &name, self.registry_label());
                 } else if lost & 1 << key != 0 {
-                    self.feed.record_local(now, EventKind::DutyLost, &what, self.registry_label());
+                    self.feed.record_local(now, EventKind::DutyLost, &name, self.registry_label());
                 }
             }
         }
@@ -505,97 +506,92 @@
             return;
         }
         let stamp = (self.backend_list.stamp.0.max(self.highest_list_number) + 1, self.local_host);
-        let listing = BackendList { stamp, backends };
-        self.accept_backend_list(now, listing);
-        let listing = self.backend_list.clone();
-        for host in self.other_voters() {
-            self.outputs.push(Output::SendToRegistry(host, RegistryMessage::BackendList(listing.clone())));
+        let list = BackendList { stamp, backends };
+        self.accept_backend_list(now, list);
+        let list = self.backend_list.clone();
+        for host in self.other_core_members() {
+            self.outputs.push(Output::SendToRegistry(host, RegistryMessage::BackendList(list.clone())));
         }
     }
 
-    fn accept_backend_list(&mut self, now: Millis, listing: BackendList) {
-        if listing.stamp <= self.backend_list.stamp {
+    fn accept_backend_list(&mut self, now: Millis, list: BackendList) {
+        if list.stamp <= self.backend_list.stamp {
             return;
         }
-        self.outputs.push(Output::Log(
-            "listing",
-            format!("stamp={} backends={}", listing.stamp.0, listing.backends.len()),
-        ));
-        self.record_list_events(now, &listing);
-        // The registry that read it has forced it for the same reason.
+        self.outputs
+            .push(Output::Log("listing", format!("stamp={} backends={}", list.stamp.0, list.backends.len())));
+        self.record_list_events(now, &list);
+        // The registry that read this list forces one for the same reason, so a due request is met.
         self.force_list_after = self.force_list_after.filter(|from| now < *from);
-        self.backend_list = listing;
+        self.backend_list = list;
         self.send_to_all_proxies(&Rc::new(RegistryToProxy::BackendList(self.backend_list.clone())));
     }
 
     /// Handles a message from another registry.
-    pub fn receive_from_registry(&mut self, now: Millis, from: Host, word: RegistryMessage) {
-        match word {
+    pub fn receive_from_registry(&mut self, now: Millis, from: Host, message: RegistryMessage) {
+        match message {
             RegistryMessage::Heartbeat {
-                incarnation: life,
+                incarnation,
                 number,
                 claims,
-                sessions_hash: roll,
-                list_stamp: listing,
-                highest_list: highest,
+                sessions_hash,
+                list_stamp,
+                highest_list,
             } => {
-                self.highest_list_number = self.highest_list_number.max(highest);
+                self.highest_list_number = self.highest_list_number.max(highest_list);
                 let known = self.peers.get(&from);
-                let needs_session_list = known.is_none_or(|peer| peer.incarnation != life)
-                    || self.members.known_hash(from) != Some(roll);
-                if known.is_some_and(|peer| peer.incarnation != life) {
-                    self.members.registry_restarted(from, now);
+                let needs_session_list = known.is_none_or(|peer| peer.incarnation != incarnation)
+                    || self.proxies.known_hash(from) != Some(sessions_hash);
+                if known.is_some_and(|peer| peer.incarnation != incarnation) {
+                    self.proxies.registry_restarted(from, now);
                 }
-                self.peers.insert(from, Peer { last_heard: now, incarnation: life, claims });
-                self.members.registry_heard(from, now);
+                self.peers.insert(from, Peer { last_heard: now, incarnation, claims });
+                self.proxies.registry_heard(from, now);
                 if needs_session_list {
                     self.outputs.push(Output::SendToRegistry(from, RegistryMessage::RequestSessions));
                 }
-                if listing > self.backend_list.stamp {
+                if list_stamp > self.backend_list.stamp {
                     self.outputs.push(Output::SendToRegistry(from, RegistryMessage::RequestBackendList));
                 }
                 let granted = self.duties.vote(now, from, claims);
-                let wall = self.maintenance.wall_clock(now);
+                let wall_clock = self.maintenance.wall_clock(now);
                 self.outputs.push(Output::SendToRegistry(
                     from,
-                    RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall },
+                    RegistryMessage::HeartbeatAck { number, incarnation, granted, wall_clock },
                 ));
             }
-            RegistryMessage::HeartbeatAck { number, incarnation: life, granted, wall_clock: wall } => {
-                if life == self.incarnation && self.seats.members.iter().any(|seat| seat.host == from) {
-                    if let (Some(wall), Some(sent)) = (wall, self.duties.sent_at(number)) {
-                        self.maintenance.add_clock_sample(from, sent, now, wall);
+            RegistryMessage::HeartbeatAck { number, incarnation, granted, wall_clock } => {
+                if incarnation == self.incarnation
+                    && self.core_members.members.iter().any(|member| member.host == from)
+                {
+                    if let (Some(wall_clock), Some(sent)) = (wall_clock, self.duties.sent_at(number)) {
+                        self.maintenance.add_clock_sample(from, sent, now, wall_clock);
                     }
                     self.duties.record_grant(from, number, granted);
                 }
             }
-            RegistryMessage::Sessions { proxies: members, silent, self_granted: alone } => {
-                self.members.set_session_list(from, members, silent, alone, now)
+            RegistryMessage::Sessions { proxies, silent, self_granted } => {
+                self.proxies.set_session_list(from, proxies, silent, self_granted, now)
             }
             RegistryMessage::RequestSessions => {
-                let (members, silent, alone) = self.members.local_sessions();
+                let (proxies, silent, self_granted) = self.proxies.local_sessions();
                 self.outputs.push(Output::SendToRegistry(
                     from,
-                    RegistryMessage::Sessions { proxies: members, silent, self_granted: alone },
+                    RegistryMessage::Sessions { proxies, silent, self_granted },
                 ));
             }
-            RegistryMessage::BackendList(listing) => self.accept_backend_list(now, listing),
+            RegistryMessage::BackendList(list) => self.accept_backend_list(now, list),
             RegistryMessage::RequestBackendList => {
-                let listing = self.backend_list.clone();
-                self.outputs.push(Output::SendToRegistry(from, RegistryMessage::BackendList(listing)));
+                let list = self.backend_list.clone();
+                self.outputs.push(Output::SendToRegistry(from, RegistryMessage::BackendList(list)));
             }
-            RegistryMessage::RequestUnits { from: proxy, tenant, units, next_window: next, demand } => {
-                let grant = self.grant_quota(now, Ask { tenant: &tenant, proxy, units, next, demand });
+            RegistryMessage::RequestUnits { from: proxy, tenant, units, next_window, demand } => {
+                let grant =
+                    self.grant_quota(now, Ask { tenant: &tenant, proxy, units, next: next_window, demand });
                 self.outputs.push(Output::SendToRegistry(from, RegistryMessage::Grant(proxy, grant)));
             }
-            RegistryMessage::RequestUnitsFromRelay {
-                from: proxy,
-                tenant,
-                units,
-                next_window: next,
-                demand,
-            } => {
-                self.relay_quota_request(now, proxy, Some(from), &tenant, units, next, demand);
+            RegistryMessage::RequestUnitsFromRelay { from: proxy, tenant, units, next_window, demand } => {
+                self.relay_quota_request(now, proxy, Some(from), &tenant, units, next_window, demand);
             }
             RegistryMessage::Grant(to, grant) if to == self.local_host => self.on_relay_grant(now, grant),
             RegistryMessage::Grant(proxy, grant) => {
@@ -606,53 +602,42 @@
                     self.quota_counts.back(now, &tenant, units, window);
                 }
             }
-            RegistryMessage::RequestEvents(question, wanted) => {
-                self.outputs.push(Output::ReadEvents(from, question, wanted))
+            RegistryMessage::RequestEvents(query_id, query) => {
+                self.outputs.push(Output::ReadEvents(from, query_id, query))
             }
-            RegistryMessage::Events(question, told) => {
-                self.outputs.push(Output::DeliverEvents(from, question, told))
+            RegistryMessage::Events(query_id, page) => {
+                self.outputs.push(Output::DeliverEvents(from, query_id, page))
             }
-            RegistryMessage::LookUpRequest(question, id) => {
-                self.outputs.push(Output::ReadRequestTrace(from, question, id))
+            RegistryMessage::LookUpRequest(query_id, id) => {
+                self.outputs.push(Output::LookUpRequest(from, query_id, id))
             }
-            RegistryMessage::RequestRecords(question, known) => {
-                self.outputs.push(Output::DeliverRequestTrace(from, question, known))
+            RegistryMessage::RequestRecords(query_id, records) => {
+                self.outputs.push(Output::DeliverRequestRecords(from, query_id, records))
             }
         }
     }
 
     /// Handles a message from a proxy with a session here.
-    pub fn receive_from_proxy(&mut self, now: Millis, from: Host, up: ProxyToRegistry) {
-        match up {
-            ProxyToRegistry::Hello(member) => self.start_session(now, member, None),
-            ProxyToRegistry::Resume(member, parts) => self.start_session(now, member, Some(&parts)),
-            ProxyToRegistry::Digest(parts) => self.on_config_digests(now, from, &parts),
-            ProxyToRegistry::Heartbeat {
-                ready,
-                items_hash: items,
-                list_stamp: listing,
-                self_granted: alone,
-            } => {
-                if self.members.set_self_granted(from, alone) {
+    pub fn receive_from_proxy(&mut self, now: Millis, from: Host, message: ProxyToRegistry) {
+        match message {
+            ProxyToRegistry::Hello(proxy) => self.start_session(now, proxy, None),
+            ProxyToRegistry::Resume(proxy, checksums) => self.start_session(now, proxy, Some(&checksums)),
+            ProxyToRegistry::Digest(checksums) => self.on_digest(now, from, &checksums),
+            ProxyToRegistry::Heartbeat { ready, items_hash, list_stamp, self_granted } => {
+                if self.proxies.set_self_granted(from, self_granted) {
                     self.next_heartbeat = now;
                 }
-                self.on_proxy_heartbeat(now, from, ready, items, listing);
+                self.on_proxy_heartbeat(now, from, ready, items_hash, list_stamp);
             }
-            ProxyToRegistry::RequestUnits { tenant, units, next_window: next, demand } => {
-                self.members.session_heard(from, now);
+            ProxyToRegistry::RequestUnits { tenant, units, next_window, demand } => {
+                self.proxies.session_heard(from, now);
                 let relay = self.relay_for(now, &tenant);
                 if relay == self.local_host {
-                    self.relay_quota_request(now, from, None, &tenant, units, next, demand);
+                    self.relay_quota_request(now, from, None, &tenant, units, next_window, demand);
                 } else {
                     self.outputs.push(Output::SendToRegistry(
                         relay,
-                        RegistryMessage::RequestUnitsFromRelay {
-                            from,
-                            tenant,
-                            units,
-                            next_window: next,
-                            demand,
-                        },
+                        RegistryMessage::RequestUnitsFromRelay { from, tenant, units, next_window, demand },
                     ));
                 }
             }
@@ -669,16 +654,16 @@
                 }
             }
             ProxyToRegistry::IdleNodes(nodes) => {
-                if self.members.set_idle_nodes(from, nodes, now) {
+                if self.proxies.set_idle_nodes(from, nodes, now) {
                     self.next_heartbeat = now;
                 }
             }
             ProxyToRegistry::FailureCounts(counts) => self.on_failure_counts(now, from, counts),
-            ProxyToRegistry::RequestRecord(question, known) => {
-                self.outputs.push(Output::DeliverProxyTrace(from, question, known))
+            ProxyToRegistry::RequestRecord(query_id, record) => {
+                self.outputs.push(Output::DeliverRequestRecord(from, query_id, record))
             }
             ProxyToRegistry::EndSession => {
-                self.members.leave(from, now);
+                self.proxies.leave(from, now);
                 self.feed.record_local(now, EventKind::MemberLeft, &from.to_string(), "it said so".into());
                 self.next_heartbeat = now;
             }
@@ -687,7 +672,7 @@
 
     /// The connection of a proxy was closed.
     pub fn on_session_closed(&mut self, now: Millis, proxy: Host) {
-        if self.members.disconnect(proxy, now) {
+        if self.proxies.disconnect(proxy, now) {
             self.feed.record_local(now, EventKind::MemberLeft, &proxy.to_string(), "its line is down".into());
             self.outputs.push(Output::Log("session-closed", format!("proxy={proxy}")));
             self.next_heartbeat = now;
--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -164,8 +164,8 @@
         self.wall_offset.filter(|_| self.is_active()).map(|offset| (now + offset).max(0.0) as u64)
     }
 
-    pub(crate) fn add_clock_sample(&mut self, voter: Host, sent: Millis, now: Millis, wall: u64) {
-        self.clock.heard(voter, sent, now, wall as f64);
+    pub(crate) fn add_clock_sample(&mut self, member: Host, sent: Millis, now: Millis, wall: u64) {
+        self.clock.heard(member, sent, now, wall as f64);
     }
 
     /// The true time to send to proxies, while anything is drained or a failure order may run.
@@ -236,12 +236,12 @@
         let doubtful =
             !self.freshness.is_fresh(now) || self.has_lost_contact(now) || self.backend_list.stamp.0 == 0;
         let isolated = self.proxy_counts(now).isolated;
-        let unheard = self
-            .seats
+        let unreachable = self
+            .core_members
             .members
             .iter()
-            .filter(|seat| seat.host != self.local_host && !self.is_reachable(seat.host, now));
-        let unheard = unheard.map(|seat| seat.zone.clone()).collect();
+            .filter(|member| member.host != self.local_host && !self.is_reachable(member.host, now));
+        let unreachable = unreachable.map(|member| member.zone.clone()).collect();
         let homes = self.maintenance.homes.get_or_insert_with(|| homes(&self.config)).clone();
         let evacuated = self.config.entries().iter().filter(|(_, entry)| entry.body.is_some());
         let evacuated = evacuated.filter_map(|(name, _)| name.strip_prefix("e:").map(str::to_owned));
@@ -252,9 +252,9 @@
             nights: self.maintenance.nights.clone(),
             zones: self.maintenance.zones.clone(),
             backends: self.backend_list.backends.clone(),
-            members: self.members.all(now),
+            members: self.proxies.all(now),
             silent: isolated as usize,
-            unheard,
+            unheard: unreachable,
             evacuated: evacuated.collect(),
             zones_may_go: self.maintenance.tolerated_zones,
             regions_may_go: self.maintenance.tolerated_regions,
@@ -269,9 +269,9 @@
             return;
         }
         self.maintenance.next_evaluation = now + EVALUATION_INTERVAL;
-        let voters: Vec<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
+        let members: Vec<Host> = self.core_members.members.iter().map(|member| member.host).collect();
         let tolerated = self.maintenance.tolerated_clocks;
-        self.maintenance.clock.settle(now, &voters, tolerated);
+        self.maintenance.clock.settle(now, &members, tolerated);
         if self.maintenance.pending_since.is_some_and(|since| now - since < STEP_TIMEOUT) {
             return;
         }
--- a/system/membership/src/merge.rs
+++ b/system/membership/src/merge.rs
@@ -44,11 +44,11 @@
         for part in text.split('.').filter(|part| !part.is_empty()) {
             let position = || {
                 let (host, at) = part.split_once('_')?;
-                let (life, number) = at.split_once('-')?;
-                let life = u64::from_str_radix(life, 16).ok()?;
+                let (incarnation, number) = at.split_once('-')?;
+                let incarnation = u64::from_str_radix(incarnation, 16).ok()?;
                 Some((
                     Host(u32::from_str_radix(host, 16).ok()?),
-                    FeedPosition { incarnation: life, number: number.parse().ok()? },
+                    FeedPosition { incarnation, number: number.parse().ok()? },
                 ))
             };
             let (host, at) = position().ok_or(())?;
@@ -227,8 +227,8 @@
                 feed.record_local(at, EventKind::DutyTaken, &format!("tenants-{subject}"), String::new());
             } else {
                 versions[*subject] += increment;
-                let what = format!("r:{subject}");
-                feed.record(at, EventKind::ItemChosen, &what, versions[*subject], String::new());
+                let name = format!("r:{subject}");
+                feed.record(at, EventKind::ItemChosen, &name, versions[*subject], String::new());
             }
         }
         feed
--- a/system/membership/src/members.rs
+++ b/system/membership/src/proxies.rs
@@ -76,7 +76,7 @@
 
 /// The sessions of all registries, as far as known.
 #[derive(Clone, Debug, Default)]
-pub struct Members {
+pub struct ProxyDirectory {
     sessions: BTreeMap<Host, Session>,
     session_lists: BTreeMap<Host, SessionList>,
     /// Proxies that went silent here: since when, and the number of proxies that each was last told.
@@ -86,9 +86,9 @@
     sent_counts: VecDeque<(Millis, u32)>,
     /// A proxy may be listed by two registries.
     has_duplicates: bool,
-    /// Incremented with every change that may affect the membership. Members are only iterated after such a
-    /// change or when time has made a difference: doing so for every quota request would cost the square of
-    /// the number of proxies.
+    /// Incremented with every change that may affect the membership. ProxyDirectory are only iterated after
+    /// such a change or when time has made a difference: doing so for every quota request would cost the
+    /// square of the number of proxies.
     version: u64,
     cached_counts: Cell<Option<CachedCounts>>,
     last_sent: Option<RegistryToProxy>,
@@ -114,7 +114,7 @@
     })
 }
 
-impl Members {
+impl ProxyDirectory {
     pub(crate) fn start_session(&mut self, member: ProxyInfo, now: Millis) {
         self.version += 1;
         self.isolated.remove(&member.host);
@@ -406,17 +406,9 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn member(host: u32, life: u64, ready: bool) -> ProxyInfo {
+    fn member(host: u32, incarnation: u64, ready: bool) -> ProxyInfo {
         let (zone, region) = ("a".to_owned(), "r".to_owned());
-        ProxyInfo {
-            host: Host(host),
-            incarnation: life,
-            zone,
-            region,
-            port: 1,
-            ready,
-            idle_nodes: Vec::new(),
-        }
+        ProxyInfo { host: Host(host), incarnation, zone, region, port: 1, ready, idle_nodes: Vec::new() }
     }
 
     #[derive(Clone, Debug)]
@@ -436,7 +428,7 @@
             Disconnect, Heartbeat, Leave, RegistryHeard, RegistryRestarted, SessionList, Start, TimePasses,
         };
         prop_oneof![
-            (0..6_u32, 0..3_u64).prop_map(|(host, life)| Start(host, life)),
+            (0..6_u32, 0..3_u64).prop_map(|(host, incarnation)| Start(host, incarnation)),
             (0..6_u32, any::<bool>()).prop_map(|(host, ready)| Heartbeat(host, ready)),
             (0..6_u32).prop_map(Leave),
             (0..6_u32).prop_map(Disconnect),
@@ -454,16 +446,17 @@
         ]
     }
 
-    fn apply(members: &mut Members, now: Millis, input: Input) {
+    fn apply(members: &mut ProxyDirectory, now: Millis, input: Input) {
         match input {
-            Input::Start(host, life) => members.start_session(member(host, life, false), now),
+            Input::Start(host, incarnation) => members.start_session(member(host, incarnation, false), now),
             Input::Heartbeat(host, ready) => drop(members.heartbeat(Host(host), ready, now)),
             Input::Leave(host) => members.leave(Host(host), now),
             Input::Disconnect(host) => drop(members.disconnect(Host(host), now)),
             Input::RegistryRestarted(registry) => members.registry_restarted(Host(registry), now),
             Input::SessionList(registry, sessions, isolated) => {
                 let sessions: BTreeMap<u32, u64> = sessions.into_iter().collect();
-                let sessions = sessions.into_iter().map(|(host, life)| member(host, life, true)).collect();
+                let sessions =
+                    sessions.into_iter().map(|(host, incarnation)| member(host, incarnation, true)).collect();
                 members.set_session_list(
                     Host(registry),
                     sessions,
@@ -483,8 +476,8 @@
         /// check.
         #[test]
         fn cached_counts_equal_computed_counts(inputs in prop::collection::vec(input(), 1..120)) {
-            let (mut cached, mut now) = (Members::default(), 0.0);
-            let mut uncached = Members::default();
+            let (mut cached, mut now) = (ProxyDirectory::default(), 0.0);
+            let mut uncached = ProxyDirectory::default();
             for input in inputs {
                 if let Input::TimePasses(span) = input {
                     now += f64::from(span);
@@ -507,7 +500,7 @@
         for (second_count_at, share) in
             [(None, 1.0), (Some(PEER_TIMEOUT - 500.0), 1.0), (Some(-2.0 * DELIVERY_TIMEOUT), 0.5)]
         {
-            let mut members = Members::default();
+            let mut members = ProxyDirectory::default();
             members.start_session(member(1, 1, true), -20_000.0);
             members.record_sent_count(-20_000.0, 1);
             if let Some(at) = second_count_at {
@@ -527,7 +520,7 @@
 
     #[test]
     fn a_proxy_lags_from_the_second_differing_heartbeat_until_a_matching_one() {
-        let (mut members, host) = (Members::default(), Host(9));
+        let (mut members, host) = (ProxyDirectory::default(), Host(9));
         members.start_session(member(host.0, 1, true), 0.0);
         let mut now = 0.0;
         let mut heartbeat = |differs| {
--- a/system/membership/src/proxy_updates.rs
+++ b/system/membership/src/proxy_updates.rs
@@ -1,4 +1,4 @@
-//! Updates to proxies: the configuration, the backend list and the members, and the repair of missed updates.
+//! Updates to proxies: the configuration, the backend list and the proxies, and the repair of missed updates.
 
 use crate::copies::CopyStatus;
 use crate::feed::EventKind;
@@ -21,8 +21,8 @@
 }
 
 impl RegistryState {
-    /// The store reports chosen entries: all of them (`whole`), or new ones.
-    pub fn on_items(&mut self, now: Millis, whole: bool, entries: Vec<NamedEntry>) {
+    /// The store reports chosen entries: all of them (`complete`), or new ones.
+    pub fn on_items(&mut self, now: Millis, complete: bool, entries: Vec<NamedEntry>) {
         let mut new_entries = Vec::new();
         for (name, entry) in entries {
             self.update_quota_terms(&name, &entry);
@@ -38,18 +38,18 @@
                 // Internal to the system; proxies do not need it.
                 continue;
             }
-            let digest = self.config.checksum();
+            let checksum = self.config.checksum();
             if !self.config.merge(&name, &entry) {
                 continue;
             }
-            self.recent_digests.supersede(now, digest);
+            self.recent_checksums.supersede(now, checksum);
             self.maintenance.on_item(&name, &entry);
             if !name.starts_with(fennelscale_maintenance::DRAIN) {
                 self.record_item_event(now, &name, &entry);
             }
             new_entries.push((name, entry));
         }
-        if whole {
+        if complete {
             self.outputs.push(Output::Log("items", format!("count={}", self.config.entries().len())));
         }
         if !new_entries.is_empty() {
@@ -63,13 +63,13 @@
     }
 
     pub(crate) fn send_to_all_proxies(&mut self, message: &Rc<RegistryToProxy>) {
-        for host in self.members.sessions() {
+        for host in self.proxies.sessions() {
             self.outputs.push(Output::SendToProxy(host, message.clone()));
         }
     }
 
     fn record_item_event(&mut self, now: Millis, name: &str, entry: &Entry) {
-        let (kind, what) = match (name.strip_prefix("e:"), entry.body.is_some()) {
+        let (kind, subject) = match (name.strip_prefix("e:"), entry.body.is_some()) {
             (Some(zone), true) => (EventKind::ZoneEvacuated, zone),
             (Some(zone), false) => {
                 self.force_list_after = Some(now + crate::RETURNED_ZONE_DELAY);
@@ -83,19 +83,19 @@
             "version {:08x}, written by {} in turn {}",
             entry.revision, stamp.term.leader, stamp.term.number
         );
-        self.feed.record(now, kind, what, entry.revision, cause);
+        self.feed.record(now, kind, subject, entry.revision, cause);
     }
 
-    pub(crate) fn record_list_events(&mut self, now: Millis, listing: &BackendList) {
+    pub(crate) fn record_list_events(&mut self, now: Millis, list: &BackendList) {
         let before: BTreeMap<&str, bool> = self
             .backend_list
             .backends
             .iter()
             .map(|backend| (backend.id.as_str(), backend.draining))
             .collect();
-        let cause = format!("list {} read by {}", listing.stamp.0, listing.stamp.1);
+        let cause = format!("list {} read by {}", list.stamp.0, list.stamp.1);
         let mut events = Vec::new();
-        for backend in &listing.backends {
+        for backend in &list.backends {
             match before.get(backend.id.as_str()) {
                 None => events.push((EventKind::BackendListed, backend.id.clone())),
                 Some(false) if backend.draining => {
@@ -104,7 +104,7 @@
                 Some(_) => {}
             }
         }
-        let is_listed = |id: &&str| listing.backends.iter().any(|backend| backend.id == **id);
+        let is_listed = |id: &&str| list.backends.iter().any(|backend| backend.id == **id);
         events.extend(
             before.into_keys().filter(|id| !is_listed(id)).map(|id| (EventKind::BackendGone, id.to_owned())),
         );
@@ -139,54 +139,55 @@
         }
     }
 
-    /// The entries that a proxy lacks according to the digests of its parts; all entries if it holds none.
-    fn missing_items_message(&self, now: Millis, parts: Option<&[u64]>) -> RegistryToProxy {
-        let entries = self.config.entries_in_differing_parts(parts.unwrap_or_default());
+    /// The entries that a proxy lacks according to the checksums of its parts; all entries if it holds none.
+    fn missing_items_message(&self, now: Millis, checksums: Option<&[u64]>) -> RegistryToProxy {
+        let entries = self.config.entries_in_differing_parts(checksums.unwrap_or_default());
         RegistryToProxy::Items {
-            complete: parts.is_none(),
+            complete: checksums.is_none(),
             up_to_date: self.freshness.is_fresh(now),
             entries,
         }
     }
 
-    /// A proxy answers a request for its digests. Entries that are only in transit are not resent.
-    pub(crate) fn on_config_digests(&mut self, now: Millis, from: Host, parts: &[u64]) {
-        let digest = parts.iter().fold(0, |digest, part| digest ^ part);
-        if self.recent_digests.compare(now, self.config.checksum(), digest) != CopyStatus::Differing {
+    /// A proxy answers a request for its digest. Entries that are only in transit are not resent.
+    pub(crate) fn on_digest(&mut self, now: Millis, from: Host, checksums: &[u64]) {
+        let checksum = checksums.iter().fold(0, |all, part| all ^ part);
+        if self.recent_checksums.compare(now, self.config.checksum(), checksum) != CopyStatus::Differing {
             return;
         }
-        let message = self.missing_items_message(now, Some(parts));
+        let message = self.missing_items_message(now, Some(checksums));
         if let RegistryToProxy::Items { entries, .. } = &message {
             self.resend_counts.1 += entries.len() as u64;
         }
         self.outputs.push(Output::SendToProxy(from, Rc::new(message)));
     }
 
-    /// Starts a session; `parts` are the digests of the configuration that its proxy already holds.
-    pub(crate) fn start_session(&mut self, now: Millis, member: ProxyInfo, parts: Option<&[u64]>) {
-        let host = member.host;
+    /// Starts a session; `checksums` are the part checksums of the configuration that its proxy already
+    /// holds.
+    pub(crate) fn start_session(&mut self, now: Millis, proxy: ProxyInfo, checksums: Option<&[u64]>) {
+        let host = proxy.host;
         self.outputs.push(Output::Log(
             "session",
-            format!("proxy={host} zone={} life={:x}", member.zone, member.incarnation),
+            format!("proxy={host} zone={} life={:x}", proxy.zone, proxy.incarnation),
         ));
         self.feed.record(
             now,
             EventKind::MemberJoined,
             &host.to_string(),
-            member.incarnation,
-            format!("zone {}", member.zone),
+            proxy.incarnation,
+            format!("zone {}", proxy.zone),
         );
-        self.members.start_session(member, now);
-        let members = self.members_message(now);
-        if let RegistryToProxy::Proxies(_, count) = &members {
-            self.members.record_sent_count(now, *count);
+        self.proxies.start_session(proxy, now);
+        let proxies = self.proxies_message(now);
+        if let RegistryToProxy::Proxies(_, count) = &proxies {
+            self.proxies.record_sent_count(now, *count);
         }
         // The list comes last: it makes a proxy ready, which by then must know the proxies that share the
         // backends.
-        let items = self.missing_items_message(now, parts);
+        let items = self.missing_items_message(now, checksums);
         let messages = [
             self.registries_message(now),
-            members,
+            proxies,
             items,
             RegistryToProxy::BackendList(self.backend_list.clone()),
         ];
@@ -196,9 +197,9 @@
     }
 
     pub(crate) fn on_proxy_heartbeat(
-        &mut self, now: Millis, from: Host, ready: bool, items: u64, listing: (u64, Host),
+        &mut self, now: Millis, from: Host, ready: bool, items_hash: u64, list_stamp: (u64, Host),
     ) {
-        if self.members.heartbeat(from, ready, now) {
+        if self.proxies.heartbeat(from, ready, now) {
             self.next_heartbeat = now;
         }
         let contact_age = self.contact_age(now) as u32;
@@ -207,38 +208,38 @@
                 .push(Output::SendToProxy(from, Rc::new(RegistryToProxy::Time(time.earliest, time.latest))));
         }
         self.outputs.push(Output::SendToProxy(from, Rc::new(RegistryToProxy::Heartbeat { contact_age })));
-        let status = self.recent_digests.compare(now, self.config.checksum(), items);
-        let comparison = self.members.compare_copy(from, now, status);
+        let status = self.recent_checksums.compare(now, self.config.checksum(), items_hash);
+        let comparison = self.proxies.compare_copy(from, now, status);
         if let Some(lags) = comparison.lag_change {
             let kind = if lags { EventKind::MemberLagging } else { EventKind::MemberCurrent };
             let cause = format!("its items against those of registry {}", self.local_host);
             self.feed.record_local(now, kind, &from.to_string(), cause);
         }
-        if comparison.needs_digests {
+        if comparison.needs_digest {
             self.resend_counts.0 += 1;
             self.outputs.push(Output::SendToProxy(from, Rc::new(RegistryToProxy::RequestDigest)));
         }
-        self.highest_list_number = self.highest_list_number.max(listing.0);
-        if listing < self.backend_list.stamp {
+        self.highest_list_number = self.highest_list_number.max(list_stamp.0);
+        if list_stamp < self.backend_list.stamp {
             let message = Rc::new(RegistryToProxy::BackendList(self.backend_list.clone()));
             self.outputs.push(Output::SendToProxy(from, message));
         }
     }
 
-    fn members_message(&self, now: Millis) -> RegistryToProxy {
+    fn proxies_message(&self, now: Millis) -> RegistryToProxy {
         // Only registries need the nodes at which each proxy is idle.
-        let members =
-            self.members.all(now).into_iter().map(|member| ProxyInfo { idle_nodes: Vec::new(), ..member });
-        RegistryToProxy::Proxies(members.collect(), self.announced_proxy_count(now))
+        let proxies =
+            self.proxies.all(now).into_iter().map(|proxy| ProxyInfo { idle_nodes: Vec::new(), ..proxy });
+        RegistryToProxy::Proxies(proxies.collect(), self.announced_proxy_count(now))
     }
 
-    pub(crate) fn announce_members(&mut self, now: Millis) {
+    pub(crate) fn announce_proxies(&mut self, now: Millis) {
         let count = self.announced_proxy_count(now);
-        if !self.members.may_have_changed(now, count) {
+        if !self.proxies.may_have_changed(now, count) {
             return;
         }
-        let message = self.members_message(now);
-        if self.members.take_change(&message, now) {
+        let message = self.proxies_message(now);
+        if self.proxies.take_change(&message, now) {
             self.send_to_all_proxies(&Rc::new(message));
         }
     }
--- a/system/membership/src/quota_grants.rs
+++ b/system/membership/src/quota_grants.rs
@@ -1,7 +1,7 @@
 //! Quota units of tenants: requested through a relay in each region and granted by the holder of the tenant's
 //! count.
 
-use crate::{Millis, Output, PEER_TIMEOUT, Peer, RECONNECT_DELAY, RegistryState, duties};
+use crate::{Millis, Output, PEER_TIMEOUT, Peer, RegistryState, SELF_GRANT_REPORT_DELAY, duties};
 use fennelscale_config::ParsedItem;
 use fennelscale_messages::Host;
 use fennelscale_messages::registry::RegistryMessage;
@@ -17,8 +17,12 @@
         let weight = |host: &Host| {
             fennelscale_messages::mix(fennelscale_messages::hash(tenant.as_bytes()) ^ u64::from(host.0))
         };
-        let local =
-            self.seats.members.iter().filter(|seat| seat.region == self.location.1).map(|seat| seat.host);
+        let local = self
+            .core_members
+            .members
+            .iter()
+            .filter(|member| member.region == self.location.1)
+            .map(|member| member.host);
         let reachable = local.filter(|host| *host == self.local_host || self.is_reachable(*host, now));
         reachable.max_by_key(weight).unwrap_or(self.local_host)
     }
@@ -112,8 +116,8 @@
         let counts = self.proxy_counts(now);
         // During the waiting period of a new holder all proxies spent without grants, and it takes a while
         // until they report that they no longer do.
-        let settled = now > since + Counts::REST as f64 * terms.window() + RECONNECT_DELAY;
-        let self_granted = if settled { self.members.self_granted_count(bit) } else { 0.0 };
+        let settled = now > since + Counts::REST as f64 * terms.window() + SELF_GRANT_REPORT_DELAY;
+        let self_granted = if settled { self.proxies.self_granted_count(bit) } else { 0.0 };
         let grant = self.quota_counts.ask(
             now,
             ask,
--- a/system/membership/tests/nights/mod.rs
+++ b/system/membership/tests/nights/mod.rs
@@ -22,7 +22,7 @@
         let up = world.nodes.iter().position(Option::is_some).unwrap();
         let at = if world.nodes[n as usize].is_some() { n as usize } else { up };
         let known =
-            world.nodes[at].as_ref().unwrap().members(world.now).iter().any(|m| m.host == Host(100 + n));
+            world.nodes[at].as_ref().unwrap().proxies(world.now).iter().any(|m| m.host == Host(100 + n));
         let (zone, region) = (format!("z{n}"), format!("r{}", n % 3));
         let quiet = quiet.to_vec();
         let member = ProxyInfo {
--- a/system/membership/tests/registries.rs
+++ b/system/membership/tests/registries.rs
@@ -88,7 +88,7 @@
         beat(&mut world);
     }
     let round = world.nodes[4].as_ref().unwrap();
-    assert_eq!(round.members(world.now).len(), 6);
+    assert_eq!(round.proxies(world.now).len(), 6);
     assert_eq!(round.resolve(world.now, "r2").len(), 2, "those of the region");
     // Cut off from all others it still names all for a while, and its own for ever.
     (0..6).for_each(|n| world.cut.extend([(4, n), (n, 4)]));
@@ -96,7 +96,7 @@
         world.run(400.0);
         beat(&mut world);
     }
-    assert_eq!(world.nodes[4].as_ref().unwrap().members(world.now).len(), 6);
+    assert_eq!(world.nodes[4].as_ref().unwrap().proxies(world.now).len(), 6);
     for _ in 0..20 {
         world.run(400.0);
         beat(&mut world);
@@ -108,7 +108,7 @@
     world.with(0, |round, now| round.receive_from_proxy(now, Host(100), ProxyToRegistry::EndSession));
     world.run(2500.0);
     let round = world.nodes[1].as_ref().unwrap();
-    assert!(round.members(world.now).iter().all(|m| m.host != Host(100)));
+    assert!(round.proxies(world.now).iter().all(|m| m.host != Host(100)));
 }
 
 #[test]
--- a/system/membership/tests/world/mod.rs
+++ b/system/membership/tests/world/mod.rs
@@ -106,7 +106,7 @@
         let life = mix((n as u64) << 32 ^ self.lives[n]);
         let mut round =
             RegistryState::new(host(n), life, &format!("z{n}"), &format!("r{}", n % 3), bootstrap, self.now);
-        round.on_seats(self.now, seats(self.nodes.len()));
+        round.on_core_members(self.now, seats(self.nodes.len()));
         let zones = (0..self.nodes.len()).map(|n| (format!("z{n}"), format!("r{}", n % 3)));
         round.set_deployment(zones.collect(), 1, (1, 1));
         self.nodes[n] = Some(round);
@@ -159,9 +159,9 @@
                 Output::CloseSession(_) | Output::StoreProxyCount(_) | Output::Log(..) => {}
                 // Readers, and what is kept for them, are the host's matter.
                 Output::StoreEvents(_) | Output::ReadEvents(..) | Output::DeliverEvents(..) => {}
-                Output::ReadRequestTrace(..)
-                | Output::DeliverRequestTrace(..)
-                | Output::DeliverProxyTrace(..) => {}
+                Output::LookUpRequest(..)
+                | Output::DeliverRequestRecords(..)
+                | Output::DeliverRequestRecord(..) => {}
             }
         }
         if again {
--- a/system/registry/src/api.rs
+++ b/system/registry/src/api.rs
@@ -202,7 +202,7 @@
             return Err(invalid("the settings have no table failureOrders, so there are none".into()));
         };
         limits.allow(&order).map_err(invalid)?;
-        let members = registry.round.borrow().members(registry.now());
+        let members = registry.round.borrow().proxies(registry.now());
         if order.most < members.len() as u64 {
             let text = format!("most.inAll: one for each of {} proxies at least is wanted", members.len());
             return Err(invalid(text));
--- a/system/registry/src/registry.rs
+++ b/system/registry/src/registry.rs
@@ -225,15 +225,17 @@
                         let _ = reader.try_send((from, told));
                     }
                 }
-                Output::ReadRequestTrace(from, question, id) => {
+                Output::LookUpRequest(from, question, id) => {
                     let registry = self.clone();
                     spawn(async move {
                         let known = registry.own_request(id).await;
                         registry.peers.send(from, &RegistryMessage::RequestRecords(question, known));
                     });
                 }
-                Output::DeliverRequestTrace(from, question, known) => self.tell_seeker(question, from, known),
-                Output::DeliverProxyTrace(from, question, known) => {
+                Output::DeliverRequestRecords(from, question, known) => {
+                    self.tell_seeker(question, from, known)
+                }
+                Output::DeliverRequestRecord(from, question, known) => {
                     self.tell_seeker(question, from, vec![(from, known)])
                 }
                 Output::CloseSession(host) => drop(self.sessions.borrow_mut().remove(&host)),
@@ -289,7 +291,7 @@
                 StoreToRegistry::UpToDate(fresh) => {
                     self.with(|round, now| round.on_store_freshness(now, fresh))
                 }
-                StoreToRegistry::Members(seats) => self.with(|round, now| round.on_seats(now, seats)),
+                StoreToRegistry::Members(seats) => self.with(|round, now| round.on_core_members(now, seats)),
             }
         }
         // A store that has started anew may have dialled before the end of its former life was seen here.
--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -93,7 +93,7 @@
         }
         let (Some(book), Some(round)) = (&self.book, self.round.as_mut()) else { return };
         self.joins = None;
-        round.on_seats(now, book.members().clone());
+        round.on_core_members(now, book.members().clone());
         round.on_items(now, true, book.published_entries());
         round.on_store_freshness(now, book.is_up_to_date());
     }
@@ -114,7 +114,7 @@
                 Output::Answer(id, told) => does.push(Does::Answer(id, told)),
                 Output::Chosen(_) | Output::Members(_) | Output::UpToDate(_) if !joined => {}
                 Output::Chosen(entries) => round.on_items(now, false, entries),
-                Output::Members(seats) => round.on_seats(now, seats),
+                Output::Members(seats) => round.on_core_members(now, seats),
                 Output::UpToDate(fresh) => round.on_store_freshness(now, fresh),
                 Output::Log(..) => {}
             }
--- a/system/simulation/src/world.rs
+++ b/system/simulation/src/world.rs
@@ -533,9 +533,9 @@
                 | Output::StoreEvents(_)
                 | Output::ReadEvents(..)
                 | Output::DeliverEvents(..) => {}
-                Output::ReadRequestTrace(..)
-                | Output::DeliverRequestTrace(..)
-                | Output::DeliverProxyTrace(..)
+                Output::LookUpRequest(..)
+                | Output::DeliverRequestRecords(..)
+                | Output::DeliverRequestRecord(..)
                 | Output::Log(..) => {}
             }
         }
