--- a/system/membership/tests/world/mod.rs
+++ b/system/membership/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Registries in virtual time: links that delay and are cut, processes that die. Who holds a duty is looked at after every
-//! step, at all of them at once.
+//! Registries in virtual time: links that delay and are cut, processes that die. Who holds a duty is looked
+//! at after every step, at all of them at once.
 
 use fennelscale_membership::maintenance::StepWrite;
 use fennelscale_membership::{Output, RegistryState};
@@ -106,7 +106,7 @@
         let life = mix((n as u64) << 32 ^ self.lives[n]);
         let mut round =
             RegistryState::new(host(n), life, &format!("z{n}"), &format!("r{}", n % 3), bootstrap, self.now);
-        round.on_seats(self.now, seats(self.nodes.len()));
+        round.on_core_members(self.now, seats(self.nodes.len()));
         let zones = (0..self.nodes.len()).map(|n| (format!("z{n}"), format!("r{}", n % 3)));
         round.set_deployment(zones.collect(), 1, (1, 1));
         self.nodes[n] = Some(round);
@@ -159,9 +159,9 @@
                 Output::CloseSession(_) | Output::StoreProxyCount(_) | Output::Log(..) => {}
                 // Readers, and what is kept for them, are the host's matter.
                 Output::StoreEvents(_) | Output::ReadEvents(..) | Output::DeliverEvents(..) => {}
-                Output::ReadRequestTrace(..)
-                | Output::DeliverRequestTrace(..)
-                | Output::DeliverProxyTrace(..) => {}
+                Output::LookUpRequest(..)
+                | Output::DeliverRequestRecords(..)
+                | Output::DeliverRequestRecord(..) => {}
             }
         }
         if again {
@@ -213,7 +213,8 @@
             .for_each(|n| self.with(n, |round, now| round.on_items(now, false, named.clone())));
     }
 
-    /// The store is as new as a quorum's at all registries, and a machine that started hears all that it holds.
+    /// The store is as new as a quorum's at all registries, and a machine that started hears all that it
+    /// holds.
     pub fn vouch(&mut self, n: usize) {
         let all: Vec<_> = self.store.iter().map(|(name, entry)| (name.clone(), entry.clone())).collect();
         self.vouched.insert(n);
--- a/system/registry/src/events.rs
+++ b/system/registry/src/events.rs
@@ -1,4 +1,5 @@
-//! The event feed as readers get it: what this registry has, what the others have, what their stores have kept.
+//! The event feed as readers get it: what this registry has, what the others have, what their stores have
+//! kept.
 
 use crate::api::{method, quoted};
 use crate::registry::Registry;
@@ -17,8 +18,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Other registries have so long to answer: the longest way there and back twice, and their stores' reading. What comes later
-/// comes with the next answer.
+/// Other registries have so long to answer: the longest way there and back twice, and their stores' reading.
+/// What comes later comes with the next answer.
 const GATHER: Duration = Duration::from_millis(500);
 /// The store has so long to read a page.
 const PAGE: Duration = Duration::from_millis(300);
@@ -147,7 +148,7 @@
 
     /// What this registry has, and what its store has of earlier lives.
     pub(crate) async fn own_events(&self, wanted: EventQuery) -> EventPage {
-        let (now, life) = (self.now(), self.round.borrow().feed().life());
+        let (now, life) = (self.now(), self.round.borrow().feed().incarnation());
         let Some(at) = wanted.after.filter(|at| at.incarnation != life) else {
             return self.round.borrow().feed().read(now, &wanted);
         };
