--- a/src/logic.rs
+++ b/src/logic.rs
@@ -14,7 +14,7 @@
 use crate::check::check;
 use crate::hash::{hash, mix, unit};
 use crate::interface::*;
-use crate::topology::{BackendParameters, FleetParameters, Mesh, RequestConstraints};
+use crate::topology::{BackendParameters, FleetParameters, RequestConstraints, Topology};
 use fennelscale_quota::{Health, Heard, Ledger, Loss, Partition, Share, Slice};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -71,7 +71,7 @@
     /// When the first event came.
     born: Millis,
     backends: BTreeMap<Name, Backend>,
-    mesh: Mesh,
+    topology: Topology,
     customers: BTreeMap<Name, Customer>,
     requests: BTreeMap<RequestId, Request>,
     queue: VecDeque<RequestId>,
@@ -137,7 +137,7 @@
             },
             Event::Timer { token: SWEEP_TOKEN } => self.on_sweep(out),
             Event::Timer { token } => self.on_hold_over(token / 2, out),
-            Event::Topology(terms, backends) => self.on_mesh(terms, backends, out),
+            Event::Topology(terms, backends) => self.on_topology(terms, backends, out),
             Event::Class(class) => self.on_class(class),
             Event::ShuttingDown => self.ending = true,
             Event::CounterPartition(partition) => self.set_counters(partition),
@@ -178,7 +178,7 @@
         let (customer, repeat, bound) = (name.clone(), arrival.is_retry, arrival.constraints);
         let rest = Request { bound, ..Request::default() };
         self.requests.insert(id, Request { customer, plan, class, units, repeat, arrived, deadline, ..rest });
-        self.mesh.came();
+        self.topology.record_arrival();
         let customer = self.customers.entry(name.clone()).or_insert_with(|| {
             let (salt, store) = (hash(&name) >> 8, Customer::start_of(&self.settings.plans[plan]));
             Customer { plan, salt, store, store_at: now, demand_at: now, ..Customer::default() }
--- a/src/logic/again.rs
+++ b/src/logic/again.rs
@@ -40,7 +40,7 @@
         };
         let most = request.bound.as_ref().map_or(0, |b| b.max_attempts);
         let most = if most > 0 { most } else { self.settings.max_attempts };
-        let in_budget = request.attempts == 0 || self.mesh.may_repeat(request.misdirected);
+        let in_budget = request.attempts == 0 || self.topology.may_retry(request.misdirected);
         allowed && in_budget && request.deadline - self.now > last && request.attempts < most
     }
 }
--- a/src/logic/backend.rs
+++ b/src/logic/backend.rs
@@ -132,16 +132,16 @@
 
     /// Takes list and terms whole before anything is chosen. Guards cold backends: by the list alone they
     /// look ready.
-    pub(super) fn on_mesh(
+    pub(super) fn on_topology(
         &mut self, terms: FleetParameters, backends: Vec<(BackendEntry, BackendParameters)>,
         out: &mut Vec<Action>,
     ) {
         let named = backends.iter().map(|(entry, terms)| (entry.name.clone(), *terms)).collect();
-        self.mesh.told(self.now, terms, named);
+        self.topology.update(self.now, terms, named);
         self.take_list(backends.into_iter().map(|(entry, _)| entry).collect(), true);
         // A backend without an answer yet has the room that its slots give.
         for (name, backend) in &mut self.backends {
-            let room = self.mesh.room(name).filter(|_| backend.fresh());
+            let room = self.topology.limit(name).filter(|_| backend.fresh());
             backend.room = room.unwrap_or(backend.room);
         }
         self.drain_queue(out);
@@ -180,7 +180,7 @@
             return false;
         }
         backend.out += 1;
-        self.mesh.sent(&name, self.now, request.attempts > 0);
+        self.topology.record_send(&name, self.now, request.attempts > 0);
         self.customers.get_mut(&request.customer).into_iter().for_each(|c| c.open += 1);
         (request.stage, request.sent_at, request.attempts) = (Stage::Out, self.now, request.attempts + 1);
         out.push(Action::Send { id, backend: name, timeout: None, write_by });
@@ -231,7 +231,7 @@
             if !backend.usable() || !in_group || full || cold || barred || self.now < backend.eject_until {
                 continue;
             }
-            let expected = self.mesh.score(name, backend.out, self.now, luck, bytes);
+            let expected = self.topology.score(name, backend.out, self.now, luck, bytes);
             if expected == Some(None) {
                 continue;
             }
@@ -279,7 +279,7 @@
                     out.push(Action::Log(format!("backend {name} back: it answers again")));
                 }
                 backend.failures = 0;
-                self.mesh.served(name, latency);
+                self.topology.record_latency(name, latency);
                 *usual = if *usual == 0.0 { latency } else { *usual + USUAL_WEIGHT * (latency - *usual) };
                 latency > self.settings.classes[class].target_latency * ROOM_SHARE
             }
@@ -288,7 +288,7 @@
             // A client with little time left proves nothing of the fleet.
             _ => latency > *usual * LATE_LATENCIES,
         };
-        backend.note_latency(late, self.mesh.least_room(name));
+        backend.note_latency(late, self.topology.min_limit(name));
         self.late += NEWEST * (f64::from(u8::from(late)) - self.late);
         let lost = end.outcome != Outcome::Served;
         if lost && backend.failed(now, end, &self.settings) {
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -25,7 +25,7 @@
 
     /// How many requests were sent, by what was known of their backends.
     pub fn send_counts(&self) -> SendCounts {
-        self.mesh.sends()
+        self.topology.send_counts()
     }
 
     /// Requests that are held because no backend may be sent one.
@@ -67,7 +67,7 @@
             now,
             born,
             backends,
-            mesh,
+            topology,
             customers,
             requests,
             queue,
@@ -81,7 +81,7 @@
             sweeping,
             ending,
         } = self;
-        (random, backends, mesh, customers, requests, queue, counters).hash(state);
+        (random, backends, topology, customers, requests, queue, counters).hash(state);
         // A partition changes only when operators say so; who compares gateways gives them the same.
         (partition.addresses(), swept, sweeping, ending).hash(state);
         floats(state, &[*now, *born, *late]);
