--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,5 @@
-//! The types that pass between a host and a gateway: settings, events and actions. Nothing is decided here.
+//! The types that pass between a host and a gateway: settings, events and actions. No decisions are made
+//! here.
 
 use crate::topology::{BackendParameters, FleetParameters, RequestConstraints};
 use std::sync::Arc;
@@ -7,21 +8,21 @@
 pub type Name = Arc<str>;
 /// Milliseconds: a point on the host's clock or a span of it.
 pub type Millis = f64;
-/// The host's number for one try of a client; never used twice.
+/// Identifies one request of a client; never reused by the host.
 pub type RequestId = u64;
 
-/// What repeating a request may do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     /// Safe to repeat at any time.
     Safe,
-    /// Carries a key: backends of one group drop a repeat for a stated time.
+    /// Carries an idempotency key: the backends of one scope drop a duplicate for a limited time.
     Keyed,
     /// Must never run twice.
     Unsafe,
 }
 
-/// The backends that share the memory of a keyed request.
+/// The backends that deduplicate a keyed request together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All backends.
@@ -37,47 +38,48 @@
 pub struct Class {
     /// The class's name.
     pub name: Name,
-    /// An answer within this time has its full worth.
+    /// An answer within this time has its full value.
     pub target_latency: Millis,
-    /// What repeating it may do.
+    /// Whether it may be repeated.
     pub retry_safety: RetrySafety,
-    /// Who drops a keyed repeat.
+    /// Which backends drop a keyed duplicate.
     pub dedup_scope: DedupScope,
-    /// For how long a keyed repeat is dropped, from the first send that may have run.
+    /// How long a keyed duplicate is dropped, counted from the first send that may have run.
     pub dedup_window: Millis,
-    /// What an answer is worth.
+    /// The value of an answer.
     pub value: f64,
-    /// The share of the worth that an answer after the aim still has.
+    /// The share of the value that is left for an answer after the target latency.
     pub late_value_share: f64,
 }
 
-/// One plan: the quota each of its customers holds over all gateways together.
+/// One plan: the quota that each of its customers has over all gateways together.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The plan's name.
     pub name: Name,
-    /// Units a second; 0 means no such quota.
+    /// Units per second; 0 means no such quota.
     pub rate: f64,
-    /// The most units that may be used at once.
+    /// Maximum number of units that may be used at once.
     pub burst: f64,
-    /// The most attempts out at once; 0 means no such quota.
+    /// Maximum number of attempts in flight; 0 means no such quota.
     pub max_concurrent: u32,
-    /// Units a second that the hard ceiling fills by; 0 means no ceiling.
+    /// Refill rate of the hard ceiling in units per second; 0 means no ceiling.
     pub ceiling_rate: f64,
-    /// The most units that the ceiling holds.
+    /// Burst size of the ceiling in units.
     pub ceiling_burst: f64,
-    /// What the ceiling may be passed by.
+    /// Units by which the ceiling may be exceeded.
     pub ceiling_slack: f64,
-    /// A factor on the worth of a request.
+    /// A factor on the value of a request.
     pub value_factor: f64,
-    /// The share of its worth that a request beyond the quota earns.
+    /// The share of its value that a request beyond the quota earns.
     pub over_quota_value_share: f64,
-    /// The share of its worth that a request beyond the quota costs.
+    /// The share of its value that a request beyond the quota costs.
     pub over_quota_cost_share: f64,
 }
 
 impl Plan {
-    /// Quota and ceiling of an account of `gateways` gateways whose largest request is of `largest` units.
+    /// Quota and ceiling of a customer served by `gateways` gateways whose largest request has `largest`
+    /// units.
     pub fn terms(&self, gateways: f64, largest: f64) -> fennelscale_quota::Terms {
         let Self { rate, burst, ceiling_rate, ceiling_burst, .. } = *self;
         fennelscale_quota::Terms { rate, burst, ceiling_rate, ceiling_burst, largest, gateways }
@@ -90,24 +92,24 @@
     /// There are none.
     #[default]
     None,
-    /// With the answers.
+    /// Sent with the answers to requests.
     Responses,
-    /// With the answers to probes only.
+    /// Sent with the answers to probes only.
     Probes,
 }
 
-/// All that a gateway is told at its start. The default is all zeros and no classes: a start to fill in.
+/// The settings of a gateway. The default is all zeros without classes, as a base to fill in.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many gateways there are.
+    /// The number of gateways.
     pub gateways: u32,
-    /// This gateway's number, from 0.
+    /// The index of this gateway, from 0.
     pub gateway_index: u32,
     /// The zone this gateway is in.
     pub zone: Name,
     /// The shortest time between two calls of `handle`.
     pub tick: Millis,
-    /// The time between two rounds of housekeeping; 0 for the usual.
+    /// The time between two rounds of housekeeping; 0 for the default.
     pub housekeeping_interval: Millis,
     /// The request classes.
     pub classes: Vec<Class>,
@@ -115,13 +117,13 @@
     pub plans: Vec<Plan>,
     /// Whether there is a shared counter.
     pub counter: bool,
-    /// A counter call without an answer for this long is given up.
+    /// A counter call without an answer for this long counts as failed.
     pub counter_timeout: Millis,
-    /// The losses of the counter that slices are made for.
+    /// The counter losses that slices allow for.
     pub loss: fennelscale_quota::Loss,
-    /// Whether the true units come with the answer.
+    /// Whether answers report the actual units used.
     pub actual_units_reported: bool,
-    /// The most units of one request.
+    /// Maximum number of units of one request.
     pub max_request_units: f64,
     /// Where load reports come from.
     pub load_reports: LoadReportSource,
@@ -129,23 +131,23 @@
     pub probes: bool,
     /// Whether gateways may send each other messages.
     pub peer_messages: bool,
-    /// Whether attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Whether the list must be asked for.
+    /// Whether the gateway must request the list of backends.
     pub list_on_request: bool,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// The longest advice that a client follows.
+    /// The longest `retry_after` that clients honour.
     pub max_retry_after: Millis,
-    /// A backend starts with this share of its capacity or more.
+    /// The least share of its capacity that a backend has at its start.
     pub cold_capacity_share: f64,
-    /// A backend is warm after this time at most.
+    /// A backend is warm after at most this time.
     pub warm_up_time: Millis,
-    /// A cold backend falls over when sent more than this multiple of its present capacity.
+    /// A cold backend fails when it receives more than this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// The time over which that is judged.
+    /// The time window over which that load is measured.
     pub overload_window: Millis,
-    /// The points taken off for one crossing of zones a request.
+    /// The cost of sending one request to another zone.
     pub cross_zone_cost: f64,
 }
 
@@ -154,9 +156,9 @@
 pub enum SettingsError {
     /// There are no classes.
     NoClasses,
-    /// A figure is negative, not finite, or zero where it may not be.
+    /// A value is negative, not finite, or zero where it must not be.
     InvalidValue(&'static str),
-    /// The gateway's own number is not below the number of gateways.
+    /// The index of the gateway is not below the number of gateways.
     IndexOutOfRange,
 }
 
@@ -164,48 +166,48 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NoClasses => write!(f, "settings name no request class"),
-            Self::InvalidValue(what) => write!(f, "settings hold an unusable figure: {what}"),
-            Self::IndexOutOfRange => write!(f, "the gateway's number is not below the number of gateways"),
+            Self::InvalidValue(what) => write!(f, "invalid value in the settings: {what}"),
+            Self::IndexOutOfRange => write!(f, "the gateway index is not below the number of gateways"),
         }
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-/// What the list of backends says of one of them.
+/// The state of a backend in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// It runs.
+    /// It accepts requests.
     Ready,
-    /// It finishes its work and must be sent nothing new.
+    /// It finishes its work and must not receive new requests.
     Draining,
     /// It is gone.
     Gone,
 }
 
-/// One line of the list of backends.
+/// One entry of the list of backends.
 #[derive(Clone, Debug)]
 pub struct BackendEntry {
-    /// Which backend.
+    /// The backend's name.
     pub name: Name,
     /// Its zone.
     pub zone: Name,
     /// Its cell.
     pub cell: u64,
-    /// What is known of it.
+    /// Its state.
     pub state: BackendState,
-    /// When it last started, where that is known.
+    /// When it last started, if known.
     pub started: Option<Millis>,
 }
 
-/// A backend's report of its own load; each value only where the site has it.
+/// A backend's report of its own load; each value is present only where the deployment provides it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it holds.
+    /// Requests in progress.
     pub inflight: Option<f64>,
-    /// Requests that wait there.
+    /// Requests in its queue.
     pub queue: Option<f64>,
-    /// Its recent service time, without waiting.
+    /// Its recent service time, without queueing.
     pub service_time: Option<Millis>,
 }
 
@@ -216,24 +218,24 @@
     Served,
     /// The backend answered with an error; it may have run.
     Error,
-    /// The backend turned it away unseen.
+    /// The backend rejected it unprocessed.
     Rejected,
     /// No answer in time; it may have run or may still run.
     TimedOut,
     /// No connection was made; it never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was lost; it may have run.
     ConnectionLost,
-    /// It was called off; it may have run.
+    /// It was cancelled; it may have run.
     Cancelled,
     /// It was never sent.
     NeverSent,
-    /// Another backend answers at its address: the one that it was for is gone. It never ran.
+    /// Another backend answered at this address because the intended one is gone. It never ran.
     Misdirected,
 }
 
 impl Outcome {
-    /// Whether it is certain that the request has not run and will not.
+    /// Whether it is certain that the request has not run and will not run.
     pub const fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NeverSent | Self::Misdirected)
     }
@@ -242,7 +244,7 @@
 /// How a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CountOutcome {
-    /// The total after the add.
+    /// The total after the addition.
     Total(f64),
     /// Nothing was added.
     NotAdded,
@@ -253,25 +255,26 @@
 /// A request that came in.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its number.
+    /// The request's id.
     pub id: RequestId,
-    /// Whose it is.
+    /// The customer that it belongs to.
     pub customer: Name,
     /// The customer's plan.
     pub plan: Name,
     /// Its class.
     pub class: Name,
-    /// The units it draws, or a guess of them.
+    /// The units that it uses, or an estimate of them.
     pub units: f64,
-    /// Whether the client marks it as a repeat of an earlier try.
+    /// Whether the client marks it as a retry of an earlier request.
     pub is_retry: bool,
-    /// How long until the client gives up.
+    /// The time until the client gives up.
     pub client_timeout: Millis,
-    /// The number of the first gateway of the customer's set; the others follow in a row, counted round.
+    /// The index of the first gateway that serves the customer; the others follow consecutively, wrapping
+    /// around.
     pub first_gateway: u32,
-    /// How many gateways the customer's requests come in through.
+    /// The number of gateways that serve the customer.
     pub gateway_count: u32,
-    /// Where it may go, where not everywhere.
+    /// Limits on where it may be sent, if any.
     pub constraints: Option<Arc<RequestConstraints>>,
 }
 
@@ -286,28 +289,28 @@
     pub backend: Name,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long it was out.
+    /// How long it took.
     pub latency: Millis,
-    /// The true units, where they come with the answer.
+    /// The actual units, if the answer reports them.
     pub actual_units: Option<f64>,
     /// Whether the request has had its final answer.
     pub finished: bool,
-    /// A load report, where one came along.
+    /// A load report, if the answer carried one.
     pub load: Option<LoadReport>,
 }
 
-/// Something that a gateway is told.
+/// An input of a gateway.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The whole list of backends; one that is missing is gone.
+    /// The full list of backends; one that is missing is gone.
     BackendList(Vec<BackendEntry>),
     /// Changes to the list.
     BackendChanges(Vec<BackendEntry>),
-    /// A call for the list failed.
+    /// A request for the list failed.
     BackendListFailed,
-    /// A request came in.
+    /// A request arrived.
     Request(Arrival),
-    /// A stream began on an attempt; it belongs to the client from now on.
+    /// An attempt began to stream its answer; the client controls it from now on.
     StreamStarted {
         /// The request.
         id: RequestId,
@@ -322,74 +325,75 @@
         outcome: Outcome,
         /// How long it took.
         latency: Millis,
-        /// A load report, where one came along.
+        /// A load report, if the answer carried one.
         load: Option<LoadReport>,
     },
-    /// The client left; the request is over.
+    /// The client disconnected; the request has ended.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// A timer ran out.
+    /// A timer expired.
     Timer {
-        /// The token given when it was set.
+        /// The token with which it was set.
         token: u64,
     },
     /// A counter call ended.
     CounterReply {
-        /// The count's name.
+        /// The key of the count.
         key: u64,
         /// How it ended.
         outcome: CountOutcome,
         /// How long it took.
         latency: Millis,
     },
-    /// Accounts are counted on these counters; how each that was there is stays known.
+    /// The counters that hold the counts of customers from now on; the health of those known before is kept.
     CounterPartition(fennelscale_quota::Partition),
-    /// The whole list of backends, each with its terms, and what is known of the gateways. It is one event, so that nothing is
-    /// chosen between the list and the terms: from the first one on, a backend without terms is sent nothing.
+    /// The full list of backends with their parameters, and the parameters of the fleet. It is one event so
+    /// that no backend is chosen between the list and the parameters: from the first such event on, a backend
+    /// without parameters is sent nothing.
     Topology(FleetParameters, Vec<(BackendEntry, BackendParameters)>),
-    /// A class beyond those of the settings; one of a name that is there takes its place.
+    /// Adds a class to those of the settings, or replaces the one of the same name.
     Class(Class),
-    /// The gateway is about to end: no more requests come.
+    /// The gateway is shutting down: no more requests arrive.
     ShuttingDown,
     /// A message from another gateway.
     PeerMessage {
-        /// The sender's number.
+        /// The index of the sender.
         from: u32,
-        /// What it says.
+        /// The message.
         bytes: Vec<u8>,
     },
 }
 
-/// Something that the host is to do at once.
+/// An instruction that the host carries out at once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a backend.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The destination.
         backend: Name,
-        /// The attempt's time-out; `None` until the client gives up.
+        /// The timeout of the attempt; `None` if it runs until the client gives up.
         timeout: Option<Millis>,
-        /// Its last byte must be written within this, or it must not be sent: a repeat that comes when its rack has
-        /// forgotten the first is none. `None` where it may be written at any time.
+        /// The last byte must be written within this time, or the request must not be sent: once its dedup
+        /// scope has forgotten the first attempt, a duplicate would run again. `None` without such a limit.
         write_by: Option<Millis>,
     },
-    /// Final answer: refused, harmless to try again.
+    /// Final answer: refused; a retry by the client is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client ought to wait.
+        /// How long the client should wait.
         retry_after: Millis,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed; the request may or may not have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     CancelAttempt {
         /// The request.
         id: RequestId,
@@ -398,33 +402,33 @@
     },
     /// Set a timer.
     SetTimer {
-        /// How long from now.
+        /// The time until it expires.
         after: Millis,
-        /// What the timer brings back.
+        /// The token to return with the timer event.
         token: u64,
     },
     /// Probe a backend.
     Probe {
-        /// Which one.
+        /// The backend.
         backend: Name,
     },
-    /// Add to a shared count and hear its total.
+    /// Add to a shared count and report its total.
     AddToCounter {
-        /// Which counter, by its place in the partition; 0 where none was set.
+        /// The index of the counter in the partition; 0 without a partition.
         counter: usize,
-        /// The count's name, below 2^63.
+        /// The key of the count, below 2^63.
         key: u64,
-        /// What to add.
+        /// The amount to add.
         amount: f64,
-        /// How long a new name is kept.
+        /// The time to live of a newly created count.
         ttl: Millis,
     },
     /// Send a message to all other gateways.
     Broadcast {
-        /// What it says.
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// Ask for changes to the list of backends from now on.
+    /// Subscribe to changes of the list of backends.
     WatchBackends,
     /// Write a line to the log.
     Log(String),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! doorcourse makes the decisions of a front door: a set of gateways that meter many customers' use of one
-//! shared service. It does no input or output and reads no clock: the host tells a [`Gateway`] what happened
-//! and when, and carries out the actions it gives back.
+//! doorcourse makes the decisions of a set of gateways that limit many customers' use of one shared service:
+//! admission, choice of backends, retries and refusals. It performs no I/O and reads no clock: the host feeds
+//! timed events to a [`Gateway`] and carries out the actions that it returns.
 //!
 //! ```
 //! use doorcourse::{
@@ -30,23 +30,25 @@
 //!
 //! # What the host must provide
 //!
-//! - One gateway object in a process of its own; after a restart a new one, with a fresh seed and the last list.
-//!   No two share a seed: chance would choose alike.
-//! - Clocks that agree among gateways to well within the shortest window of any plan: count names are made of the
-//!   window's number. Gateways whose clocks differ by a window count apart, and each grants the quota again.
-//! - A counter that adds an amount to a number by name and answers the total. A call without an answer in time is
-//!   reported as [`CountOutcome::Unknown`]. One answer for each call, in the order of the calls of a name.
-//! - Every timer asked for, once, at or after its time.
-//! - For every [`Action::Send`] exactly one [`Event::AttemptEnded`], by the client's patience at the latest.
+//! - One gateway object in a process of its own. After a restart, a new object with a fresh seed and the latest
+//!   list of backends. No two gateways may share a seed, or their random choices coincide.
+//! - Clocks that agree among gateways to well within the shortest window of any plan, because keys of counts
+//!   contain the number of the window. Gateways whose clocks differ by a window count separately, and each
+//!   grants the whole quota again.
+//! - A counter that adds an amount to the count under a key and returns the total. A call without an answer in
+//!   time is reported as [`CountOutcome::Unknown`]. Each call is answered once, in the order of the calls of
+//!   its key.
+//! - Every requested timer fires once, at or after its time.
+//! - For every [`Action::Send`] exactly one [`Event::AttemptEnded`], at the latest when the client gives up.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod check;
 mod hash;
 mod interface;
 mod logic;
 mod topology;
+mod validate;
 
 pub use interface::*;
 pub use logic::Gateway;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -11,10 +11,10 @@
 mod units;
 mod view;
 
-use crate::check::check;
 use crate::hash::{hash, mix, unit};
 use crate::interface::*;
 use crate::topology::{BackendParameters, FleetParameters, RequestConstraints, Topology};
+use crate::validate::validate;
 use fennelscale_quota::{Health, Heard, Ledger, Loss, Partition, Share, Slice};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -96,7 +96,7 @@
     /// # Errors
     /// When the settings cannot be used.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        validate(&settings)?;
         let class_latency = vec![0.0; settings.classes.len()];
         let plan_odds = vec![[1.0, 0.0]; settings.plans.len()];
         let settings = Arc::new(settings);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -20,6 +20,6 @@
     assert_eq!(error(|s| s.plans[0].burst = 0.0), Some(SettingsError::InvalidValue("a plan's burst")));
     assert_eq!(
         error(|s| s.classes[0].target_latency = f64::INFINITY),
-        Some(SettingsError::InvalidValue("a class's aim"))
+        Some(SettingsError::InvalidValue("a class's target latency"))
     );
 }
