--- a/src/logic/again.rs
+++ b/src/logic/again.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 /// An answer must leave this many ticks before the client's patience ends.
-pub(super) const LAST_TICKS: f64 = 2.0;
+pub(super) const DEADLINE_MARGIN_TICKS: f64 = 2.0;
 /// A safe request that may have run is tried this often at most: what two backends cannot do is costly.
-pub(super) const REPEAT_MOST: u32 = 2;
+pub(super) const MAX_SAFE_ATTEMPTS: u32 = 2;
 
 impl Gateway {
-    pub(super) fn on_attempt(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
+    pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let (id, outcome) = (end.id, end.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
@@ -16,29 +16,30 @@
             customer.owed += true_units - request.units;
             customer.store -= true_units - request.units;
         }
-        customer.open = customer.open.saturating_sub(1);
-        let left = std::mem::replace(&mut request.stage, Stage::Queue) == Stage::Left;
+        customer.in_flight = customer.in_flight.saturating_sub(1);
+        let left = std::mem::replace(&mut request.stage, Stage::Queued) == Stage::Abandoned;
         request.misdirected |= outcome == Outcome::Misdirected;
         if !outcome.never_ran() && request.may_have_run.is_none() {
             let home = self.backends.get(&end.backend).map(|b| (request.sent_at, b.zone.clone(), b.cell));
             request.may_have_run = home.or(Some((request.sent_at, Name::default(), u64::MAX)));
         }
         if left || end.finished || outcome == Outcome::Served {
-            return self.forget(id);
+            return self.remove_request(id);
         }
-        if self.may_try_again(id) { self.place(id, out) } else { self.give_up(id, out) }
+        if self.may_retry(id) { self.send_or_queue(id, actions) } else { self.answer_finally(id, actions) }
     }
 
-    pub(super) fn may_try_again(&self, id: RequestId) -> bool {
+    pub(super) fn may_retry(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let (class, last) = (&self.settings.classes[request.class], LAST_TICKS * self.settings.tick);
+        let (class, last) =
+            (&self.settings.classes[request.class], DEADLINE_MARGIN_TICKS * self.settings.tick);
         let allowed = match (&request.may_have_run, class.retry_safety) {
             (None, _) => true,
-            (_, RetrySafety::Safe) => request.attempts < REPEAT_MOST,
+            (_, RetrySafety::Safe) => request.attempts < MAX_SAFE_ATTEMPTS,
             (Some((sent, ..)), RetrySafety::Keyed) => self.now - sent < class.dedup_window - last,
             (Some(_), RetrySafety::Unsafe) => false,
         };
-        let most = request.bound.as_ref().map_or(0, |b| b.max_attempts);
+        let most = request.constraints.as_ref().map_or(0, |b| b.max_attempts);
         let most = if most > 0 { most } else { self.settings.max_attempts };
         let in_budget = request.attempts == 0 || self.topology.may_retry(request.misdirected);
         allowed && in_budget && request.deadline - self.now > last && request.attempts < most
--- a/src/logic/units.rs
+++ b/src/logic/units.rs
@@ -44,8 +44,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Customer {
     pub(super) plan: usize,
-    pub(super) spread: f64,
-    pub(super) place: u32,
+    pub(super) gateway_count: f64,
+    pub(super) position: u32,
     pub(super) salt: u64,
     pub(super) window: u64,
     /// The counter that counts it in this window.
@@ -69,7 +69,7 @@
     pub(super) demand_at: Millis,
     /// This gateway's own slice, spent while the counter is silent.
     pub(super) slice: Option<Slice>,
-    pub(super) open: u32,
+    pub(super) in_flight: u32,
 }
 
 impl Customer {
@@ -86,7 +86,7 @@
 
     /// Whether the quota is too small for blocks at each gateway; chance decides then, but under no ceiling.
     pub(super) fn thin(&self, plan: &Plan) -> bool {
-        plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < THIN * self.spread
+        plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < THIN * self.gateway_count
     }
 
     /// The number of a window and when it began, staggered by hash: customers do not all renew at once.
@@ -114,21 +114,24 @@
     /// The smoothed demand of a short while, as far as an even part of what is left allows.
     pub(super) fn demand_block(&self, plan: &Plan) -> f64 {
         let target = self.demand * Self::turn(plan) * BLOCK_SHARE;
-        target.min(self.store * NEAR_SHARE / self.spread).floor()
+        target.min(self.store * NEAR_SHARE / self.gateway_count).floor()
     }
 
     /// The block wanted now: an even part while there is plenty (so the first is burst over gateways), else
     /// smoothed demand; near the total it falls to what waits.
     pub(super) fn block(&self, need: f64, plan: &Plan) -> f64 {
-        let plenty = (self.store - plan.burst * NEAR_SHARE) / self.spread;
-        let want =
-            if self.known { self.demand_block(plan).max(plenty.ceil()) } else { plan.burst / self.spread };
+        let plenty = (self.store - plan.burst * NEAR_SHARE) / self.gateway_count;
+        let want = if self.known {
+            self.demand_block(plan).max(plenty.ceil())
+        } else {
+            plan.burst / self.gateway_count
+        };
         need.max(want.floor()).max(0.0)
     }
 
     /// The slice that this gateway may spend alone, begun now by what is known of the store.
     pub(super) fn own_slice(&self, units: f64, now: Millis, alone: &Alone, plan: &Plan) -> Slice {
-        let terms = plan.terms(self.spread, units);
+        let terms = plan.terms(self.gateway_count, units);
         let part = terms.part(&self.share, alone.loss);
         // A silence that ended before the last total was heard has been settled.
         let lost = if self.heard < alone.until { alone.lost } else { 0.0 };
@@ -190,7 +193,7 @@
     }
 
     /// The quota's gate: block in hand, else silence rule, else refusal once both are spent. True: it waits.
-    pub(super) fn admit(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    pub(super) fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let now = self.now;
         let Some(request) = self.requests.get(&id) else { return false };
         let (name, units) = (request.customer.clone(), request.units);
@@ -202,102 +205,108 @@
         let plan = &self.settings.plans[customer.plan];
         let left = customer.store + customer.lease;
         if plan.rate <= 0.0 {
-            self.place(id, out);
+            self.send_or_queue(id, actions);
         } else if customer.thin(plan) {
-            return self.admit_thin(id, out);
+            return self.admit_thin(id, actions);
         } else if customer.waiting.is_empty() && customer.lease >= units {
             customer.lease -= units;
             let target = customer.demand_block(plan);
             if !silent && target >= 1.0 && customer.lease < target * RENEW_SHARE {
-                self.ask(&name, out);
+                self.ask(&name, actions);
             }
-            self.place(id, out);
+            self.send_or_queue(id, actions);
         } else if silent {
-            self.by_slice(id, out);
+            self.by_slice(id, actions);
             let idle = self.counters.get(counter).is_some_and(|c| c.calls.is_empty());
             if idle && self.chance() < self.health(counter).ease {
-                self.ask(&name, out);
+                self.ask(&name, actions);
             }
         } else if customer.known && left < units {
-            self.over_quota(id, units - left, plan.rate, out);
+            self.over_quota(id, units - left, plan.rate, actions);
         } else {
-            return self.wait_for_total(id, out);
+            return self.wait_for_total(id, actions);
         }
         false
     }
 
-    pub(super) fn wait_for_total(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    pub(super) fn wait_for_total(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         customer.waiting.push_back(id);
         let until = request.arrived + self.settings.classes[request.class].target_latency * BLOCK_WAIT;
-        self.hold(id, Stage::Block, until, out);
+        self.wait_until(id, Stage::AwaitingLease, until, actions);
         true
     }
 
     /// The gate of a thin customer. Its count sums what is asked: a try is added by chance, as far as the
     /// counter bears, and weighs the more; without an add the odds last heard decide.
-    pub(super) fn admit_thin(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    pub(super) fn admit_thin(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let chance = self.chance();
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return false };
         let ease = self.health(customer.counter).ease;
-        let wanted = if request.repeat { ease - 1.0 } else { ease };
+        let wanted = if request.is_retry { ease - 1.0 } else { ease };
         let calls = self.settings.counter && chance < wanted;
         if calls && customer.call.is_none() {
-            return self.wait_for_total(id, out);
+            return self.wait_for_total(id, actions);
         }
-        self.by_odds(id, out);
+        self.by_odds(id, actions);
         false
     }
 
     /// Decides for a thin customer's try without a total: by the odds last heard, fading to its plan's. Of
     /// an unknown customer all is let in while that gains more than it costs.
-    pub(super) fn by_odds(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn by_odds(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let chance = self.chance();
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get(&request.customer) else { return };
         let plan = &self.settings.plans[customer.plan];
-        let usual = self.plan_odds[customer.plan][usize::from(request.repeat)];
-        let pays = usual > (1.0 - usual) * (plan.over_quota_cost_share - plan.over_quota_value_share);
-        let usual = if pays { 1.0 } else { usual };
+        let typical = self.plan_odds[customer.plan][usize::from(request.is_retry)];
+        let pays = typical > (1.0 - typical) * (plan.over_quota_cost_share - plan.over_quota_value_share);
+        let typical = if pays { 1.0 } else { typical };
         let (odds, at) = self.told.get(&customer.salt).copied().unwrap_or_default();
         let age = (self.now - at) / Customer::turn(plan);
-        if chance < usual + (-age / THIN_FADE).exp() * (odds - usual) {
-            self.requests.entry(id).and_modify(|r| r.blind = true);
-            return self.place(id, out);
+        if chance < typical + (-age / THIN_FADE).exp() * (odds - typical) {
+            self.requests.entry(id).and_modify(|r| r.without_total = true);
+            return self.send_or_queue(id, actions);
         }
-        self.over_quota(id, request.units, plan.rate, out);
+        self.over_quota(id, request.units, plan.rate, actions);
     }
 
     /// A thin customer's total came: what is asked fits as far as the window has granted by now.
-    pub(super) fn granted_thin(&mut self, name: &Name, mut asked: f64, block: f64, out: &mut Vec<Action>) {
+    pub(super) fn granted_thin(
+        &mut self, name: &Name, mut asked: f64, block: f64, actions: &mut Vec<Action>,
+    ) {
         let (now, ease) = (self.now, self.ease_of(name));
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan];
         let (rate, turn) = (plan.rate, Customer::turn(plan));
         let since = rate * (now - customer.window_at(now, plan).1) / 1000.0;
         // A try that weighs more than itself stands for others by chance: one such is let by.
-        let luck = (block - block * ease.min(1.0)).max(0.0);
-        let granted = (plan.burst * THIN_START + since).min(plan.burst) + luck;
-        let even = (plan.burst * THIN_ODDS + since + luck) / (asked + block);
+        let jitter = (block - block * ease.min(1.0)).max(0.0);
+        let granted = (plan.burst * THIN_START + since).min(plan.burst) + jitter;
+        let even = (plan.burst * THIN_ODDS + since + jitter) / (asked + block);
         let odds = if asked + block > granted { even.min(1.0) } else { 1.0 };
         let (told, at) = self.told.insert(customer.salt, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
         if self.settings.peer_messages && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
             let mut bytes = customer.salt.to_le_bytes();
             bytes[7] = (odds * 255.0) as u8;
-            out.push(Action::Broadcast { bytes: bytes.to_vec() });
+            actions.push(Action::Broadcast { bytes: bytes.to_vec() });
         }
         let waiting = std::mem::take(&mut customer.waiting);
         if !std::mem::replace(&mut customer.known, true) {
-            let repeat = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.repeat));
-            let usual = &mut self.plan_odds[customer.plan][usize::from(repeat)];
-            *usual += NEWEST * (f64::from(u8::from(asked < granted)) - *usual);
+            let repeat = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.is_retry));
+            let typical = &mut self.plan_odds[customer.plan][usize::from(repeat)];
+            *typical += NEWEST_WEIGHT * (f64::from(u8::from(asked < granted)) - *typical);
         }
         for id in waiting {
-            asked += self.requests.get(&id).filter(|r| !r.repeat).map_or(0.0, |r| r.units);
+            asked += self.requests.get(&id).filter(|r| !r.is_retry).map_or(0.0, |r| r.units);
             let over = asked - granted;
-            if over <= 0.0 { self.place(id, out) } else { self.over_quota(id, over, rate, out) }
+            if over <= 0.0 {
+                self.send_or_queue(id, actions)
+            } else {
+                self.over_quota(id, over, rate, actions)
+            }
         }
     }
 
@@ -309,7 +318,7 @@
 
     pub(super) fn alone(&self, counter: usize) -> Alone {
         let (lost, until) = self.health(counter).lost(self.now);
-        Alone { loss: self.settings.loss, lost, until, running: self.now - self.born }
+        Alone { loss: self.settings.loss, lost, until, running: self.now - self.started_at }
     }
 
     /// A counter's address for the log, where there are several.
@@ -322,17 +331,17 @@
     }
 
     /// Asks for those who wait, as far as calls are free: whose time is over first goes first.
-    pub(super) fn ask_next(&mut self, counter: usize, out: &mut Vec<Action>) {
+    pub(super) fn ask_next(&mut self, counter: usize, actions: &mut Vec<Action>) {
         while let Some(calls) = self.counters.get_mut(counter).filter(|c| !c.is_full()) {
             let Some((_, name)) = calls.line.pop_first() else { return };
             if self.customers.get(&name).is_some_and(|c| !c.waiting.is_empty()) {
-                self.ask(&name, out);
+                self.ask(&name, actions);
             }
         }
     }
 
     /// Adds a block to the customer's count: one call out for each name, and a bound on all.
-    pub(super) fn ask(&mut self, name: &Name, out: &mut Vec<Action>) {
+    pub(super) fn ask(&mut self, name: &Name, actions: &mut Vec<Action>) {
         let (now, timeout) = (self.now, self.settings.counter_timeout);
         let Some(customer) = self.customers.get_mut(name) else { return };
         if customer.call.is_some() || !self.settings.counter {
@@ -353,12 +362,12 @@
             // Whether it is back is asked with nothing: what may have been added would be lost to all.
             0.0
         } else if customer.thin(plan) {
-            let first: f64 = waiting.filter(|r| !r.repeat).map(|r| r.units).sum();
+            let first: f64 = waiting.filter(|r| !r.is_retry).map(|r| r.units).sum();
             first / counter.health.ease.min(1.0)
         } else {
             let need: f64 = waiting.map(|r| r.units).sum();
             let need = need.min(customer.store.max(1.0));
-            let block = if self.ending { need } else { customer.block(need, plan) };
+            let block = if self.shutting_down { need } else { customer.block(need, plan) };
             (block - customer.lease).max(0.0)
         };
         let owed = if silent { 0.0 } else { std::mem::take(&mut customer.owed) };
@@ -370,11 +379,11 @@
         counter.calls.insert(count, name.clone());
         let keep = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
         let (counter, amount) = (customer.counter, block + owed);
-        out.push(Action::AddToCounter { counter, key: count, amount, ttl: keep });
+        actions.push(Action::AddToCounter { counter, key: count, amount, ttl: keep });
     }
 
     pub(super) fn on_counted(
-        &mut self, count: u64, outcome: CountOutcome, latency: Millis, out: &mut Vec<Action>,
+        &mut self, count: u64, outcome: CountOutcome, latency: Millis, actions: &mut Vec<Action>,
     ) {
         let (now, timeout) = (self.now, self.settings.counter_timeout);
         let called = |(at, c): (usize, &mut Counter)| c.calls.remove(&count).map(|name| (at, name));
@@ -382,29 +391,29 @@
         let health = &mut self.counters[at].health;
         if let CountOutcome::Total(total) = outcome {
             if health.answered(now, latency, timeout) {
-                out.push(Action::Log(format!("counter{} back", self.named(at))));
+                actions.push(Action::Log(format!("counter{} back", self.named(at))));
             }
-            self.granted(&name, at, total, out);
+            self.granted(&name, at, total, actions);
         } else {
             let unknown = outcome == CountOutcome::Unknown;
             let missed = health.missed(now, latency, timeout, unknown);
             if missed.silent {
                 let which = self.named(at);
-                out.push(Action::Log(format!("counter{which} silent: spending blocks and slices")));
+                actions.push(Action::Log(format!("counter{which} silent: spending blocks and slices")));
             }
-            self.missed(&name, unknown, missed.soon, out);
+            self.missed(&name, unknown, missed.soon, actions);
         }
-        self.ask_next(at, out);
+        self.ask_next(at, actions);
     }
 
     /// A total came: learn the store from it, keep what fits, give the rest back, serve who waits.
-    pub(super) fn granted(&mut self, name: &Name, counter: usize, total: f64, out: &mut Vec<Action>) {
+    pub(super) fn granted(&mut self, name: &Name, counter: usize, total: f64, actions: &mut Vec<Action>) {
         let (now, alone, health) = (self.now, self.alone(counter), self.health(counter));
         let Some(customer) = self.customers.get_mut(name) else { return };
         let Some((window, block, owed)) = customer.call.take() else { return };
         let plan = &self.settings.plans[customer.plan];
         if customer.thin(plan) {
-            return self.granted_thin(name, total - block - owed, block, out);
+            return self.granted_thin(name, total - block - owed, block, actions);
         }
         customer.roll(now, plan, &self.partition);
         let slice = customer.slice.take();
@@ -459,15 +468,17 @@
         }
         let waiting = std::mem::take(&mut customer.waiting);
         let give_back = customer.owed <= -1.0;
-        let wait = waiting.into_iter().filter(|id| self.admit(*id, out)).count();
+        let wait = waiting.into_iter().filter(|id| self.admit(*id, actions)).count();
         if wait > 0 || give_back {
-            self.ask(name, out);
+            self.ask(name, actions);
         }
     }
 
     /// No answer: the silence rule decides for who waits, and a block that may have counted is let go until a
     /// total shows it.
-    pub(super) fn missed(&mut self, name: &Name, may_have_counted: bool, soon: bool, out: &mut Vec<Action>) {
+    pub(super) fn missed(
+        &mut self, name: &Name, may_have_counted: bool, soon: bool, actions: &mut Vec<Action>,
+    ) {
         let Some(customer) = self.customers.get_mut(name) else { return };
         let (window, block, owed) = customer.call.take().unwrap_or_default();
         customer.owed += if may_have_counted { owed.max(0.0) } else { owed };
@@ -476,15 +487,15 @@
         }
         if soon && !customer.waiting.is_empty() {
             // The answer was spoilt or its connection broke, and there is time left to ask again.
-            return self.ask(name, out);
+            return self.ask(name, actions);
         }
         for id in std::mem::take(&mut customer.waiting) {
-            self.by_slice(id, out);
+            self.by_slice(id, actions);
         }
     }
 
     /// The silence rule for one request: the even slice or refusal.
-    pub(super) fn by_slice(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn by_slice(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(counter) = self.customers.get(&request.customer).map(|c| c.counter) else { return };
         let alone = self.alone(counter);
@@ -492,14 +503,14 @@
         let plan = &self.settings.plans[request.plan];
         customer.waiting.retain(|w| *w != id);
         if customer.thin(plan) {
-            return self.by_odds(id, out);
+            return self.by_odds(id, actions);
         }
         customer.roll(self.now, plan, &self.partition);
         if customer.spend_slice(request.units, self.now, &alone, plan) {
-            return self.place(id, out);
+            return self.send_or_queue(id, actions);
         }
         let slice = customer.slice.unwrap_or_default();
         let (short, rate) = (request.units - slice.held, slice.rate);
-        self.over_quota(id, short, rate, out);
+        self.over_quota(id, short, rate, actions);
     }
 }
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -20,7 +20,10 @@
 
     /// What is counted as out: attempts at all backends, and attempts of all customers.
     pub fn in_flight(&self) -> (u32, u32) {
-        (self.backends.values().map(|b| b.out).sum(), self.customers.values().map(|c| c.open).sum())
+        (
+            self.backends.values().map(|b| b.in_flight).sum(),
+            self.customers.values().map(|c| c.in_flight).sum(),
+        )
     }
 
     /// How many requests were sent, by what was known of their backends.
@@ -65,7 +68,7 @@
             settings: _,
             random,
             now,
-            born,
+            started_at,
             backends,
             topology,
             customers,
@@ -73,18 +76,18 @@
             queue,
             partition,
             counters,
-            swept,
+            last_visited,
             plan_odds,
             told,
             class_latency,
-            late,
-            sweeping,
-            ending,
+            late_share,
+            started,
+            shutting_down,
         } = self;
         (random, backends, topology, customers, requests, queue, counters).hash(state);
         // A partition changes only when operators say so; who compares gateways gives them the same.
-        (partition.addresses(), swept, sweeping, ending).hash(state);
-        floats(state, &[*now, *born, *late]);
+        (partition.addresses(), last_visited, started, shutting_down).hash(state);
+        floats(state, &[*now, *started_at, *late_share]);
         plan_odds.iter().for_each(|odds| floats(state, odds));
         floats(state, class_latency);
         state.write_usize(told.len());
@@ -111,18 +114,19 @@
             cell,
             ready,
             gone,
-            departed,
+            address_reused,
             started,
-            out,
-            room,
+            in_flight,
+            limit,
             failures,
-            told,
-            heard,
+            ejection_logged,
+            limit_adjusted,
             eject_until,
         } = self;
-        (zone, cell, ready, gone, departed, out, failures, told, heard).hash(state);
+        (zone, cell, ready, gone, address_reused, in_flight, failures, ejection_logged, limit_adjusted)
+            .hash(state);
         maybe(state, *started);
-        floats(state, &[*room, *eject_until]);
+        floats(state, &[*limit, *eject_until]);
     }
 }
 
@@ -130,8 +134,8 @@
     fn hash<H: Hasher>(&self, state: &mut H) {
         let Self {
             plan,
-            spread,
-            place,
+            gateway_count,
+            position,
             salt,
             window,
             counter,
@@ -148,10 +152,10 @@
             demand,
             demand_at,
             slice,
-            open,
+            in_flight,
         } = self;
-        (plan, place, salt, window, counter, known, waiting, open).hash(state);
-        floats(state, &[*spread, *lease, *store, *store_at]);
+        (plan, position, salt, window, counter, known, waiting, in_flight).hash(state);
+        floats(state, &[*gateway_count, *lease, *store, *store_at]);
         floats(state, &[ledger.added, ledger.seen, ledger.doubt, share.own, share.all, share.at]);
         floats(state, &[*heard, *owed, *demand, *demand_at]);
         (call.is_some(), slice.is_some()).hash(state);
@@ -169,8 +173,8 @@
             plan,
             class,
             units,
-            blind,
-            repeat,
+            without_total,
+            is_retry,
             arrived,
             deadline,
             hold_until,
@@ -178,10 +182,11 @@
             attempts,
             misdirected,
             may_have_run,
-            bound,
+            constraints,
             sent_at,
         } = self;
-        (customer, plan, class, blind, repeat, *stage as u8, attempts, misdirected, bound).hash(state);
+        (customer, plan, class, without_total, is_retry, *stage as u8, attempts, misdirected, constraints)
+            .hash(state);
         floats(state, &[*units, *arrived, *deadline, *hold_until, *sent_at]);
         let run = may_have_run.as_ref();
         run.map(|(_, zone, cell)| (zone, cell)).hash(state);
