--- a/src/logic.rs
+++ b/src/logic.rs
@@ -52,7 +52,7 @@
     is_retry: bool,
     arrived: Millis,
     deadline: Millis,
-    hold_until: Millis,
+    wait_until: Millis,
     stage: Stage,
     attempts: u32,
     /// A backend that it was sent to had gone, and another had its address.
--- a/src/logic/again.rs
+++ b/src/logic/again.rs
@@ -1,10 +1,10 @@
-//! Which retry: what the end of an attempt means, and whether there is another.
+//! Retries: what the end of an attempt means, and whether another one follows.
 
 use super::*;
 
-/// An answer must leave this many ticks before the client's patience ends.
+/// An answer must leave this many ticks before the client gives up.
 pub(super) const DEADLINE_MARGIN_TICKS: f64 = 2.0;
-/// A safe request that may have run is tried this often at most: what two backends cannot do is costly.
+/// Maximum attempts of a safe request that may have run: one that fails on two backends is expensive.
 pub(super) const MAX_SAFE_ATTEMPTS: u32 = 2;
 
 impl Gateway {
@@ -12,36 +12,36 @@
         let (id, outcome) = (end.id, end.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
-        if let Some(true_units) = end.actual_units.filter(|_| outcome == Outcome::Served) {
-            customer.owed += true_units - request.units;
-            customer.store -= true_units - request.units;
+        if let Some(actual_units) = end.actual_units.filter(|_| outcome == Outcome::Served) {
+            customer.owed += actual_units - request.units;
+            customer.store -= actual_units - request.units;
         }
         customer.in_flight = customer.in_flight.saturating_sub(1);
-        let left = std::mem::replace(&mut request.stage, Stage::Queued) == Stage::Abandoned;
+        let abandoned = std::mem::replace(&mut request.stage, Stage::Queued) == Stage::Abandoned;
         request.misdirected |= outcome == Outcome::Misdirected;
         if !outcome.never_ran() && request.may_have_run.is_none() {
-            let home = self.backends.get(&end.backend).map(|b| (request.sent_at, b.zone.clone(), b.cell));
-            request.may_have_run = home.or(Some((request.sent_at, Name::default(), u64::MAX)));
+            let origin = self.backends.get(&end.backend).map(|b| (request.sent_at, b.zone.clone(), b.cell));
+            request.may_have_run = origin.or(Some((request.sent_at, Name::default(), u64::MAX)));
         }
-        if left || end.finished || outcome == Outcome::Served {
+        if abandoned || end.finished || outcome == Outcome::Served {
             return self.remove_request(id);
         }
-        if self.may_retry(id) { self.send_or_queue(id, actions) } else { self.answer_finally(id, actions) }
+        if self.may_retry(id) { self.send_or_queue(id, actions) } else { self.give_up(id, actions) }
     }
 
     pub(super) fn may_retry(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let (class, last) =
+        let (class, margin) =
             (&self.settings.classes[request.class], DEADLINE_MARGIN_TICKS * self.settings.tick);
         let allowed = match (&request.may_have_run, class.retry_safety) {
             (None, _) => true,
             (_, RetrySafety::Safe) => request.attempts < MAX_SAFE_ATTEMPTS,
-            (Some((sent, ..)), RetrySafety::Keyed) => self.now - sent < class.dedup_window - last,
+            (Some((sent, ..)), RetrySafety::Keyed) => self.now - sent < class.dedup_window - margin,
             (Some(_), RetrySafety::Unsafe) => false,
         };
-        let most = request.constraints.as_ref().map_or(0, |b| b.max_attempts);
-        let most = if most > 0 { most } else { self.settings.max_attempts };
+        let limit = request.constraints.as_ref().map_or(0, |c| c.max_attempts);
+        let limit = if limit > 0 { limit } else { self.settings.max_attempts };
         let in_budget = request.attempts == 0 || self.topology.may_retry(request.misdirected);
-        allowed && in_budget && request.deadline - self.now > last && request.attempts < most
+        allowed && in_budget && request.deadline - self.now > margin && request.attempts < limit
     }
 }
--- a/src/logic/units.rs
+++ b/src/logic/units.rs
@@ -222,7 +222,7 @@
                 self.ask(&name, actions);
             }
         } else if customer.known && left < units {
-            self.over_quota(id, units - left, plan.rate, actions);
+            self.refuse_over_quota(id, units - left, plan.rate, actions);
         } else {
             return self.wait_for_total(id, actions);
         }
@@ -234,7 +234,7 @@
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         customer.waiting.push_back(id);
         let until = request.arrived + self.settings.classes[request.class].target_latency * BLOCK_WAIT;
-        self.wait_until(id, Stage::AwaitingLease, until, actions);
+        self.wait(id, Stage::AwaitingLease, until, actions);
         true
     }
 
@@ -270,7 +270,7 @@
             self.requests.entry(id).and_modify(|r| r.without_total = true);
             return self.send_or_queue(id, actions);
         }
-        self.over_quota(id, request.units, plan.rate, actions);
+        self.refuse_over_quota(id, request.units, plan.rate, actions);
     }
 
     /// A thin customer's total came: what is asked fits as far as the window has granted by now.
@@ -305,7 +305,7 @@
             if over <= 0.0 {
                 self.send_or_queue(id, actions)
             } else {
-                self.over_quota(id, over, rate, actions)
+                self.refuse_over_quota(id, over, rate, actions)
             }
         }
     }
@@ -353,7 +353,7 @@
         if counter.is_full() {
             // Who waits has the next call that is free; a renewal is asked for again with the next request.
             let first = customer.waiting.front().and_then(|id| self.requests.get(id));
-            counter.line.extend(first.map(|r| (r.hold_until.max(0.0).to_bits(), name.clone())));
+            counter.line.extend(first.map(|r| (r.wait_until.max(0.0).to_bits(), name.clone())));
             return;
         }
         let silent = counter.health.silent(now, timeout);
@@ -511,6 +511,6 @@
         }
         let slice = customer.slice.unwrap_or_default();
         let (short, rate) = (request.units - slice.held, slice.rate);
-        self.over_quota(id, short, rate, actions);
+        self.refuse_over_quota(id, short, rate, actions);
     }
 }
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -177,7 +177,7 @@
             is_retry,
             arrived,
             deadline,
-            hold_until,
+            wait_until,
             stage,
             attempts,
             misdirected,
@@ -187,7 +187,7 @@
         } = self;
         (customer, plan, class, without_total, is_retry, *stage as u8, attempts, misdirected, constraints)
             .hash(state);
-        floats(state, &[*units, *arrived, *deadline, *hold_until, *sent_at]);
+        floats(state, &[*units, *arrived, *deadline, *wait_until, *sent_at]);
         let run = may_have_run.as_ref();
         run.map(|(_, zone, cell)| (zone, cell)).hash(state);
         maybe(state, run.map(|(at, ..)| *at));
