--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,14 +30,14 @@
 //!
 //! # What the host must provide
 //!
-//! - One gateway object in a process of its own. After a restart, a new object with a fresh seed and the latest
-//!   list of backends. No two gateways may share a seed, or their random choices coincide.
+//! - One gateway object in a process of its own. After a restart, a new object with a fresh seed and the
+//!   latest list of backends. No two gateways may share a seed, or their random choices coincide.
 //! - Clocks that agree among gateways to well within the shortest window of any plan, because keys of counts
 //!   contain the number of the window. Gateways whose clocks differ by a window count separately, and each
 //!   grants the whole quota again.
-//! - A counter that adds an amount to the count under a key and returns the total. A call without an answer in
-//!   time is reported as [`CountOutcome::Unknown`]. Each call is answered once, in the order of the calls of
-//!   its key.
+//! - A counter that adds an amount to the count under a key and returns the total. A call without an answer
+//!   in time is reported as [`CountOutcome::Unknown`]. Each call is answered once, in the order of the calls
+//!   of its key.
 //! - Every requested timer fires once, at or after its time.
 //! - For every [`Action::Send`] exactly one [`Event::AttemptEnded`], at the latest when the client gives up.
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,9 +1,10 @@
 //! All decisions of a gateway. Its interface (settings, events, actions) is in `src/interface.rs`.
 //!
-//! Split by concern: `units` (which units), `backend` (which backend), `again` (which retry), `refusal`
-//! (which refusal); here is what joins them. A request passes three gates: its customer's quota (`Customer`,
-//! a lease cache on a shared window count), its open cap, and a backend with room (`Backend`). What cannot
-//! pass yet waits a share of its aim.
+//! The submodules cover quotas (`units`), the choice of a backend (`backend`), retries (`again`), and the
+//! queue and final answers (`refusal`); this module connects them. A request passes three checks: the quota
+//! of its customer (`Customer`, which caches leases on a shared count per window), the concurrency cap, and a
+//! backend below its limit (`Backend`). A request that cannot pass yet waits for a share of its target
+//! latency.
 
 mod again;
 mod backend;
@@ -20,17 +21,17 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-use again::DEADLINE_MARGIN_TICKS;
+use again::MARGIN_TICKS;
 use backend::{Backend, NEWEST_WEIGHT};
-use units::{BLOCK_SHARE, Counter, Customer, DEMAND_SHARE, IDLE_TURNS, KEEP_MOST, NEAR_SHARE, TELL_SHARE};
+use units::{Counter, Customer, DEMAND_SPAN, IDLE_REFILLS, LEASE_SHARE, MAX_TTL, RETURN_SHARE, SCARCE_SHARE};
 
-/// Time between housekeeping rounds, in ms: short beside any aim.
-const SWEEP: Millis = 25.0;
-const SWEEP_TOKEN: u64 = 1;
-/// Each round looks after so many customers, or after this part of all: few are looked after each time, many
-/// in turn.
-const SWEEP_LEAST: usize = 256;
-const SWEEP_PARTS: usize = 8;
+/// Default time between housekeeping rounds, in ms: short compared to any target latency.
+const HOUSEKEEPING_INTERVAL: Millis = 25.0;
+const HOUSEKEEPING_TOKEN: u64 = 1;
+/// Each housekeeping round visits at least `MIN_VISITS` customers; of more customers, a `VISIT_ROUNDS`th
+/// part.
+const MIN_VISITS: usize = 256;
+const VISIT_ROUNDS: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Stage {
@@ -47,7 +48,7 @@
     plan: usize,
     class: usize,
     units: f64,
-    /// Let in without a total of its customer; the client has asked for the same before.
+    /// Admitted without a counter total of its customer.
     without_total: bool,
     is_retry: bool,
     arrived: Millis,
@@ -55,9 +56,9 @@
     wait_until: Millis,
     stage: Stage,
     attempts: u32,
-    /// A backend that it was sent to had gone, and another had its address.
+    /// It was sent to a backend whose address now belongs to another.
     misdirected: bool,
-    may_have_run: Option<(Millis, Name, u64)>, // since when, in which zone and cell
+    may_have_run: Option<(Millis, Name, u64)>, // send time, zone and cell of the first such attempt
     constraints: Option<Arc<RequestConstraints>>,
     sent_at: Millis,
 }
@@ -68,7 +69,7 @@
     settings: Arc<Settings>,
     random: u64,
     now: Millis,
-    /// When the first event came.
+    /// The time of the first event.
     started_at: Millis,
     backends: BTreeMap<Name, Backend>,
     topology: Topology,
@@ -77,45 +78,45 @@
     queue: VecDeque<RequestId>,
     partition: Partition,
     counters: Vec<Counter>,
-    /// The customer looked after last, if not all are in each round.
+    /// The customer visited last, if a housekeeping round does not visit all.
     last_visited: Option<Name>,
-    /// The share of first totals with room left, for each plan: of first tries, and of clients' repeats.
-    plan_odds: Vec<[f64; 2]>,
-    /// Of thin customers: the share of tries that fits and when that was heard, here or by another gateway.
-    told: BTreeMap<u64, (f64, Millis)>,
+    /// Per plan, the share of first totals below the quota: for first requests and for client retries.
+    plan_probability: Vec<[f64; 2]>,
+    /// Per sampled customer, the admission probability and when it was learned, here or from another gateway.
+    probabilities: BTreeMap<u64, (f64, Millis)>,
     class_latency: Vec<f64>,
     late_share: f64,
     started: bool,
-    /// No requests come any more: blocks in hand go back, as others can use them.
+    /// No more requests arrive: leases are returned so that other gateways can use them.
     shutting_down: bool,
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else.
+    /// Creates a gateway that knows only its settings.
     ///
     /// # Errors
-    /// When the settings cannot be used.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         let class_latency = vec![0.0; settings.classes.len()];
-        let plan_odds = vec![[1.0, 0.0]; settings.plans.len()];
+        let plan_probability = vec![[1.0, 0.0]; settings.plans.len()];
         let settings = Arc::new(settings);
         Ok(Self {
             settings,
             random: mix(seed | 1),
             counters: vec![Counter::default()],
-            plan_odds,
+            plan_probability,
             class_latency,
             ..Self::default()
         })
     }
 
-    /// Takes one event at a time and appends what the host is to do.
+    /// Handles one event and appends the actions that the host is to carry out.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.started, true) {
             self.started_at = self.now;
-            actions.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
+            actions.push(Action::SetTimer { after: HOUSEKEEPING_INTERVAL, token: HOUSEKEEPING_TOKEN });
             if self.settings.list_on_request {
                 actions.push(Action::WatchBackends);
             }
@@ -131,20 +132,20 @@
                 self.drain_queue(actions);
             }
             Event::ClientDisconnected { id } => match self.requests.get_mut(&id) {
-                // The end of what is out still tells whether its units were used.
+                // The end of the attempt in flight still shows whether its units were used.
                 Some(request) if request.stage == Stage::InFlight => request.stage = Stage::Abandoned,
                 _ => self.remove_request(id),
             },
-            Event::Timer { token: SWEEP_TOKEN } => self.on_sweep(actions),
+            Event::Timer { token: HOUSEKEEPING_TOKEN } => self.on_housekeeping(actions),
             Event::Timer { token } => self.on_wait_timer(token / 2, actions),
-            Event::Topology(terms, backends) => self.on_topology(terms, backends, actions),
+            Event::Topology(fleet, backends) => self.on_topology(fleet, backends, actions),
             Event::Class(class) => self.on_class(class),
             Event::ShuttingDown => self.shutting_down = true,
             Event::CounterPartition(partition) => self.set_counters(partition),
-            Event::CounterReply { key: name, outcome, latency } => {
-                self.on_counted(name, outcome, latency, actions)
+            Event::CounterReply { key, outcome, latency } => {
+                self.on_counter_reply(key, outcome, latency, actions)
             }
-            Event::PeerMessage { bytes, .. } => self.on_told(&bytes),
+            Event::PeerMessage { bytes, .. } => self.on_peer_message(&bytes),
             Event::StreamStarted { .. } | Event::ProbeEnded { .. } => {}
         }
     }
@@ -160,7 +161,7 @@
         }
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         unit(self.random)
     }
@@ -181,78 +182,86 @@
             .insert(id, Request { customer, plan, class, units, is_retry, arrived, deadline, ..rest });
         self.topology.record_arrival();
         let customer = self.customers.entry(name.clone()).or_insert_with(|| {
-            let (salt, store) = (hash(&name) >> 8, Customer::start_of(&self.settings.plans[plan]));
-            Customer { plan, salt, store, store_at: now, demand_at: now, ..Customer::default() }
+            let (salt, balance) = (hash(&name) >> 8, Customer::initial_balance(&self.settings.plans[plan]));
+            Customer { plan, salt, balance, balance_at: now, demand_at: now, ..Customer::default() }
         });
         let gateways = self.settings.gateways;
         customer.gateway_count = f64::from(arrival.gateway_count.clamp(1, gateways));
         customer.position =
             (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
-        let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
+        let span = Customer::refill_time(&self.settings.plans[plan]) * DEMAND_SPAN;
         customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
         customer.demand_at = now;
         if self.admit(id, actions) {
-            self.ask(&name, actions);
+            self.call_counter(&name, actions);
         }
     }
 
-    fn on_sweep(&mut self, actions: &mut Vec<Action>) {
+    fn on_housekeeping(&mut self, actions: &mut Vec<Action>) {
         let after = if self.settings.housekeeping_interval > 0.0 {
             self.settings.housekeeping_interval
         } else {
-            SWEEP
+            HOUSEKEEPING_INTERVAL
         };
-        actions.push(Action::SetTimer { after, token: SWEEP_TOKEN });
+        actions.push(Action::SetTimer { after, token: HOUSEKEEPING_TOKEN });
         let now = self.now;
-        let (mut asking, mut idle) = (Vec::new(), Vec::new());
+        let (mut calling, mut idle) = (Vec::new(), Vec::new());
         let (plans, shutting_down) = (&self.settings.plans, self.shutting_down);
-        self.told.retain(|_, (_, at)| now - *at < KEEP_MOST);
-        // Guards the memory, and each choice, against a fleet that is replaced all day.
+        self.probabilities.retain(|_, (_, at)| now - *at < MAX_TTL);
+        // Bounds memory and the cost of each choice while backends are constantly replaced.
         self.backends.retain(|_, backend| !backend.gone || backend.in_flight > 0);
-        // Guards the processor against customers seen once by the hundred thousand.
+        // Bounds the CPU time per round with hundreds of thousands of customers that are seen once.
         let all = self.customers.len();
-        let part = if shutting_down { all } else { SWEEP_LEAST.max(all / SWEEP_PARTS) };
-        let after = self.last_visited.take().filter(|_| part < all).map_or(Bound::Unbounded, Bound::Excluded);
+        let batch = if shutting_down { all } else { MIN_VISITS.max(all / VISIT_ROUNDS) };
+        let after =
+            self.last_visited.take().filter(|_| batch < all).map_or(Bound::Unbounded, Bound::Excluded);
         let mut last = None;
-        for (name, customer) in self.customers.range_mut((after, Bound::Unbounded)).take(part) {
+        for (name, customer) in self.customers.range_mut((after, Bound::Unbounded)).take(batch) {
             let plan = &plans[customer.plan];
-            let (rests, turn) = (now - customer.demand_at, Customer::turn(plan));
-            customer.roll(now, plan, &self.partition);
-            // One that only this gateway serves has no other who could use what goes back.
-            let scarce = customer.store < plan.burst * NEAR_SHARE && customer.gateway_count > 1.0;
-            if (scarce && rests > turn * BLOCK_SHARE || shutting_down) && customer.lease >= 1.0 {
+            let (idle_time, refill_time) = (now - customer.demand_at, Customer::refill_time(plan));
+            customer.advance(now, plan, &self.partition);
+            // With a single gateway, no other could use what is returned.
+            let scarce = customer.balance < plan.burst * SCARCE_SHARE && customer.gateway_count > 1.0;
+            if (scarce && idle_time > refill_time * LEASE_SHARE || shutting_down) && customer.lease >= 1.0 {
                 let lease = std::mem::take(&mut customer.lease);
-                (customer.owed, customer.store) = (customer.owed - lease, customer.store + lease);
+                (customer.owed, customer.balance) = (customer.owed - lease, customer.balance + lease);
             }
-            let least = if shutting_down { 1.0 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
-            let owes = !customer.thin(plan) && customer.owed.abs() >= least;
+            let minimum = if shutting_down { 1.0 } else { (plan.burst * LEASE_SHARE).max(1.0) };
+            let owes = !customer.is_sampled(plan) && customer.owed.abs() >= minimum;
             let waits = !customer.waiting.is_empty();
             if customer.call.is_none() && (owes || waits) {
-                asking.push((!waits, name.clone()));
+                calling.push((!waits, name.clone()));
             }
-            if customer.call.is_none() && customer.in_flight == 0 && !waits && rests >= turn * IDLE_TURNS {
+            if customer.call.is_none()
+                && customer.in_flight == 0
+                && !waits
+                && idle_time >= refill_time * IDLE_REFILLS
+            {
                 idle.push(name.clone());
             }
             last = Some(name.clone());
         }
-        self.last_visited = last.filter(|_| part < all);
+        self.last_visited = last.filter(|_| batch < all);
         idle.iter().for_each(|name| drop(self.customers.remove(name)));
-        // Those who wait go before what goes back.
-        asking.sort();
-        for (tells, name) in asking {
+        // Waiting requests go before returned units.
+        calling.sort();
+        for (returns, name) in calling {
             let Some(counter) = self.customers.get(&name).map(|c| c.counter) else { continue };
-            let Some(calls) = self.counters.get(counter).filter(|_| !self.silent(counter)) else { continue };
-            let room = (calls.calls.len() as f64) < calls.calls_most() * TELL_SHARE && calls.line.is_empty();
-            if !tells || room || shutting_down {
-                self.ask(&name, actions);
+            let Some(state) = self.counters.get(counter).filter(|_| !self.is_silent(counter)) else {
+                continue;
+            };
+            let has_capacity =
+                (state.calls.len() as f64) < state.max_calls() * RETURN_SHARE && state.waiting.is_empty();
+            if !returns || has_capacity || shutting_down {
+                self.call_counter(&name, actions);
             }
         }
-        self.probe(actions);
+        self.probe_counters(actions);
         self.drain_queue(actions);
     }
 
-    /// Asks each silent counter whether it is back, for any customer of it.
-    fn probe(&mut self, actions: &mut Vec<Action>) {
+    /// Probes each silent counter with a call for any of its customers.
+    fn probe_counters(&mut self, actions: &mut Vec<Action>) {
         let (now, timeout) = (self.now, self.settings.counter_timeout);
         for at in 0..self.counters.len() {
             let counter = &mut self.counters[at];
@@ -260,7 +269,7 @@
             if asks && counter.health.silent(now, timeout) && counter.health.probe(now) {
                 let name = self.customers.iter().find(|(_, c)| c.counter == at && c.call.is_none());
                 let name = name.map(|(name, _)| name.clone());
-                name.iter().for_each(|name| self.ask(name, actions));
+                name.iter().for_each(|name| self.call_counter(name, actions));
             }
         }
     }
--- a/src/logic/again.rs
+++ b/src/logic/again.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// An answer must leave this many ticks before the client gives up.
-pub(super) const DEADLINE_MARGIN_TICKS: f64 = 2.0;
+pub(super) const MARGIN_TICKS: f64 = 2.0;
 /// Maximum attempts of a safe request that may have run: one that fails on two backends is expensive.
 pub(super) const MAX_SAFE_ATTEMPTS: u32 = 2;
 
@@ -14,7 +14,7 @@
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         if let Some(actual_units) = end.actual_units.filter(|_| outcome == Outcome::Served) {
             customer.owed += actual_units - request.units;
-            customer.store -= actual_units - request.units;
+            customer.balance -= actual_units - request.units;
         }
         customer.in_flight = customer.in_flight.saturating_sub(1);
         let abandoned = std::mem::replace(&mut request.stage, Stage::Queued) == Stage::Abandoned;
@@ -31,8 +31,7 @@
 
     pub(super) fn may_retry(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let (class, margin) =
-            (&self.settings.classes[request.class], DEADLINE_MARGIN_TICKS * self.settings.tick);
+        let (class, margin) = (&self.settings.classes[request.class], MARGIN_TICKS * self.settings.tick);
         let allowed = match (&request.may_have_run, class.retry_safety) {
             (None, _) => true,
             (_, RetrySafety::Safe) => request.attempts < MAX_SAFE_ATTEMPTS,
--- a/src/logic/backend.rs
+++ b/src/logic/backend.rs
@@ -6,7 +6,7 @@
 /// probability.
 pub(super) const NEWEST_WEIGHT: f64 = 0.1;
 /// Weight of the newest latency in the typical latency of its class.
-pub(super) const TYPICAL_LATENCY_WEIGHT: f64 = 0.02;
+pub(super) const LATENCY_WEIGHT: f64 = 0.02;
 /// A failure counts as a late answer if it took this many times the typical latency.
 pub(super) const LATE_FAILURE_FACTOR: f64 = 4.0;
 /// Initial concurrency limit of one backend over all gateways; later it follows the observed latencies.
@@ -30,7 +30,7 @@
 /// A failed backend is tried again after this share of the warm-up time per consecutive failure.
 pub(super) const EJECT_TIME_SHARE: f64 = 0.02;
 /// The ejection is logged at this number of consecutive failures.
-pub(super) const EJECT_LOG_FAILURES: u32 = 2;
+pub(super) const EJECT_LOGGED_AT: u32 = 2;
 /// Consecutive lost connections that do not yet count as failures of the backend.
 pub(super) const TOLERATED_LOSSES: u32 = 2;
 /// A backend in another zone is treated as slower by this factor per unit of cross-zone cost, which is small.
@@ -107,7 +107,7 @@
             let share = EJECT_TIME_SHARE * f64::from(counted);
             self.eject_until = now + end.latency.max(settings.warm_up_time * share);
         }
-        let due = counted >= EJECT_LOG_FAILURES;
+        let due = counted >= EJECT_LOGGED_AT;
         due && !std::mem::replace(&mut self.ejection_logged, due)
     }
 }
@@ -131,7 +131,7 @@
         let mean = classes.iter().map(|c| c.value).sum::<f64>() / classes.len() as f64;
         let rank = mean / classes[class].value.max(1e-9) * if without_total { NO_TOTAL_FACTOR } else { 1.0 };
         let share = self.admitted_share().powf(rank);
-        !self.large_fleet() || self.chance() < share
+        !self.large_fleet() || self.random() < share
     }
 
     pub(super) fn on_backend_list(&mut self, list: Vec<BackendEntry>, full: bool, actions: &mut Vec<Action>) {
@@ -184,8 +184,8 @@
         let (Some(request), Some(backend)) = (request, backend) else { return false };
         let class = &self.settings.classes[request.class];
         let keyed = request.may_have_run.as_ref().filter(|_| class.retry_safety == RetrySafety::Keyed);
-        let write_by = keyed
-            .map(|(at, ..)| at + class.dedup_window - DEADLINE_MARGIN_TICKS * self.settings.tick - self.now);
+        let write_by =
+            keyed.map(|(at, ..)| at + class.dedup_window - MARGIN_TICKS * self.settings.tick - self.now);
         // Covers keyed requests that waited in the queue; the host applies it to those whose connection is
         // late.
         if write_by.is_some_and(|left| left <= 0.0) {
@@ -267,7 +267,7 @@
             }
         }
         let chosen = best.map(|(_, name)| name.clone());
-        self.chance();
+        self.random();
         chosen
     }
 
@@ -294,7 +294,7 @@
         // The class and target of a removed request are unknown; a disconnected client proves nothing.
         let request = self.requests.get(&end.id).filter(|r| r.stage != Stage::Abandoned);
         let Some(class) = request.map(|r| r.class) else { return };
-        let typical = &mut self.class_latency[class];
+        let mean = &mut self.class_latency[class];
         let late = match end.outcome {
             Outcome::Served => {
                 if std::mem::take(&mut backend.ejection_logged) {
@@ -302,24 +302,19 @@
                 }
                 backend.failures = 0;
                 self.topology.record_latency(name, latency);
-                *typical = if *typical == 0.0 {
-                    latency
-                } else {
-                    *typical + TYPICAL_LATENCY_WEIGHT * (latency - *typical)
-                };
+                *mean = if *mean == 0.0 { latency } else { *mean + LATENCY_WEIGHT * (latency - *mean) };
                 latency > self.settings.classes[class].target_latency * LATENCY_TARGET_SHARE
             }
             Outcome::Error | Outcome::NeverSent | Outcome::Cancelled | Outcome::Misdirected => return,
             Outcome::Rejected => true,
             // A timeout of a client with little time left says nothing about the fleet.
-            _ => latency > *typical * LATE_FAILURE_FACTOR,
+            _ => latency > *mean * LATE_FAILURE_FACTOR,
         };
         backend.adjust_limit(late, self.topology.min_limit(name));
         self.late_share += NEWEST_WEIGHT * (f64::from(u8::from(late)) - self.late_share);
         let failed = end.outcome != Outcome::Served;
         if failed && backend.record_failure(now, end, &self.settings) {
-            actions
-                .push(Action::Log(format!("backend {name} ejected: {EJECT_LOG_FAILURES} failures in a row")));
+            actions.push(Action::Log(format!("backend {name} ejected: {EJECT_LOGGED_AT} failures in a row")));
         }
     }
 }
--- a/src/logic/refusal.rs
+++ b/src/logic/refusal.rs
@@ -10,14 +10,14 @@
     pub(super) fn refuse_over_quota(
         &mut self, id: RequestId, short: f64, rate: f64, actions: &mut Vec<Action>,
     ) {
-        let wait = short / rate.max(1e-9) * 1000.0 * (1.0 + 0.5 * self.chance());
+        let wait = short / rate.max(1e-9) * 1000.0 * (1.0 + 0.5 * self.random());
         self.refuse(id, wait, actions);
     }
 
     pub(super) fn wait(&mut self, id: RequestId, stage: Stage, until: Millis, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.stage = stage;
-        request.wait_until = until.min(request.deadline - DEADLINE_MARGIN_TICKS * self.settings.tick);
+        request.wait_until = until.min(request.deadline - MARGIN_TICKS * self.settings.tick);
         let after = (request.wait_until - self.now).max(0.0);
         actions.push(Action::SetTimer { after, token: id * 2 });
     }
@@ -30,7 +30,7 @@
         let (fresh, class, without_total) = (request.attempts == 0, request.class, request.without_total);
         // No request has a total while the counter is silent, so missing it is not held against this one.
         let counter = without_total.then(|| self.customers.get(&request.customer).map_or(0, |c| c.counter));
-        let without_total = counter.is_some_and(|counter| !self.silent(counter));
+        let without_total = counter.is_some_and(|counter| !self.is_silent(counter));
         if fresh && !self.admits_fresh(class, without_total) {
             return self.give_up(id, actions);
         }
@@ -64,7 +64,7 @@
         let expired = self.now + 1e-6 >= request.wait_until;
         match request.stage {
             Stage::Queued if expired => self.give_up(id, actions),
-            Stage::AwaitingLease if expired => self.by_slice(id, actions),
+            Stage::AwaitingLease if expired => self.admit_by_slice(id, actions),
             _ => {}
         }
     }
@@ -78,7 +78,7 @@
             || class.retry_safety == RetrySafety::Safe
             || (class.retry_safety == RetrySafety::Keyed && class.dedup_scope == DedupScope::All);
         if harmless && self.now < request.deadline {
-            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.chance());
+            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.random());
             self.refuse(id, wait, actions);
         } else {
             self.remove_request(id);
--- a/src/logic/units.rs
+++ b/src/logic/units.rs
@@ -1,46 +1,50 @@
-//! Which units: blocks, the shared window count, and what is done in its silence. A turn is burst over rate:
-//! the time in which a quota turns over once.
+//! Quotas: leases on the shared count of a window, and what happens while the counter is silent. The refill
+//! time is burst over rate, the time in which a quota refills completely; it is also the length of a window.
 
 use super::*;
 
-/// A block holds the demand of this share of a turn; one unused for as long goes back, so that others can use
-/// it, and what is owed is told without a block once it is this share of the burst.
-pub(super) const BLOCK_SHARE: f64 = 0.15;
-/// A block takes at most this share of what is left, split over the customer's gateways, or an even part of
-/// all that is left above this share of the burst: while there is plenty, blocks are large.
-pub(super) const NEAR_SHARE: f64 = 0.5;
-/// A block is renewed when less than this share of it is left.
+/// A lease covers the demand of this share of the refill time; one unused for as long is returned for others
+/// to use. Owed units are reported without a lease once they reach this share of the burst.
+pub(super) const LEASE_SHARE: f64 = 0.15;
+/// A lease takes at most this share of the balance, split over the customer's gateways, or an even part of
+/// the balance above this share of the burst: while there is plenty, leases are large.
+pub(super) const SCARCE_SHARE: f64 = 0.5;
+/// A lease is renewed when less than this share of it is left.
 pub(super) const RENEW_SHARE: f64 = 0.4;
-/// A gateway's share of the use is told by about so many turns.
-pub(super) const SHARE_TURNS: f64 = 2.0;
-/// Demand is smoothed over this share of a turn.
-pub(super) const DEMAND_SHARE: f64 = 0.5;
-/// A plan without a rate is remembered as if its quota turned over in this many ms.
-pub(super) const RATELESS_TURN: Millis = 1000.0;
-/// A request waits for its block at most this share of its aim.
-pub(super) const BLOCK_WAIT: f64 = 0.12;
-/// Under a ceiling an unknown customer starts with this share of its burst (see `Customer::start_of`).
-pub(super) const CEILING_START: f64 = 0.5;
-/// The most calls out at once to one counter from one gateway while the counter is at ease.
-pub(super) const CALLS_MOST: f64 = 12.0;
-/// What goes back or is owed is told only while fewer than this share of them are out, and nobody waits.
-pub(super) const TELL_SHARE: f64 = 0.5;
-/// A customer is thin where its burst leaves each gateway less than this part of a unit: no blocks then.
-pub(super) const THIN: f64 = 0.5;
-/// What a thin customer's window grants at once, as a share of the burst; the rest comes with the rate.
-pub(super) const THIN_START: f64 = 0.75;
-/// How far a thin customer is over its quota is told by what the rate and this share of the burst grant ...
-pub(super) const THIN_ODDS: f64 = 0.25;
-/// ... and fades over this many turns.
-pub(super) const THIN_FADE: f64 = 4.0;
-/// Gateways that may talk tell of customers of whom less than this share fits, and again when it falls so.
-pub(super) const THIN_NEWS: f64 = 0.7;
-/// A customer idle for this many turns has a full store again: it and its count are forgotten at no loss.
-pub(super) const IDLE_TURNS: f64 = 2.0;
-/// No count and no word of a customer is kept for more than this many ms.
-pub(super) const KEEP_MOST: Millis = 60_000.0;
-
-/// One customer as this gateway knows it.
+/// A gateway's share of the use is averaged over about this many refill times.
+pub(super) const SHARE_REFILLS: f64 = 2.0;
+/// Demand is smoothed over this share of the refill time.
+pub(super) const DEMAND_SPAN: f64 = 0.5;
+/// The refill time, in ms, that is assumed for a plan without a rate.
+pub(super) const RATELESS_REFILL: Millis = 1000.0;
+/// Maximum wait of a request for a lease, as a share of its target latency.
+pub(super) const LEASE_WAIT_SHARE: f64 = 0.12;
+/// Under a ceiling an unknown customer starts with this share of its burst (see `Customer::initial_balance`).
+pub(super) const CEILING_INITIAL: f64 = 0.5;
+/// Maximum calls in flight from one gateway to one counter that answers quickly.
+pub(super) const MAX_CALLS: f64 = 12.0;
+/// Returned and owed units are reported only while less than this share of the calls is in flight and no
+/// request waits.
+pub(super) const RETURN_SHARE: f64 = 0.5;
+/// A customer is sampled, without leases, if its burst leaves each gateway less than this part of a unit.
+pub(super) const SAMPLED_BELOW: f64 = 0.5;
+/// Share of the burst that the window of a sampled customer grants at its start; the rest accrues with the
+/// rate.
+pub(super) const SAMPLED_INITIAL: f64 = 0.75;
+/// The admission probability of a sampled customer over its quota follows from the rate and this share of the
+/// burst ...
+pub(super) const SAMPLED_ALLOWANCE: f64 = 0.25;
+/// ... and decays over this many refill times.
+pub(super) const SAMPLED_DECAY: f64 = 4.0;
+/// Gateways with peer messages broadcast an admission probability below this, and again when it falls by this
+/// factor.
+pub(super) const SAMPLED_NEWS: f64 = 0.7;
+/// A customer idle for this many refill times has its full balance again, so it and its count can be dropped.
+pub(super) const IDLE_REFILLS: f64 = 2.0;
+/// Maximum time, in ms, that a count or a peer message about a customer is kept.
+pub(super) const MAX_TTL: Millis = 60_000.0;
+
+/// This gateway's state of one customer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Customer {
     pub(super) plan: usize,
@@ -48,21 +52,21 @@
     pub(super) position: u32,
     pub(super) salt: u64,
     pub(super) window: u64,
-    /// The counter that counts it in this window.
+    /// The counter that holds its count in this window.
     pub(super) counter: usize,
-    /// Units of the block in hand; they end with the window.
+    /// Units of the lease that are left; they expire with the window.
     pub(super) lease: f64,
-    /// What this gateway has added to the window's count and what it heard of it, and its share of the use.
+    /// What this gateway added to the window's count and the totals it received, and its share of the use.
     pub(super) ledger: Ledger,
     pub(super) share: Share,
-    /// What the customer's store holds by all totals heard; between them it fills at the rate.
-    pub(super) store: f64,
-    pub(super) store_at: Millis,
-    pub(super) known: bool,
-    pub(super) heard: Millis,
-    /// Used but not yet added, or to be given back (negative).
+    /// Units left of the quota by the totals received; between them it refills at the rate.
+    pub(super) balance: f64,
+    pub(super) balance_at: Millis,
+    pub(super) has_total: bool,
+    pub(super) last_total_at: Millis,
+    /// Units used but not yet added to the count, or to be returned (negative).
     pub(super) owed: f64,
-    /// The call out: its window, block, and what was owed.
+    /// The call in flight: its window, the requested lease, and the owed units.
     pub(super) call: Option<(u64, f64, f64)>,
     pub(super) waiting: VecDeque<RequestId>,
     pub(super) demand: f64,
@@ -73,114 +77,115 @@
 }
 
 impl Customer {
-    /// What an unknown customer's store is taken to hold. Under a ceiling (at least 1.6 times rate and burst
-    /// by its plan) only half the burst: a gateway may come back to an emptied count while the others have
-    /// just granted a full burst, and burst + half a burst + rate x time stays within the ceiling.
-    pub(super) fn start_of(plan: &Plan) -> f64 {
-        if plan.ceiling_rate > 0.0 { plan.burst * CEILING_START } else { plan.burst }
+    /// The assumed balance of an unknown customer. Under a ceiling (at least 1.6 times rate and burst by its
+    /// plan) it is half the burst: a gateway may restart to an emptied count while the others have just
+    /// granted a full burst, and burst + half a burst + rate x time stays within the ceiling.
+    pub(super) fn initial_balance(plan: &Plan) -> f64 {
+        if plan.ceiling_rate > 0.0 { plan.burst * CEILING_INITIAL } else { plan.burst }
     }
 
-    pub(super) fn turn(plan: &Plan) -> Millis {
-        if plan.rate > 0.0 { plan.burst / plan.rate * 1000.0 } else { RATELESS_TURN }
+    pub(super) fn refill_time(plan: &Plan) -> Millis {
+        if plan.rate > 0.0 { plan.burst / plan.rate * 1000.0 } else { RATELESS_REFILL }
     }
 
-    /// Whether the quota is too small for blocks at each gateway; chance decides then, but under no ceiling.
-    pub(super) fn thin(&self, plan: &Plan) -> bool {
-        plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < THIN * self.gateway_count
+    /// Whether the quota is too small for a lease at each gateway, so that admission is random; never under a
+    /// ceiling.
+    pub(super) fn is_sampled(&self, plan: &Plan) -> bool {
+        plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < SAMPLED_BELOW * self.gateway_count
     }
 
-    /// The number of a window and when it began, staggered by hash: customers do not all renew at once.
+    /// The number of a window and its start, staggered by hash so that customers do not all renew at once.
     pub(super) fn window_at(&self, now: Millis, plan: &Plan) -> (u64, Millis) {
-        let length = Self::turn(plan);
+        let length = Self::refill_time(plan);
         let shift = (self.salt % 1024) as f64 / 1024.0 * length;
         let number = ((now + shift) / length).floor();
         (number as u64, number * length - shift)
     }
 
-    /// Fills the store and moves to the present window: blocks end with theirs, unused.
-    pub(super) fn roll(&mut self, now: Millis, plan: &Plan, partition: &Partition) {
-        self.store = (self.store + plan.rate * (now - self.store_at) / 1000.0).min(plan.burst);
-        self.store_at = now;
+    /// Refills the balance and moves to the current window; an unused lease expires with its window.
+    pub(super) fn advance(&mut self, now: Millis, plan: &Plan, partition: &Partition) {
+        self.balance = (self.balance + plan.rate * (now - self.balance_at) / 1000.0).min(plan.burst);
+        self.balance_at = now;
         let (window, begins) = self.window_at(now, plan);
         if window != self.window {
             self.counter = partition.owner(self.salt, begins);
-            self.store = (self.store + self.lease).min(plan.burst);
+            self.balance = (self.balance + self.lease).min(plan.burst);
             (self.window, self.lease, self.ledger) = (window, 0.0, Ledger::default());
-            // What goes back of an ended window would make the new count look as if it had forgotten.
+            // Units returned from an ended window would make the new count look as if it had lost data.
             self.owed = if plan.ceiling_rate > 0.0 { self.owed.max(0.0) } else { self.owed };
         }
     }
 
-    /// The smoothed demand of a short while, as far as an even part of what is left allows.
-    pub(super) fn demand_block(&self, plan: &Plan) -> f64 {
-        let target = self.demand * Self::turn(plan) * BLOCK_SHARE;
-        target.min(self.store * NEAR_SHARE / self.gateway_count).floor()
+    /// The lease for the smoothed demand, limited to an even part of the balance.
+    pub(super) fn demand_lease(&self, plan: &Plan) -> f64 {
+        let target = self.demand * Self::refill_time(plan) * LEASE_SHARE;
+        target.min(self.balance * SCARCE_SHARE / self.gateway_count).floor()
     }
 
-    /// The block wanted now: an even part while there is plenty (so the first is burst over gateways), else
-    /// smoothed demand; near the total it falls to what waits.
-    pub(super) fn block(&self, need: f64, plan: &Plan) -> f64 {
-        let plenty = (self.store - plan.burst * NEAR_SHARE) / self.gateway_count;
-        let want = if self.known {
-            self.demand_block(plan).max(plenty.ceil())
+    /// The lease wanted now: an even part while there is plenty (so the first is burst over gateways), else
+    /// the smoothed demand; near the quota it falls to what waiting requests need.
+    pub(super) fn lease_size(&self, need: f64, plan: &Plan) -> f64 {
+        let plenty = (self.balance - plan.burst * SCARCE_SHARE) / self.gateway_count;
+        let want = if self.has_total {
+            self.demand_lease(plan).max(plenty.ceil())
         } else {
             plan.burst / self.gateway_count
         };
         need.max(want.floor()).max(0.0)
     }
 
-    /// The slice that this gateway may spend alone, begun now by what is known of the store.
-    pub(super) fn own_slice(&self, units: f64, now: Millis, alone: &Alone, plan: &Plan) -> Slice {
+    /// A slice that this gateway may spend alone, starting now from the known balance.
+    pub(super) fn new_slice(&self, units: f64, now: Millis, silence: &Silence, plan: &Plan) -> Slice {
         let terms = plan.terms(self.gateway_count, units);
-        let part = terms.part(&self.share, alone.loss);
-        // A silence that ended before the last total was heard has been settled.
-        let lost = if self.heard < alone.until { alone.lost } else { 0.0 };
-        Slice::new(now, self.store, &terms, part, [lost, alone.running], units)
+        let part = terms.part(&self.share, silence.loss);
+        // A silence that ended before the last total is already accounted for.
+        let lost = if self.last_total_at < silence.ended_at { silence.duration } else { 0.0 };
+        Slice::new(now, self.balance, &terms, part, [lost, silence.uptime], units)
     }
 
-    /// Spends from the own slice: the silence rule.
-    pub(super) fn spend_slice(&mut self, units: f64, now: Millis, alone: &Alone, plan: &Plan) -> bool {
-        let mut slice = self.slice.unwrap_or_else(|| self.own_slice(units, now, alone, plan));
+    /// Spends from the slice, which is the rule while the counter is silent.
+    pub(super) fn spend_slice(&mut self, units: f64, now: Millis, silence: &Silence, plan: &Plan) -> bool {
+        let mut slice = self.slice.unwrap_or_else(|| self.new_slice(units, now, silence, plan));
         let fits = slice.spend(now, units);
         let used = if fits { units } else { 0.0 };
-        (self.owed, self.store) = (self.owed + used, self.store - used);
+        (self.owed, self.balance) = (self.owed + used, self.balance - used);
         self.slice = Some(slice);
         fits
     }
 }
 
-/// How a gateway stands alone: the losses it is made for, how long the counter was silent and until when, and
-/// how long it has run.
-pub(super) struct Alone {
+/// What limits a gateway without its counter: the losses to allow for, the duration and end of the silence,
+/// and the uptime of the gateway.
+pub(super) struct Silence {
     pub(super) loss: Loss,
-    pub(super) lost: Millis,
-    pub(super) until: Millis,
-    pub(super) running: Millis,
+    pub(super) duration: Millis,
+    pub(super) ended_at: Millis,
+    pub(super) uptime: Millis,
 }
 
-/// One counter: how it is, and the calls to it.
+/// One counter: its health and the calls to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Counter {
     pub(super) health: Health,
     pub(super) calls: BTreeMap<u64, Name>,
-    /// Customers with requests that wait while all calls are out, by when the first has waited long enough.
-    pub(super) line: BTreeSet<(u64, Name)>,
+    /// Customers whose requests wait for a free call, by the deadline of the first request.
+    pub(super) waiting: BTreeSet<(u64, Name)>,
 }
 
 impl Counter {
-    pub(super) fn calls_most(&self) -> f64 {
-        (CALLS_MOST * self.health.ease.min(1.0)).max(1.0)
+    pub(super) fn max_calls(&self) -> f64 {
+        (MAX_CALLS * self.health.ease.min(1.0)).max(1.0)
     }
 
     pub(super) fn is_full(&self) -> bool {
-        self.calls.len() as f64 >= self.calls_most()
+        self.calls.len() as f64 >= self.max_calls()
     }
 }
 
 impl Gateway {
     pub(super) fn set_counters(&mut self, partition: Partition) {
-        let least = partition.addresses().len().max(self.counters.len());
-        self.counters.resize_with(least, Counter::default);
+        let count = partition.addresses().len().max(self.counters.len());
+        self.counters.resize_with(count, Counter::default);
         self.partition = partition;
     }
 
@@ -188,40 +193,41 @@
         self.counters.get(counter).map(|c| c.health).unwrap_or_default()
     }
 
-    pub(super) fn silent(&self, counter: usize) -> bool {
+    pub(super) fn is_silent(&self, counter: usize) -> bool {
         !self.settings.counter || self.health(counter).silent(self.now, self.settings.counter_timeout)
     }
 
-    /// The quota's gate: block in hand, else silence rule, else refusal once both are spent. True: it waits.
+    /// The quota check: pay from the lease, else from the slice in a silence, else refuse. Returns true if
+    /// the request waits for a total.
     pub(super) fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let now = self.now;
         let Some(request) = self.requests.get(&id) else { return false };
         let (name, units) = (request.customer.clone(), request.units);
         let Some(customer) = self.customers.get_mut(&name) else { return false };
-        customer.roll(now, &self.settings.plans[customer.plan], &self.partition);
+        customer.advance(now, &self.settings.plans[customer.plan], &self.partition);
         let counter = customer.counter;
-        let silent = self.silent(counter);
+        let silent = self.is_silent(counter);
         let Some(customer) = self.customers.get_mut(&name) else { return false };
         let plan = &self.settings.plans[customer.plan];
-        let left = customer.store + customer.lease;
+        let left = customer.balance + customer.lease;
         if plan.rate <= 0.0 {
             self.send_or_queue(id, actions);
-        } else if customer.thin(plan) {
-            return self.admit_thin(id, actions);
+        } else if customer.is_sampled(plan) {
+            return self.admit_sampled(id, actions);
         } else if customer.waiting.is_empty() && customer.lease >= units {
             customer.lease -= units;
-            let target = customer.demand_block(plan);
+            let target = customer.demand_lease(plan);
             if !silent && target >= 1.0 && customer.lease < target * RENEW_SHARE {
-                self.ask(&name, actions);
+                self.call_counter(&name, actions);
             }
             self.send_or_queue(id, actions);
         } else if silent {
-            self.by_slice(id, actions);
+            self.admit_by_slice(id, actions);
             let idle = self.counters.get(counter).is_some_and(|c| c.calls.is_empty());
-            if idle && self.chance() < self.health(counter).ease {
-                self.ask(&name, actions);
+            if idle && self.random() < self.health(counter).ease {
+                self.call_counter(&name, actions);
             }
-        } else if customer.known && left < units {
+        } else if customer.has_total && left < units {
             self.refuse_over_quota(id, units - left, plan.rate, actions);
         } else {
             return self.wait_for_total(id, actions);
@@ -233,75 +239,80 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         customer.waiting.push_back(id);
-        let until = request.arrived + self.settings.classes[request.class].target_latency * BLOCK_WAIT;
+        let until = request.arrived + self.settings.classes[request.class].target_latency * LEASE_WAIT_SHARE;
         self.wait(id, Stage::AwaitingLease, until, actions);
         true
     }
 
-    /// The gate of a thin customer. Its count sums what is asked: a try is added by chance, as far as the
-    /// counter bears, and weighs the more; without an add the odds last heard decide.
-    pub(super) fn admit_thin(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let chance = self.chance();
+    /// The quota check of a sampled customer. Its count sums the requested units: a request is added at
+    /// random, as often as the counter can bear, with a correspondingly larger weight; the others use the
+    /// last known probability.
+    pub(super) fn admit_sampled(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let draw = self.random();
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return false };
         let ease = self.health(customer.counter).ease;
         let wanted = if request.is_retry { ease - 1.0 } else { ease };
-        let calls = self.settings.counter && chance < wanted;
+        let calls = self.settings.counter && draw < wanted;
         if calls && customer.call.is_none() {
             return self.wait_for_total(id, actions);
         }
-        self.by_odds(id, actions);
+        self.admit_by_probability(id, actions);
         false
     }
 
-    /// Decides for a thin customer's try without a total: by the odds last heard, fading to its plan's. Of
-    /// an unknown customer all is let in while that gains more than it costs.
-    pub(super) fn by_odds(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let chance = self.chance();
+    /// Decides without a total by the last known probability, which decays to that of the plan. All requests
+    /// of an unknown customer are admitted while that gains more than it costs.
+    pub(super) fn admit_by_probability(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let draw = self.random();
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get(&request.customer) else { return };
         let plan = &self.settings.plans[customer.plan];
-        let typical = self.plan_odds[customer.plan][usize::from(request.is_retry)];
+        let typical = self.plan_probability[customer.plan][usize::from(request.is_retry)];
         let pays = typical > (1.0 - typical) * (plan.over_quota_cost_share - plan.over_quota_value_share);
         let typical = if pays { 1.0 } else { typical };
-        let (odds, at) = self.told.get(&customer.salt).copied().unwrap_or_default();
-        let age = (self.now - at) / Customer::turn(plan);
-        if chance < typical + (-age / THIN_FADE).exp() * (odds - typical) {
+        let (probability, at) = self.probabilities.get(&customer.salt).copied().unwrap_or_default();
+        let age = (self.now - at) / Customer::refill_time(plan);
+        if draw < typical + (-age / SAMPLED_DECAY).exp() * (probability - typical) {
             self.requests.entry(id).and_modify(|r| r.without_total = true);
             return self.send_or_queue(id, actions);
         }
         self.refuse_over_quota(id, request.units, plan.rate, actions);
     }
 
-    /// A thin customer's total came: what is asked fits as far as the window has granted by now.
-    pub(super) fn granted_thin(
-        &mut self, name: &Name, mut asked: f64, block: f64, actions: &mut Vec<Action>,
+    /// Handles the total of a sampled customer: requested units fit as far as the window has granted by now.
+    pub(super) fn on_sampled_total(
+        &mut self, name: &Name, mut offered: f64, requested: f64, actions: &mut Vec<Action>,
     ) {
         let (now, ease) = (self.now, self.ease_of(name));
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan];
-        let (rate, turn) = (plan.rate, Customer::turn(plan));
+        let (rate, refill_time) = (plan.rate, Customer::refill_time(plan));
         let since = rate * (now - customer.window_at(now, plan).1) / 1000.0;
-        // A try that weighs more than itself stands for others by chance: one such is let by.
-        let jitter = (block - block * ease.min(1.0)).max(0.0);
-        let granted = (plan.burst * THIN_START + since).min(plan.burst) + jitter;
-        let even = (plan.burst * THIN_ODDS + since + jitter) / (asked + block);
-        let odds = if asked + block > granted { even.min(1.0) } else { 1.0 };
-        let (told, at) = self.told.insert(customer.salt, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
-        if self.settings.peer_messages && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
+        // A request of larger weight stands for others that were not added: one such excess is allowed.
+        let excess = (requested - requested * ease.min(1.0)).max(0.0);
+        let granted = (plan.burst * SAMPLED_INITIAL + since).min(plan.burst) + excess;
+        let even = (plan.burst * SAMPLED_ALLOWANCE + since + excess) / (offered + requested);
+        let probability = if offered + requested > granted { even.min(1.0) } else { 1.0 };
+        let (previous, at) =
+            self.probabilities.insert(customer.salt, (probability, now)).unwrap_or((1.0, f64::NEG_INFINITY));
+        if self.settings.peer_messages
+            && probability < SAMPLED_NEWS
+            && (probability < previous * SAMPLED_NEWS || now > at + refill_time)
+        {
             let mut bytes = customer.salt.to_le_bytes();
-            bytes[7] = (odds * 255.0) as u8;
+            bytes[7] = (probability * 255.0) as u8;
             actions.push(Action::Broadcast { bytes: bytes.to_vec() });
         }
         let waiting = std::mem::take(&mut customer.waiting);
-        if !std::mem::replace(&mut customer.known, true) {
-            let repeat = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.is_retry));
-            let typical = &mut self.plan_odds[customer.plan][usize::from(repeat)];
-            *typical += NEWEST_WEIGHT * (f64::from(u8::from(asked < granted)) - *typical);
+        if !std::mem::replace(&mut customer.has_total, true) {
+            let is_retry = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.is_retry));
+            let typical = &mut self.plan_probability[customer.plan][usize::from(is_retry)];
+            *typical += NEWEST_WEIGHT * (f64::from(u8::from(offered < granted)) - *typical);
         }
         for id in waiting {
-            asked += self.requests.get(&id).filter(|r| !r.is_retry).map_or(0.0, |r| r.units);
-            let over = asked - granted;
+            offered += self.requests.get(&id).filter(|r| !r.is_retry).map_or(0.0, |r| r.units);
+            let over = offered - granted;
             if over <= 0.0 {
                 self.send_or_queue(id, actions)
             } else {
@@ -310,19 +321,19 @@
         }
     }
 
-    pub(super) fn on_told(&mut self, bytes: &[u8]) {
+    pub(super) fn on_peer_message(&mut self, bytes: &[u8]) {
         let Ok(mut bytes) = <[u8; 8]>::try_from(bytes) else { return };
-        let odds = f64::from(std::mem::take(&mut bytes[7])) / 255.0;
-        self.told.insert(u64::from_le_bytes(bytes), (odds, self.now));
+        let probability = f64::from(std::mem::take(&mut bytes[7])) / 255.0;
+        self.probabilities.insert(u64::from_le_bytes(bytes), (probability, self.now));
     }
 
-    pub(super) fn alone(&self, counter: usize) -> Alone {
-        let (lost, until) = self.health(counter).lost(self.now);
-        Alone { loss: self.settings.loss, lost, until, running: self.now - self.started_at }
+    pub(super) fn silence_of(&self, counter: usize) -> Silence {
+        let (duration, ended_at) = self.health(counter).lost(self.now);
+        Silence { loss: self.settings.loss, duration, ended_at, uptime: self.now - self.started_at }
     }
 
-    /// A counter's address for the log, where there are several.
-    pub(super) fn named(&self, counter: usize) -> String {
+    /// The address of a counter for the log, if there are several counters.
+    pub(super) fn address_suffix(&self, counter: usize) -> String {
         self.partition.addresses().get(counter).map_or(String::new(), |address| format!(" {address}"))
     }
 
@@ -330,183 +341,184 @@
         self.customers.get(name).map_or(1.0, |c| self.health(c.counter).ease)
     }
 
-    /// Asks for those who wait, as far as calls are free: whose time is over first goes first.
-    pub(super) fn ask_next(&mut self, counter: usize, actions: &mut Vec<Action>) {
+    /// Makes calls for waiting requests while calls are free, the earliest deadline first.
+    pub(super) fn call_waiting(&mut self, counter: usize, actions: &mut Vec<Action>) {
         while let Some(calls) = self.counters.get_mut(counter).filter(|c| !c.is_full()) {
-            let Some((_, name)) = calls.line.pop_first() else { return };
+            let Some((_, name)) = calls.waiting.pop_first() else { return };
             if self.customers.get(&name).is_some_and(|c| !c.waiting.is_empty()) {
-                self.ask(&name, actions);
+                self.call_counter(&name, actions);
             }
         }
     }
 
-    /// Adds a block to the customer's count: one call out for each name, and a bound on all.
-    pub(super) fn ask(&mut self, name: &Name, actions: &mut Vec<Action>) {
+    /// Requests a lease from the customer's count: one call in flight per customer, and a bound on all calls.
+    pub(super) fn call_counter(&mut self, name: &Name, actions: &mut Vec<Action>) {
         let (now, timeout) = (self.now, self.settings.counter_timeout);
         let Some(customer) = self.customers.get_mut(name) else { return };
         if customer.call.is_some() || !self.settings.counter {
             return;
         }
         let plan = &self.settings.plans[customer.plan];
-        customer.roll(now, plan, &self.partition);
+        customer.advance(now, plan, &self.partition);
         let Some(counter) = self.counters.get_mut(customer.counter) else { return };
         if counter.is_full() {
-            // Who waits has the next call that is free; a renewal is asked for again with the next request.
+            // A waiting request gets the next free call; a renewal is tried again with the next request.
             let first = customer.waiting.front().and_then(|id| self.requests.get(id));
-            counter.line.extend(first.map(|r| (r.wait_until.max(0.0).to_bits(), name.clone())));
+            counter.waiting.extend(first.map(|r| (r.wait_until.max(0.0).to_bits(), name.clone())));
             return;
         }
         let silent = counter.health.silent(now, timeout);
         let waiting = customer.waiting.iter().filter_map(|id| self.requests.get(id));
-        let block = if silent {
-            // Whether it is back is asked with nothing: what may have been added would be lost to all.
+        let requested = if silent {
+            // A probe adds nothing: an amount that may have been added would be lost to all gateways.
             0.0
-        } else if customer.thin(plan) {
+        } else if customer.is_sampled(plan) {
             let first: f64 = waiting.filter(|r| !r.is_retry).map(|r| r.units).sum();
             first / counter.health.ease.min(1.0)
         } else {
             let need: f64 = waiting.map(|r| r.units).sum();
-            let need = need.min(customer.store.max(1.0));
-            let block = if self.shutting_down { need } else { customer.block(need, plan) };
-            (block - customer.lease).max(0.0)
+            let need = need.min(customer.balance.max(1.0));
+            let requested = if self.shutting_down { need } else { customer.lease_size(need, plan) };
+            (requested - customer.lease).max(0.0)
         };
         let owed = if silent { 0.0 } else { std::mem::take(&mut customer.owed) };
-        // What was used in a silence is told as far as it has not come in again since.
-        let aged = customer.slice.filter(|_| customer.heard < counter.health.back_at);
+        // Units used during a silence are reported as far as they have not been refilled since.
+        let aged = customer.slice.filter(|_| customer.last_total_at < counter.health.back_at);
         let owed = aged.map_or(owed, |slice| slice.still_owed(now, owed));
-        let count = mix(customer.salt ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
-        customer.call = Some((customer.window, block, owed));
-        counter.calls.insert(count, name.clone());
-        let keep = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
-        let (counter, amount) = (customer.counter, block + owed);
-        actions.push(Action::AddToCounter { counter, key: count, amount, ttl: keep });
+        let key = mix(customer.salt ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
+        customer.call = Some((customer.window, requested, owed));
+        counter.calls.insert(key, name.clone());
+        let ttl = (Customer::refill_time(plan) * IDLE_REFILLS).min(MAX_TTL);
+        let (counter, amount) = (customer.counter, requested + owed);
+        actions.push(Action::AddToCounter { counter, key, amount, ttl });
     }
 
-    pub(super) fn on_counted(
-        &mut self, count: u64, outcome: CountOutcome, latency: Millis, actions: &mut Vec<Action>,
+    pub(super) fn on_counter_reply(
+        &mut self, key: u64, outcome: CountOutcome, latency: Millis, actions: &mut Vec<Action>,
     ) {
         let (now, timeout) = (self.now, self.settings.counter_timeout);
-        let called = |(at, c): (usize, &mut Counter)| c.calls.remove(&count).map(|name| (at, name));
+        let called = |(at, c): (usize, &mut Counter)| c.calls.remove(&key).map(|name| (at, name));
         let Some((at, name)) = self.counters.iter_mut().enumerate().find_map(called) else { return };
         let health = &mut self.counters[at].health;
         if let CountOutcome::Total(total) = outcome {
             if health.answered(now, latency, timeout) {
-                actions.push(Action::Log(format!("counter{} back", self.named(at))));
+                actions.push(Action::Log(format!("counter{} back", self.address_suffix(at))));
             }
-            self.granted(&name, at, total, actions);
+            self.on_total(&name, at, total, actions);
         } else {
             let unknown = outcome == CountOutcome::Unknown;
             let missed = health.missed(now, latency, timeout, unknown);
             if missed.silent {
-                let which = self.named(at);
-                actions.push(Action::Log(format!("counter{which} silent: spending blocks and slices")));
+                let which = self.address_suffix(at);
+                actions.push(Action::Log(format!("counter{which} silent: spending leases and slices")));
             }
-            self.missed(&name, unknown, missed.soon, actions);
+            self.on_call_failed(&name, unknown, missed.soon, actions);
         }
-        self.ask_next(at, actions);
+        self.call_waiting(at, actions);
     }
 
-    /// A total came: learn the store from it, keep what fits, give the rest back, serve who waits.
-    pub(super) fn granted(&mut self, name: &Name, counter: usize, total: f64, actions: &mut Vec<Action>) {
-        let (now, alone, health) = (self.now, self.alone(counter), self.health(counter));
+    /// Handles a total: updates the balance, keeps what fits, returns the rest, serves waiting requests.
+    pub(super) fn on_total(&mut self, name: &Name, counter: usize, total: f64, actions: &mut Vec<Action>) {
+        let (now, silence, health) = (self.now, self.silence_of(counter), self.health(counter));
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let Some((window, block, owed)) = customer.call.take() else { return };
+        let Some((window, requested, owed)) = customer.call.take() else { return };
         let plan = &self.settings.plans[customer.plan];
-        if customer.thin(plan) {
-            return self.granted_thin(name, total - block - owed, block, actions);
+        if customer.is_sampled(plan) {
+            return self.on_sampled_total(name, total - requested - owed, requested, actions);
         }
-        customer.roll(now, plan, &self.partition);
+        customer.advance(now, plan, &self.partition);
         let slice = customer.slice.take();
-        let aged = slice.filter(|_| customer.heard < health.back_at);
+        let aged = slice.filter(|_| customer.last_total_at < health.back_at);
         customer.owed = aged.map_or(customer.owed, |slice| slice.still_owed(now, customer.owed));
-        if plan.ceiling_rate > 0.0 && customer.known && customer.heard < health.back_at {
-            // Guards against a counter that comes back empty: what others spent in the silence is told
-            // nowhere. Only the own slice is sure to be left, and others may go on with theirs for a while.
-            let slice = slice.unwrap_or_else(|| customer.own_slice(0.0, now, &alone, plan));
+        if plan.ceiling_rate > 0.0 && customer.has_total && customer.last_total_at < health.back_at {
+            // The counter may have come back empty, without what others spent during the silence. Only the
+            // own slice is certain to be left, and others may continue to spend theirs for a while.
+            let slice = slice.unwrap_or_else(|| customer.new_slice(0.0, now, &silence, plan));
             let others = (plan.rate - slice.rate).max(0.0) * health.returning(now) / 1000.0;
-            customer.store = customer.store.min(slice.held_at(now) - others);
+            customer.balance = customer.balance.min(slice.held_at(now) - others);
         }
-        customer.heard = now;
+        customer.last_total_at = now;
         if window == customer.window {
-            // What the slice let in while the call was out is paid from the block: it was added.
-            let paid = customer.owed.clamp(0.0, block);
-            (customer.owed, customer.store) = (customer.owed - paid, customer.store + paid);
-            let span = Customer::turn(plan) * SHARE_TURNS;
-            match customer.ledger.heard(block + owed, total, plan.ceiling_rate <= 0.0) {
-                _ if !customer.known => {
-                    customer.share.note(now, block + owed, total, span);
-                    // The counter is just back: its total may not know of what others spent.
-                    let fresh = now - health.back_at < Customer::turn(plan) * IDLE_TURNS;
+            // Units that the slice admitted while the call was in flight are paid from the lease, which was
+            // added.
+            let paid = customer.owed.clamp(0.0, requested);
+            (customer.owed, customer.balance) = (customer.owed - paid, customer.balance + paid);
+            let span = Customer::refill_time(plan) * SHARE_REFILLS;
+            match customer.ledger.heard(requested + owed, total, plan.ceiling_rate <= 0.0) {
+                _ if !customer.has_total => {
+                    customer.share.note(now, requested + owed, total, span);
+                    // The counter has just come back: its total may lack what others spent.
+                    let fresh = now - health.back_at < Customer::refill_time(plan) * IDLE_REFILLS;
                     let young = plan.ceiling_rate > 0.0 && health.back_at > 0.0 && fresh;
                     let most =
-                        if young { customer.own_slice(0.0, now, &alone, plan).most } else { f64::INFINITY };
-                    customer.store = Customer::start_of(plan).min(most) - total;
-                    customer.known = true;
+                        if young { customer.new_slice(0.0, now, &silence, plan).most } else { f64::INFINITY };
+                    customer.balance = Customer::initial_balance(plan).min(most) - total;
+                    customer.has_total = true;
                 }
                 Heard::Grew { by, found } => {
-                    customer.share.note(now, block + owed, by, span);
-                    customer.store = (customer.store - (by - owed)).min(plan.burst);
+                    customer.share.note(now, requested + owed, by, span);
+                    customer.balance = (customer.balance - (by - owed)).min(plan.burst);
                     customer.lease += found;
                 }
                 Heard::Forgot { missing } => {
-                    // Guards against an emptied count: what is held is told again, lest new blocks stack
-                    // on it, and what else is known of others' use may be as old.
+                    // The count was emptied: the units held are reported again, or new leases would be
+                    // granted on top of them, and what is known of the use by others may be just as outdated.
                     customer.owed += missing;
-                    customer.store -= block;
+                    customer.balance -= requested;
                     if plan.ceiling_rate > 0.0 {
                         self.counters[counter].health.forgot(now);
                     }
                 }
             }
-            customer.lease += block - paid;
-            if customer.store < 0.0 {
-                let back = customer.lease.min((-customer.store).ceil()).min(block);
+            customer.lease += requested - paid;
+            if customer.balance < 0.0 {
+                let back = customer.lease.min((-customer.balance).ceil()).min(requested);
                 customer.lease -= back;
                 customer.owed -= back;
-                customer.store += back;
+                customer.balance += back;
             }
         }
         let waiting = std::mem::take(&mut customer.waiting);
         let give_back = customer.owed <= -1.0;
         let wait = waiting.into_iter().filter(|id| self.admit(*id, actions)).count();
         if wait > 0 || give_back {
-            self.ask(name, actions);
+            self.call_counter(name, actions);
         }
     }
 
-    /// No answer: the silence rule decides for who waits, and a block that may have counted is let go until a
-    /// total shows it.
-    pub(super) fn missed(
+    /// Handles a failed call: waiting requests are decided by the slice, and a lease that may have been added
+    /// is not used until a total shows it.
+    pub(super) fn on_call_failed(
         &mut self, name: &Name, may_have_counted: bool, soon: bool, actions: &mut Vec<Action>,
     ) {
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let (window, block, owed) = customer.call.take().unwrap_or_default();
+        let (window, requested, owed) = customer.call.take().unwrap_or_default();
         customer.owed += if may_have_counted { owed.max(0.0) } else { owed };
         if may_have_counted && window == customer.window {
-            customer.ledger.lost(block, owed);
+            customer.ledger.lost(requested, owed);
         }
         if soon && !customer.waiting.is_empty() {
-            // The answer was spoilt or its connection broke, and there is time left to ask again.
-            return self.ask(name, actions);
+            // The answer was malformed or its connection was lost, and there is time left for another call.
+            return self.call_counter(name, actions);
         }
         for id in std::mem::take(&mut customer.waiting) {
-            self.by_slice(id, actions);
+            self.admit_by_slice(id, actions);
         }
     }
 
-    /// The silence rule for one request: the even slice or refusal.
-    pub(super) fn by_slice(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// The rule for one request while the counter is silent: pay from the even slice or refuse.
+    pub(super) fn admit_by_slice(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(counter) = self.customers.get(&request.customer).map(|c| c.counter) else { return };
-        let alone = self.alone(counter);
+        let silence = self.silence_of(counter);
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         let plan = &self.settings.plans[request.plan];
         customer.waiting.retain(|w| *w != id);
-        if customer.thin(plan) {
-            return self.by_odds(id, actions);
+        if customer.is_sampled(plan) {
+            return self.admit_by_probability(id, actions);
         }
-        customer.roll(self.now, plan, &self.partition);
-        if customer.spend_slice(request.units, self.now, &alone, plan) {
+        customer.advance(self.now, plan, &self.partition);
+        if customer.spend_slice(request.units, self.now, &silence, plan) {
             return self.send_or_queue(id, actions);
         }
         let slice = customer.slice.unwrap_or_default();
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -77,8 +77,8 @@
             partition,
             counters,
             last_visited,
-            plan_odds,
-            told,
+            plan_probability,
+            probabilities,
             class_latency,
             late_share,
             started,
@@ -88,21 +88,21 @@
         // A partition changes only when operators say so; who compares gateways gives them the same.
         (partition.addresses(), last_visited, started, shutting_down).hash(state);
         floats(state, &[*now, *started_at, *late_share]);
-        plan_odds.iter().for_each(|odds| floats(state, odds));
+        plan_probability.iter().for_each(|probability| floats(state, probability));
         floats(state, class_latency);
-        state.write_usize(told.len());
-        for (salt, (odds, at)) in told {
+        state.write_usize(probabilities.len());
+        for (salt, (probability, at)) in probabilities {
             state.write_u64(*salt);
-            floats(state, &[*odds, *at]);
+            floats(state, &[*probability, *at]);
         }
     }
 }
 
 impl Hash for Counter {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        let Self { health, calls, line } = self;
+        let Self { health, calls, waiting } = self;
         let Health { ease, silences, heard, told, silent_at, back_at, probed } = health;
-        (calls, line, silences, told).hash(state);
+        (calls, waiting, silences, told).hash(state);
         floats(state, &[*ease, *heard, *silent_at, *back_at, *probed]);
     }
 }
@@ -142,10 +142,10 @@
             lease,
             ledger,
             share,
-            store,
-            store_at,
-            known,
-            heard,
+            balance,
+            balance_at,
+            has_total,
+            last_total_at,
             owed,
             call,
             waiting,
@@ -154,15 +154,15 @@
             slice,
             in_flight,
         } = self;
-        (plan, position, salt, window, counter, known, waiting, in_flight).hash(state);
-        floats(state, &[*gateway_count, *lease, *store, *store_at]);
+        (plan, position, salt, window, counter, has_total, waiting, in_flight).hash(state);
+        floats(state, &[*gateway_count, *lease, *balance, *balance_at]);
         floats(state, &[ledger.added, ledger.seen, ledger.doubt, share.own, share.all, share.at]);
-        floats(state, &[*heard, *owed, *demand, *demand_at]);
+        floats(state, &[*last_total_at, *owed, *demand, *demand_at]);
         (call.is_some(), slice.is_some()).hash(state);
-        let (window, block, owed) = call.unwrap_or_default();
+        let (window, requested, owed) = call.unwrap_or_default();
         let Slice { held, at, rate, most } = slice.unwrap_or_default();
         state.write_u64(window);
-        floats(state, &[block, owed, held, at, rate, most]);
+        floats(state, &[requested, owed, held, at, rate, most]);
     }
 }
 
