--- a/system/membership/src/hours.rs
+++ b/system/membership/src/maintenance.rs
@@ -3,9 +3,9 @@
 //! An order is a key like a tenant: the registry that holds the key's duty decides for it. That two may think so for a moment does
 //! no harm: the store writes a step only while all that was looked at still stands.
 
-use crate::feed::{Feed, Kind};
-use crate::{Millis, Out, Round, duties};
-use fennelscale_config::{Copied, Fact, fact};
+use crate::feed::{EventKind, Feed};
+use crate::{Millis, Output, RegistryState, duties};
+use fennelscale_config::{ItemCopy, ParsedItem, parse_item};
 use fennelscale_maintenance::clock::{Clock, Span};
 use fennelscale_maintenance::hours::{Contract, told};
 use fennelscale_maintenance::night::{Night, Phase};
@@ -13,7 +13,7 @@
 use fennelscale_maintenance::plan::{self, Next, Scene, Why};
 use fennelscale_maintenance::{CONTRACT, DRAIN, NIGHT, ORDER, counts};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Named};
+use fennelscale_messages::store::{Entry, NamedEntry};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A step that has no answer is decided anew after this: the store's own patience is less.
@@ -23,21 +23,21 @@
 
 /// Records that are to be written, or dropped, where all that was looked at still stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Write {
+pub struct StepWrite {
     /// The view that it was decided from, in one number.
-    pub seen: u64,
+    pub view_hash: u64,
     /// Names and texts.
     pub records: Vec<(String, Option<String>)>,
 }
 
 /// What one registry keeps of it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Hours {
+pub(crate) struct MaintenanceState {
     contracts: BTreeMap<String, Contract>,
     orders: BTreeMap<String, Order>,
     nights: BTreeMap<String, Night>,
     /// Records as they were chosen; proxies need none of them.
-    records: Copied,
+    records: ItemCopy,
     /// Failure orders that may run: they need the time, too.
     failures: BTreeSet<String>,
     homes: Option<Vec<(String, Vec<String>)>>,
@@ -54,7 +54,7 @@
 
 /// A node of an order, for people.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeState {
+pub struct NodeStatus {
     /// The node.
     pub node: String,
     /// Its phase, or `waiting`.
@@ -62,18 +62,18 @@
     /// Since when, in the contract's zone.
     pub since: String,
     /// Why it is so, or why it is not drained.
-    pub why: String,
+    pub reason: String,
     /// Proxies that have work there or have not heard of the drain.
-    pub waits_for: Vec<String>,
+    pub waiting_for: Vec<String>,
 }
 
 /// An order, for people.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OrderState {
+pub struct OrderStatus {
     /// Its name.
     pub name: String,
     /// What is wanted of it.
-    pub wanted: &'static str,
+    pub state: &'static str,
     /// Its contract.
     pub contract: String,
     /// Which registry holds it, if one is known.
@@ -81,29 +81,31 @@
     /// When its hours begin next, or end where they hold.
     pub hours: String,
     /// Its nodes, in their order.
-    pub nodes: Vec<NodeState>,
+    pub nodes: Vec<NodeStatus>,
 }
 
-impl Hours {
+impl MaintenanceState {
     /// An item that has a say in it, or that says where requests may go.
     pub(crate) fn item(&mut self, name: &str, entry: &Entry) {
         if name.starts_with("r:") || name.starts_with("t:") {
             self.homes = None;
         }
-        let what = || entry.body.as_deref().and_then(|body| fact(name, &entry.host, body).ok());
+        let what = || entry.body.as_deref().and_then(|body| parse_item(name, &entry.host, body).ok());
         if let Some(name) = name.strip_prefix(CONTRACT) {
             match what() {
-                Some(Fact::Contract(contract)) => drop(self.contracts.insert(name.to_owned(), *contract)),
+                Some(ParsedItem::MaintenanceContract(contract)) => {
+                    drop(self.contracts.insert(name.to_owned(), *contract))
+                }
                 _ => drop(self.contracts.remove(name)),
             }
         } else if let Some(name) = name.strip_prefix(ORDER) {
             match what() {
-                Some(Fact::Order(order)) => drop(self.orders.insert(name.to_owned(), *order)),
+                Some(ParsedItem::WorkOrder(order)) => drop(self.orders.insert(name.to_owned(), *order)),
                 _ => drop(self.orders.remove(name)),
             }
         } else if name.starts_with(fennelscale_fault_injection::FAILURE) {
             match what() {
-                Some(Fact::Failure(order)) => self.failure(name, Some(&order)),
+                Some(ParsedItem::FailureOrder(order)) => self.failure(name, Some(&order)),
                 _ => self.failure(name, None),
             }
         }
@@ -120,7 +122,7 @@
 
     /// A record, if it is newer than what is known; its new steps go to the feed.
     pub(crate) fn record(&mut self, now: Millis, name: &str, entry: &Entry, feed: &mut Feed) {
-        if !self.records.take(name, entry) {
+        if !self.records.merge(name, entry) {
             return;
         }
         let order = &name[NIGHT.len()..];
@@ -133,14 +135,14 @@
             let known = before.and_then(|night| night.nodes.get(node)).map_or(0, Vec::len);
             for (at, step) in steps.iter().enumerate().skip(known) {
                 let kind = match step.phase {
-                    Phase::Draining => Kind::NodeDraining,
-                    Phase::Out => Kind::NodeOut,
-                    Phase::Serviced => Kind::NodeServiced,
-                    Phase::Unserviced => Kind::NodeUnserviced,
+                    Phase::Draining => EventKind::NodeDraining,
+                    Phase::Out => EventKind::NodeOut,
+                    Phase::Serviced => EventKind::NodeServiced,
+                    Phase::Unserviced => EventKind::NodeUnserviced,
                 };
                 let mark = fennelscale_messages::hash(order.as_bytes()) ^ at as u64;
                 let cause = format!("order {order}, decided by {}: {}", step.by, step.why);
-                feed.note(now, kind, node, mark, cause);
+                feed.record(now, kind, node, mark, cause);
             }
         }
         self.nights.insert(order.to_owned(), night);
@@ -170,7 +172,7 @@
 }
 
 /// Where requests may go: each service with the regions of the routes that name it, and of the tenants beside.
-fn homes(items: &Copied) -> Vec<(String, Vec<String>)> {
+fn homes(items: &ItemCopy) -> Vec<(String, Vec<String>)> {
     let mut routes: BTreeSet<(String, Vec<String>)> = BTreeSet::new();
     let mut tenants: BTreeSet<Vec<String>> = BTreeSet::new();
     for (name, entry) in items.entries() {
@@ -178,12 +180,12 @@
         if !name.starts_with("r:") && !name.starts_with("t:") {
             continue;
         }
-        match fact(name, &entry.host, body) {
-            Ok(Fact::Route(route)) => {
+        match parse_item(name, &entry.host, body) {
+            Ok(ParsedItem::Route(route)) => {
                 let services = route.services.into_iter().filter(|(_, weight)| *weight > 0.0);
-                routes.extend(services.map(|(service, _)| (service, route.regions.clone())));
+                routes.extend(services.map(|(service, _)| (service, route.allowed_regions.clone())));
             }
-            Ok(Fact::Tenant(tenant)) => drop(tenants.insert(tenant.regions)),
+            Ok(ParsedItem::Tenant(tenant)) => drop(tenants.insert(tenant.allowed_regions)),
             _ => {}
         }
     }
@@ -205,17 +207,19 @@
     homes.into_iter().collect()
 }
 
-impl Round {
+impl RegistryState {
     /// The deployment: zones and their regions; how many clocks of the core may be wrong at once, and how many zones and regions
     /// may be lost.
-    pub fn deployment(&mut self, zones: BTreeMap<String, String>, machines: usize, may_go: (usize, usize)) {
+    pub fn set_deployment(
+        &mut self, zones: BTreeMap<String, String>, machines: usize, may_go: (usize, usize),
+    ) {
         self.hours.zones = zones;
         self.hours.clocks_may_err = machines;
         (self.hours.zones_may_go, self.hours.regions_may_go) = may_go;
     }
 
     /// The machine's time of day, in ms since 1970: it may jump.
-    pub fn time_of_day(&mut self, now: Millis, wall: f64) {
+    pub fn set_time_of_day(&mut self, now: Millis, wall: f64) {
         self.hours.wall = Some(wall - now);
         if self.hours.is_active() {
             let me = self.me;
@@ -227,7 +231,7 @@
         let doubtful = !self.vouched.holds(now) || self.is_cut(now) || self.listing.stamp.0 == 0;
         let silent = self.counted(now).silent;
         let unheard =
-            self.seats.seats.iter().filter(|seat| seat.host != self.me && !self.alive(seat.host, now));
+            self.seats.members.iter().filter(|seat| seat.host != self.me && !self.alive(seat.host, now));
         let unheard = unheard.map(|seat| seat.zone.clone()).collect();
         let homes = self.hours.homes.get_or_insert_with(|| homes(&self.items)).clone();
         let evacuated = self.items.entries().iter().filter(|(_, entry)| entry.body.is_some());
@@ -256,13 +260,13 @@
             return;
         }
         self.hours.look_at = now + LOOK;
-        let seats: Vec<Host> = self.seats.seats.iter().map(|seat| seat.host).collect();
+        let seats: Vec<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
         let wrong = self.hours.clocks_may_err;
         self.hours.clock.settle(now, &seats, wrong);
         if self.hours.busy.is_some_and(|since| now - since < UNANSWERED) {
             return;
         }
-        let held = self.held(now);
+        let held = self.held_duties(now);
         let names = || self.hours.orders.keys().chain(self.hours.nights.keys());
         if !names().any(|name| held & duties::bit_of(name) != 0) {
             return;
@@ -273,7 +277,7 @@
         if let Some(Next { order, night, node, phase }) = plan::next(&scene, &me, mine) {
             let why = night.last(&node).map(|step| step.why.clone()).unwrap_or_default();
             let about = format!("order={order} node={node} phase={} why={why:?}", phase.name());
-            self.out.push(Out::Log("maintenance-step", about));
+            self.out.push(Output::Log("maintenance-step", about));
             let drain = night.drain().map(|drain| drain.text());
             let records =
                 vec![(format!("{NIGHT}{order}"), Some(night.text())), (format!("{DRAIN}{order}"), drain)];
@@ -289,20 +293,23 @@
         let all = items.chain(self.hours.records.entries());
         let seen = fennelscale_maintenance::seen(all.map(|(name, entry)| (name.as_str(), entry)));
         self.hours.busy = Some(now);
-        self.out.push(Out::Step(Write { seen, records }));
+        self.out.push(Output::WriteMaintenanceStep(StepWrite { view_hash: seen, records }));
     }
 
     /// The store has answered to a step; that it was written is heard with the news.
-    pub fn stepped(&mut self, now: Millis) {
+    pub fn on_maintenance_answer(&mut self, now: Millis) {
         self.hours.busy = None;
         // Not before the news of it are here: a step that was decided without them would only be refused.
         self.hours.look_at = now + LOOK;
     }
 
     /// What would stand in the way of orders that a call brings, however long one waits. `changed`: items of the call.
-    pub fn rehearse(&mut self, now: Millis, changed: &[Named]) -> Vec<(String, Node, Why)> {
+    pub fn check_orders(&mut self, now: Millis, changed: &[NamedEntry]) -> Vec<(String, Node, Why)> {
         let mut scene = self.scene(now);
-        let mut hours = Hours { contracts: std::mem::take(&mut scene.contracts), ..Hours::default() };
+        let mut hours = MaintenanceState {
+            contracts: std::mem::take(&mut scene.contracts),
+            ..MaintenanceState::default()
+        };
         changed.iter().for_each(|(name, entry)| hours.item(name, entry));
         scene.contracts = hours.contracts;
         let asks = |order: &&Order| matches!(order.wanted, Wanted::Approved | Wanted::Running);
@@ -319,7 +326,7 @@
     }
 
     /// All orders, for people: how far each node is, and why it is or is not drained now.
-    pub fn maintenance(&mut self, now: Millis) -> (Option<Span>, Vec<OrderState>) {
+    pub fn maintenance_status(&mut self, now: Millis) -> (Option<Span>, Vec<OrderStatus>) {
         let scene = self.scene(now);
         let orders = scene.orders.values().map(|order| {
             let zone = scene.contracts.get(&order.contract).map(|contract| contract.zone.clone());
@@ -335,12 +342,12 @@
             };
             let node = |node: &Node| {
                 let last = scene.nights.get(&order.name).and_then(|night| night.last(node));
-                let state = |phase, since, why, waits_for| NodeState {
+                let state = |phase, since, why, waits_for| NodeStatus {
                     node: node.to_string(),
                     phase,
                     since,
-                    why,
-                    waits_for,
+                    reason: why,
+                    waiting_for: waits_for,
                 };
                 match last {
                     Some(step) => {
@@ -357,9 +364,9 @@
                 }
             };
             let holder = self.holder(now, duties::bit_of(&order.name));
-            OrderState {
+            OrderStatus {
                 name: order.name.clone(),
-                wanted: order.wanted.name(),
+                state: order.wanted.name(),
                 contract: order.contract.clone(),
                 holder: holder.map_or_else(String::new, |host| host.to_string()),
                 hours,
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -3,7 +3,7 @@
 //! Counters are read from where they are counted at the moment of a scrape; nothing is counted here.
 
 use crate::proxy::Proxy;
-use crate::services::Service;
+use crate::service_engines::Service;
 use bytes::Bytes;
 use doorcourse::Outcome;
 use fennelscale_host::call::Asked;
@@ -104,7 +104,7 @@
         let held = proxy.held.borrow();
         proxy.services.each(|name, service| self.read_service(name, service));
         self.contact_age.set(proxy.contact_age().map_or(-1, |age| age as i64));
-        self.contested.set(held.table.contested() as i64);
+        self.contested.set(held.table.contested_claims() as i64);
         let copies = proxy.copies();
         let figures = [
             ("whole", copies.whole),
@@ -115,8 +115,8 @@
         for (what, count) in figures {
             self.copies.get_or_create(&CopyLabel { what }).inner().store(count, Ordering::Relaxed);
         }
-        self.listing.set(i64::try_from(held.listing.stamp.0).unwrap_or(i64::MAX));
-        self.members.set(held.members.iter().filter(|member| member.ready).count() as i64);
+        self.listing.set(i64::try_from(held.backend_list.stamp.0).unwrap_or(i64::MAX));
+        self.members.set(held.proxies.iter().filter(|member| member.ready).count() as i64);
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
--- a/system/proxy/src/session.rs
+++ b/system/proxy/src/session.rs
@@ -4,7 +4,7 @@
 use crate::registry_choice::RegistryChoice;
 use fennelscale_host::link::{self, split};
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Down, Up};
+use fennelscale_messages::session::{ProxyToRegistry, RegistryToProxy};
 use fennelscale_node_settings::Port;
 use std::future::pending;
 use std::io;
@@ -24,7 +24,7 @@
 pub async fn keep(proxy: Rc<Proxy>) {
     let mut choice = RegistryChoice::default();
     loop {
-        let Some(host) = choice.next(proxy.now(), &proxy.registries()) else {
+        let Some(host) = choice.next_registry(proxy.now(), &proxy.registries()) else {
             sleep(PAUSE).await;
             continue;
         };
@@ -32,7 +32,7 @@
         if let Err(why) = hold(&proxy, host, &mut choice).await
             && why != NEARER
         {
-            choice.failed(proxy.now(), host);
+            choice.record_failure(proxy.now(), host);
             let held_ms = begun.elapsed().as_millis() as u64;
             tracing::info!(event = "session-ended", registry = %host, why, held_ms);
         }
@@ -84,7 +84,7 @@
 
 /// What a session waits for.
 enum Next {
-    Word(io::Result<Down>),
+    Word(io::Result<RegistryToProxy>),
     BeatDue,
     Looked(Look),
 }
@@ -100,7 +100,7 @@
     let mut looking: Looking = None;
     let end = 'session: loop {
         // Reading a word takes several steps, and a beat between two of them must not lose the first: it goes on.
-        let next = reader.next::<Down>();
+        let next = reader.next::<RegistryToProxy>();
         tokio::pin!(next);
         let word = loop {
             let event = tokio::select! {
@@ -113,7 +113,7 @@
                 Next::Word(Ok(word)) => break word,
                 Next::Word(Err(_)) => break 'session "closed",
                 Next::Looked(look) => {
-                    look.failed.into_iter().for_each(|registry| choice.failed(proxy.now(), registry));
+                    look.failed.into_iter().for_each(|registry| choice.record_failure(proxy.now(), registry));
                     if look.reached {
                         break 'session "its registry is out of contact";
                     }
@@ -124,16 +124,16 @@
                         break 'session "silent";
                     }
                     writer.send(&proxy.beat());
-                    if proxy.nearer(host, |other| choice.has_failed(proxy.now(), other)) {
+                    if proxy.nearer(host, |other| choice.failed_recently(proxy.now(), other)) {
                         break 'session NEARER;
                     }
                 }
             }
         };
         heard = Instant::now();
-        if let Down::Beat { contact_age } = word {
-            choice.heard_beat(proxy.now(), f64::from(contact_age));
-            proxy.contact(choice.contact());
+        if let RegistryToProxy::Heartbeat { contact_age } = word {
+            choice.record_heartbeat(proxy.now(), f64::from(contact_age));
+            proxy.contact(choice.last_contact());
             // It serves until another takes this session: where all are cut off, an old word is better than none.
             let others = choice.alternatives(proxy.now(), host, &proxy.registries());
             if !others.is_empty() && looking.is_none() {
@@ -141,13 +141,13 @@
             }
         }
         // At the first start only seeds are known; the nearest is heard of with the first news.
-        let told = matches!(word, Down::Registries(_));
+        let told = matches!(word, RegistryToProxy::Registries(_));
         proxy.news(word);
-        if told && proxy.nearer(host, |other| choice.has_failed(proxy.now(), other)) {
+        if told && proxy.nearer(host, |other| choice.failed_recently(proxy.now(), other)) {
             break NEARER;
         }
         if proxy.ended() {
-            writer.send(&Up::Bye);
+            writer.send(&ProxyToRegistry::EndSession);
             sleep(PAUSE).await;
             break "ended";
         }
--- a/system/replication/src/versions.rs
+++ b/system/replication/src/versions.rs
@@ -5,18 +5,18 @@
 //! - *One number, one content*: of two contents under one version of an item at most one is ever confirmed, also where the item has
 //!   moved on or was dropped since. A version that was never given and arrives late is given to its content when it is confirmed.
 //! - *Sent again, told again*: a change that was confirmed is confirmed again or has no clear answer; it is never refused.
-//! - Both hold for the last [`HISTORY`] versions of each item. What is older cannot be told from another content any more: it has no
+//! - Both hold for the last [`HISTORY_LIMIT`] versions of each item. What is older cannot be told from another content any more: it has no
 //!   clear answer, and no effect.
 
-use fennelscale_messages::depot::{Change, Entry, VersionRecord};
+use fennelscale_messages::store::{Change, Entry, RevisionRecord};
 
 /// Versions of one item that are remembered, besides the one that it has. An operator gives up on a call within seconds; in these no
 /// item has so many versions. Costs 16 bytes a version and item.
-pub const HISTORY: usize = 64;
+pub const HISTORY_LIMIT: usize = 64;
 
 /// How a change stands to the item that it names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum VersionStatus {
     /// Its version is higher than any that the item has had.
     Newer,
     /// The very same was taken before.
@@ -32,32 +32,32 @@
 /// The hash by which a change that arrives again is known. Who shares a failure order is the registry's to say, not the sender's.
 pub fn content_of(name: &str, host: &str, body: Option<&str>) -> u64 {
     let host = if name.starts_with(fennelscale_fault_injection::FAILURE) { "" } else { host };
-    fennelscale_config::content(host, body)
+    fennelscale_config::content_hash(host, body)
 }
 
-fn own_record(name: &str, entry: &Entry) -> VersionRecord {
+fn own_record(name: &str, entry: &Entry) -> RevisionRecord {
     let content = content_of(name, &entry.host, entry.body.as_deref());
-    VersionRecord { revision: entry.revision, content }
+    RevisionRecord { revision: entry.revision, content_hash: content }
 }
 
 /// How a change stands to the entry that is in force.
-pub fn standing(known: &Entry, change: &Change) -> Standing {
+pub fn status(known: &Entry, change: &Change) -> VersionStatus {
     let content = content_of(&change.name, &change.host, change.body.as_deref());
     let own = own_record(&change.name, known);
     if change.revision > known.revision {
-        return Standing::Newer;
+        return VersionStatus::Newer;
     }
     let records = || known.history.iter().chain(std::iter::once(&own));
     if let Some(record) = records().find(|record| record.revision == change.revision) {
-        return if record.content == content { Standing::Known } else { Standing::Taken };
+        return if record.content_hash == content { VersionStatus::Known } else { VersionStatus::Taken };
     }
-    let complete = known.history.len() < HISTORY;
+    let complete = known.history.len() < HISTORY_LIMIT;
     let oldest = known.history.first().map_or(known.revision, |record| record.revision);
-    if complete || change.revision > oldest { Standing::PassedOver } else { Standing::Forgotten }
+    if complete || change.revision > oldest { VersionStatus::PassedOver } else { VersionStatus::Forgotten }
 }
 
 /// The history of the entry that takes the place of this one.
-pub fn history_after(name: &str, known: &Entry) -> Vec<VersionRecord> {
+pub fn history_after(name: &str, known: &Entry) -> Vec<RevisionRecord> {
     let mut history = known.history.clone();
     history.push(own_record(name, known));
     shorten(&mut history);
@@ -67,7 +67,7 @@
 /// The same entry, with a version that was passed over given to a content.
 pub fn with_record(known: &Entry, change: &Change) -> Entry {
     let content = content_of(&change.name, &change.host, change.body.as_deref());
-    let record = VersionRecord { revision: change.revision, content };
+    let record = RevisionRecord { revision: change.revision, content_hash: content };
     let mut entry = known.clone();
     let at = entry.history.partition_point(|other| other.revision < record.revision);
     entry.history.insert(at, record);
@@ -81,6 +81,6 @@
     Entry { stamp: *stamp, revision: *revision, host: host.clone(), body: body.clone(), history: Vec::new() }
 }
 
-fn shorten(history: &mut Vec<VersionRecord>) {
-    history.drain(..history.len().saturating_sub(HISTORY));
+fn shorten(history: &mut Vec<RevisionRecord>) {
+    history.drain(..history.len().saturating_sub(HISTORY_LIMIT));
 }
