--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,15 +1,15 @@
 //! All decisions of a gateway. Its interface (settings, events, actions) is in `src/interface.rs`.
 //!
-//! The submodules cover quotas (`units`), the choice of a backend (`backend`), retries (`again`), and the
+//! The submodules cover quotas (`quota`), the choice of a backend (`backend`), retries (`retry`), and the
 //! queue and final answers (`refusal`); this module connects them. A request passes three checks: the quota
 //! of its customer (`Customer`, which caches leases on a shared count per window), the concurrency cap, and a
 //! backend below its limit (`Backend`). A request that cannot pass yet waits for a share of its target
 //! latency.
 
-mod again;
 mod backend;
+mod quota;
 mod refusal;
-mod units;
+mod retry;
 mod view;
 
 use crate::hash::{hash, mix, unit};
@@ -21,15 +21,15 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-use again::MARGIN_TICKS;
 use backend::{Backend, NEWEST_WEIGHT};
-use units::{Counter, Customer, DEMAND_SPAN, IDLE_REFILLS, LEASE_SHARE, MAX_TTL, RETURN_SHARE, SCARCE_SHARE};
+use quota::{Counter, Customer, DEMAND_SPAN, IDLE_REFILLS, LEASE_SHARE, MAX_TTL, RETURN_SHARE, SCARCE_SHARE};
+use retry::MARGIN_TICKS;
 
 /// Default time between housekeeping rounds, in ms: short compared to any target latency.
 const HOUSEKEEPING_INTERVAL: Millis = 25.0;
 const HOUSEKEEPING_TOKEN: u64 = 1;
-/// Each housekeeping round visits at least `MIN_VISITS` customers; of more customers, a `VISIT_ROUNDS`th
-/// part.
+/// Each housekeeping round visits `MIN_VISITS` customers or one in `VISIT_ROUNDS` of all, whichever is more:
+/// a few are all visited each time, many in turn.
 const MIN_VISITS: usize = 256;
 const VISIT_ROUNDS: usize = 8;
 
--- a/src/logic/units.rs
+++ b/src/logic/quota.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The lease for the smoothed demand, limited to an even part of the balance.
+    /// The lease for the smoothed demand of a short time, limited to an even part of the balance.
     pub(super) fn demand_lease(&self, plan: &Plan) -> f64 {
         let target = self.demand * Self::refill_time(plan) * LEASE_SHARE;
         target.min(self.balance * SCARCE_SHARE / self.gateway_count).floor()
@@ -448,10 +448,13 @@
                 _ if !customer.has_total => {
                     customer.share.note(now, requested + owed, total, span);
                     // The counter has just come back: its total may lack what others spent.
-                    let fresh = now - health.back_at < Customer::refill_time(plan) * IDLE_REFILLS;
-                    let young = plan.ceiling_rate > 0.0 && health.back_at > 0.0 && fresh;
-                    let most =
-                        if young { customer.new_slice(0.0, now, &silence, plan).most } else { f64::INFINITY };
+                    let recent = now - health.back_at < Customer::refill_time(plan) * IDLE_REFILLS;
+                    let capped = plan.ceiling_rate > 0.0 && health.back_at > 0.0 && recent;
+                    let most = if capped {
+                        customer.new_slice(0.0, now, &silence, plan).most
+                    } else {
+                        f64::INFINITY
+                    };
                     customer.balance = Customer::initial_balance(plan).min(most) - total;
                     customer.has_total = true;
                 }
@@ -479,9 +482,9 @@
             }
         }
         let waiting = std::mem::take(&mut customer.waiting);
-        let give_back = customer.owed <= -1.0;
+        let returns = customer.owed <= -1.0;
         let wait = waiting.into_iter().filter(|id| self.admit(*id, actions)).count();
-        if wait > 0 || give_back {
+        if wait > 0 || returns {
             self.call_counter(name, actions);
         }
     }
@@ -489,12 +492,12 @@
     /// Handles a failed call: waiting requests are decided by the slice, and a lease that may have been added
     /// is not used until a total shows it.
     pub(super) fn on_call_failed(
-        &mut self, name: &Name, may_have_counted: bool, soon: bool, actions: &mut Vec<Action>,
+        &mut self, name: &Name, may_have_added: bool, soon: bool, actions: &mut Vec<Action>,
     ) {
         let Some(customer) = self.customers.get_mut(name) else { return };
         let (window, requested, owed) = customer.call.take().unwrap_or_default();
-        customer.owed += if may_have_counted { owed.max(0.0) } else { owed };
-        if may_have_counted && window == customer.window {
+        customer.owed += if may_have_added { owed.max(0.0) } else { owed };
+        if may_have_added && window == customer.window {
             customer.ledger.lost(requested, owed);
         }
         if soon && !customer.waiting.is_empty() {
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -1,5 +1,5 @@
-//! A gateway as others may look at it: its counts, and the whole of it for a checker to compare (every
-//! field, each map in its order, floats by their bits). Nothing is decided here.
+//! Read access to the state of a gateway: its counts, and a hash of the complete state for a model checker
+//! (every field, each map in its order, floats by their bits). No decisions are made here.
 
 use super::{Backend, Counter, Customer, Gateway, Request};
 use crate::interface::Millis;
@@ -8,17 +8,17 @@
 use std::hash::{Hash, Hasher};
 
 impl Gateway {
-    /// How many backends are remembered.
+    /// The number of known backends.
     pub fn backend_count(&self) -> usize {
         self.backends.len()
     }
 
-    /// How many customers are remembered.
+    /// The number of known customers.
     pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
-    /// What is counted as out: attempts at all backends, and attempts of all customers.
+    /// Attempts counted as in flight: those of all backends, and those of all customers.
     pub fn in_flight(&self) -> (u32, u32) {
         (
             self.backends.values().map(|b| b.in_flight).sum(),
@@ -26,12 +26,12 @@
         )
     }
 
-    /// How many requests were sent, by what was known of their backends.
+    /// Requests sent, by the known state of their backends.
     pub fn send_counts(&self) -> SendCounts {
         self.topology.send_counts()
     }
 
-    /// Requests that are held because no backend may be sent one.
+    /// Requests in the queue because no backend may be sent one.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
@@ -41,29 +41,29 @@
         self.counters.iter().any(|counter| counter.health.silent_at > 0.0)
     }
 
-    /// Units of all customers: in blocks in hand, and used but not yet added to the shared count (negative:
-    /// to be given back).
+    /// Units of all customers: those left in leases, and those used but not yet added to the shared count
+    /// (negative: to be returned).
     pub fn leased_and_owed(&self) -> (f64, f64) {
         let sum = |of: fn(&Customer) -> f64| self.customers.values().map(of).sum();
         (sum(|c| c.lease), sum(|c| c.owed))
     }
 }
 
-/// Feeds floats by their bits: two states are the same only if each figure is exactly the same.
+/// Hashes floats by their bits: two states are equal only if each value is exactly equal.
 fn floats<H: Hasher>(state: &mut H, values: &[f64]) {
     values.iter().for_each(|value| state.write_u64(value.to_bits()));
 }
 
-fn maybe<H: Hasher>(state: &mut H, value: Option<Millis>) {
+fn optional<H: Hasher>(state: &mut H, value: Option<Millis>) {
     state.write_u8(value.is_some().into());
     floats(state, &[value.unwrap_or_default()]);
 }
 
 impl Hash for Gateway {
-    /// All but the settings, which never change. Whoever compares gateways of different settings must add
-    /// these.
+    /// Hashes everything but the settings, which never change. To compare gateways of different settings, hash
+    /// those as well.
     fn hash<H: Hasher>(&self, state: &mut H) {
-        // Taken apart whole, so that no field can be forgotten.
+        // A full destructuring, so that no field can be forgotten.
         let Self {
             settings: _,
             random,
@@ -85,7 +85,7 @@
             shutting_down,
         } = self;
         (random, backends, topology, customers, requests, queue, counters).hash(state);
-        // A partition changes only when operators say so; who compares gateways gives them the same.
+        // A partition changes only by the operators' configuration; compared gateways have the same one.
         (partition.addresses(), last_visited, started, shutting_down).hash(state);
         floats(state, &[*now, *started_at, *late_share]);
         plan_probability.iter().for_each(|probability| floats(state, probability));
@@ -125,7 +125,7 @@
         } = self;
         (zone, cell, ready, gone, address_reused, in_flight, failures, ejection_logged, limit_adjusted)
             .hash(state);
-        maybe(state, *started);
+        optional(state, *started);
         floats(state, &[*limit, *eject_until]);
     }
 }
@@ -190,6 +190,6 @@
         floats(state, &[*units, *arrived, *deadline, *wait_until, *sent_at]);
         let run = may_have_run.as_ref();
         run.map(|(_, zone, cell)| (zone, cell)).hash(state);
-        maybe(state, run.map(|(at, ..)| *at));
+        optional(state, run.map(|(at, ..)| *at));
     }
 }
