--- a/simhost/src/lib.rs
+++ b/simhost/src/lib.rs
@@ -1,4 +1,4 @@
-//! Hosts doorcourse gateways on the simulator's wire: translation only, no decisions.
+//! Hosts doorcourse gateways behind the simulator's line protocol: translation only, no decisions.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -14,12 +14,12 @@
 use std::fmt::{self, Write as _};
 use std::io::{BufRead, Write};
 
-/// What went wrong: a malformed line, or the streams themselves.
+/// A malformed line or an I/O error.
 #[derive(Debug)]
 pub enum HostError {
-    /// A line that cannot be read, with its number.
+    /// A malformed line: its number and the reason.
     Line(u64, String),
-    /// The input ended inside a batch.
+    /// The input ended inside a batch, after this line.
     Ended(u64),
     /// Reading or writing failed.
     Io(std::io::Error),
@@ -28,7 +28,7 @@
 impl fmt::Display for HostError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Line(number, what) => write!(f, "line {number}: {what}"),
+            Self::Line(number, reason) => write!(f, "line {number}: {reason}"),
             Self::Ended(number) => write!(f, "line {number}: input ended inside a batch"),
             Self::Io(error) => write!(f, "input or output: {error}"),
         }
@@ -43,7 +43,7 @@
     }
 }
 
-/// The values of one line, read in order.
+/// The tab-separated values of one line, read in order.
 struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
@@ -86,7 +86,7 @@
     }
 }
 
-fn outcome(text: &str) -> Result<Outcome, String> {
+fn parse_outcome(text: &str) -> Result<Outcome, String> {
     Ok(match text {
         "delivered" => Outcome::Served,
         "app_error" => Outcome::Error,
@@ -100,7 +100,7 @@
     })
 }
 
-fn load(text: &str) -> Result<Option<LoadReport>, String> {
+fn parse_load(text: &str) -> Result<Option<LoadReport>, String> {
     if text == "-" || text.is_empty() {
         return Ok(None);
     }
@@ -114,7 +114,7 @@
     Ok(Some(report))
 }
 
-fn entry(line: &str) -> Result<BackendEntry, String> {
+fn parse_entry(line: &str) -> Result<BackendEntry, String> {
     let mut fields = Fields(line.split('\t'));
     if fields.text("message")? != "ENTRY" {
         return Err(format!("expected an ENTRY line: {line}"));
@@ -134,13 +134,13 @@
     Ok(BackendEntry { name, zone, cell, state, started })
 }
 
-/// All gateways that one process hosts.
+/// The gateways that one process hosts.
 #[derive(Default)]
 pub struct Host {
     gateways: BTreeMap<u64, Gateway>,
     lists: BTreeMap<u64, Vec<BackendEntry>>,
-    /// Entries of the list now being read: its number and how many are still to come.
-    reading: Option<(u64, usize)>,
+    /// The list that is being read: its number and the remaining entries.
+    pending_list: Option<(u64, usize)>,
     now: Option<Millis>,
     reply: String,
     actions: Vec<Action>,
@@ -150,7 +150,7 @@
     /// Reads batches until the input ends and answers each.
     ///
     /// # Errors
-    /// On the first line that cannot be read, and when the input ends inside a batch.
+    /// Returns an error on the first malformed line, and if the input ends inside a batch.
     pub fn run(&mut self, input: &mut impl BufRead, output: &mut impl Write) -> Result<(), HostError> {
         let (mut bytes, mut number) = (Vec::new(), 0);
         loop {
@@ -159,10 +159,10 @@
                 return if self.now.is_some() { Err(HostError::Ended(number)) } else { Ok(()) };
             }
             number += 1;
-            let fault = |what: String| HostError::Line(number, what);
-            let line = std::str::from_utf8(&bytes).map_err(|_| fault("not UTF-8".into()))?;
+            let error = |reason: String| HostError::Line(number, reason);
+            let line = std::str::from_utf8(&bytes).map_err(|_| error("not UTF-8".into()))?;
             let line = line.trim_end_matches(['\n', '\r']);
-            if self.take(line).map_err(fault)? {
+            if self.process_line(line).map_err(error)? {
                 self.reply.push_str("READY\n");
                 output.write_all(self.reply.as_bytes())?;
                 output.flush()?;
@@ -171,11 +171,11 @@
         }
     }
 
-    /// Takes one line; true when it ended a batch.
-    fn take(&mut self, line: &str) -> Result<bool, String> {
-        if let Some((list, left)) = self.reading {
-            self.lists.entry(list).or_default().push(entry(line)?);
-            self.reading = (left > 1).then_some((list, left - 1));
+    /// Processes one line; returns true if it ended a batch.
+    fn process_line(&mut self, line: &str) -> Result<bool, String> {
+        if let Some((list, remaining)) = self.pending_list {
+            self.lists.entry(list).or_default().push(parse_entry(line)?);
+            self.pending_list = (remaining > 1).then_some((list, remaining - 1));
             return Ok(false);
         }
         let mut fields = Fields(line.split('\t'));
@@ -196,7 +196,7 @@
                 let list = fields.number("roster-id")?;
                 let rows: usize = fields.number("rows")?;
                 self.lists.insert(list, Vec::new());
-                self.reading = (rows > 0).then_some((list, rows));
+                self.pending_list = (rows > 0).then_some((list, rows));
             }
             "START" => {
                 let instance = fields.number("i")?;
@@ -213,7 +213,7 @@
             }
             _ => {
                 let instance: u64 = fields.number("i")?;
-                let event = self.event(message, &mut fields)?;
+                let event = self.parse_event(message, &mut fields)?;
                 let gateway = self.gateways.get_mut(&instance);
                 let gateway = gateway.ok_or_else(|| format!("gateway {instance} was never started"))?;
                 gateway.handle(now, event, &mut self.actions);
@@ -225,7 +225,7 @@
         Ok(false)
     }
 
-    fn event(&self, message: &str, fields: &mut Fields<'_>) -> Result<Event, String> {
+    fn parse_event(&self, message: &str, fields: &mut Fields<'_>) -> Result<Event, String> {
         Ok(match message {
             "ANNOUNCE" => {
                 let kind = fields.text("kind")?;
@@ -245,11 +245,11 @@
                 let id = fields.number("id")?;
                 let customer = fields.name("account")?;
                 fields.flag("write")?;
-                let patience = fields.millis("patience-left-ms")?;
+                let client_timeout = fields.millis("patience-left-ms")?;
                 let class = fields.name("band")?;
-                let repeat = fields.flag("again-by-client")?;
-                let first = fields.optional("base")?.unwrap_or(0);
-                let spread = fields.optional("spread")?.unwrap_or(0);
+                let is_retry = fields.flag("again-by-client")?;
+                let first_gateway = fields.optional("base")?.unwrap_or(0);
+                let gateway_count = fields.optional("spread")?.unwrap_or(0);
                 let units = fields.optional("units")?.unwrap_or(1.0);
                 let plan = fields.name("package")?;
                 Event::Request(Arrival {
@@ -258,10 +258,10 @@
                     plan,
                     class,
                     units,
-                    is_retry: repeat,
-                    client_timeout: patience,
-                    first_gateway: first,
-                    gateway_count: spread,
+                    is_retry,
+                    client_timeout,
+                    first_gateway,
+                    gateway_count,
                     constraints: None,
                 })
             }
@@ -270,19 +270,19 @@
                 let id = fields.number("id")?;
                 let latency = fields.millis("latency-ms")?;
                 let backend = fields.name("backend")?;
-                let outcome = outcome(fields.text("rc")?)?;
+                let outcome = parse_outcome(fields.text("rc")?)?;
                 fields.optional::<f64>("seen-use")?;
                 let attempt = fields.number("go")?;
-                let true_units = fields.optional::<f64>("true-units")?.filter(|units| *units > 0.0);
+                let actual_units = fields.optional::<f64>("true-units")?.filter(|units| *units > 0.0);
                 let finished = fields.flag("finished")?;
-                let load = load(fields.text("metrics")?)?;
+                let load = parse_load(fields.text("metrics")?)?;
                 Event::AttemptEnded(AttemptEnd {
                     id,
                     attempt,
                     backend,
                     outcome,
                     latency,
-                    actual_units: true_units,
+                    actual_units,
                     finished,
                     load,
                 })
@@ -292,18 +292,18 @@
             "SAMPLED" => {
                 let latency = fields.millis("latency-ms")?;
                 let backend = fields.name("backend")?;
-                let outcome = outcome(fields.text("rc")?)?;
-                let load = load(fields.text("metrics")?)?;
+                let outcome = parse_outcome(fields.text("rc")?)?;
+                let load = parse_load(fields.text("metrics")?)?;
                 Event::ProbeEnded { backend, outcome, latency, load }
             }
             "INBOX" => {
                 let from = fields.number("neighbour")?;
-                let bytes = from_base64(fields.text("msg")?)?;
+                let bytes = decode_base64(fields.text("msg")?)?;
                 Event::PeerMessage { from, bytes }
             }
             "TOTAL" => {
                 let code = fields.text("rc")?;
-                let name = fields.number("counter-key")?;
+                let key = fields.number("counter-key")?;
                 let latency = fields.millis("latency-ms")?;
                 let total = fields.optional::<f64>("result-value")?;
                 let outcome = match (code, total) {
@@ -313,7 +313,7 @@
                     ("expired", _) => CountOutcome::Unknown,
                     (other, _) => return Err(format!("unknown outcome {other}")),
                 };
-                Event::CounterReply { key: name, outcome, latency }
+                Event::CounterReply { key, outcome, latency }
             }
             other => return Err(format!("unknown message {other}")),
         })
@@ -330,8 +330,8 @@
         Action::CancelAttempt { id, attempt } => writeln!(reply, "CALL_OFF\t{i}\t{id}\t{attempt}"),
         Action::SetTimer { after, token } => writeln!(reply, "NOTIFY_ME\t{i}\t{after:.3}\t{token}"),
         Action::Probe { backend } => writeln!(reply, "TEST\t{i}\t{backend}"),
-        Action::AddToCounter { key: name, amount, ttl: keep, .. } => {
-            writeln!(reply, "CHARGE_COUNTER\t{i}\t{name}\t{amount:.6}\t{keep:.3}")
+        Action::AddToCounter { key, amount, ttl, .. } => {
+            writeln!(reply, "CHARGE_COUNTER\t{i}\t{key}\t{amount:.6}\t{ttl:.3}")
         }
         Action::Broadcast { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
         Action::WatchBackends => writeln!(reply, "WATCH\t{i}\t1"),
@@ -339,7 +339,7 @@
     }
 }
 
-fn from_base64(text: &str) -> Result<Vec<u8>, String> {
+fn decode_base64(text: &str) -> Result<Vec<u8>, String> {
     if text == "-" {
         return Ok(Vec::new());
     }
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! `doorcourse-simhost`: the wire on standard input and output.
+//! `doorcourse-simhost`: speaks the simulator's line protocol on standard input and output.
 
 #![forbid(unsafe_code)]
 
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -60,8 +60,8 @@
 }
 
 impl Hash for Gateway {
-    /// Hashes everything but the settings, which never change. To compare gateways of different settings, hash
-    /// those as well.
+    /// Hashes everything but the settings, which never change. To compare gateways of different settings,
+    /// hash those as well.
     fn hash<H: Hasher>(&self, state: &mut H) {
         // A full destructuring, so that no field can be forgotten.
         let Self {
