--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -1,76 +1,76 @@
-//! Drains, cold backends, ejection and room.
+//! Draining, cold backends, ejection and concurrency limits.
 
 mod helper;
 use doorcourse::*;
 use helper::*;
 
 #[test]
-fn a_drained_or_gone_backend_gets_nothing_new() {
+fn a_draining_or_gone_backend_gets_no_new_requests() {
     for state in [BackendState::Draining, BackendState::Gone] {
-        let mut door = Door::new(settings(), &["a1", "a2"]);
-        door.tell(Event::BackendChanges(vec![backend("a1", state, None)]));
+        let mut harness = Harness::new(settings(), &["a1", "a2"]);
+        harness.handle(Event::BackendChanges(vec![backend("a1", state, None)]));
         for id in 1..=4 {
-            assert_eq!(&*door.served(id, "c", "plain", "safe"), "a2");
-            door.end(id, 0, &"a2".into(), Outcome::Served);
+            assert_eq!(&*harness.send_request(id, "c", "plain", "safe"), "a2");
+            harness.end_attempt(id, 0, &"a2".into(), Outcome::Served);
         }
     }
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    door.tell(Event::BackendList(vec![backend("a2", BackendState::Ready, None)]));
-    assert_eq!(&*door.served(1, "c", "plain", "safe"), "a2", "missing from a full list is gone");
+    let mut harness = Harness::new(settings(), &["a1", "a2"]);
+    harness.handle(Event::BackendList(vec![backend("a2", BackendState::Ready, None)]));
+    assert_eq!(&*harness.send_request(1, "c", "plain", "safe"), "a2", "missing from a full list is gone");
 }
 
 #[test]
-fn a_cold_backend_gets_less_than_its_present_share_of_what_a_warm_one_gets() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    let born = Some(door.now);
-    door.tell(Event::BackendChanges(vec![backend("a3", BackendState::Ready, born)]));
+fn a_cold_backend_gets_less_than_its_current_share_of_a_warm_one() {
+    let mut harness = Harness::new(settings(), &["a1", "a2"]);
+    let born = Some(harness.now);
+    harness.handle(Event::BackendChanges(vec![backend("a3", BackendState::Ready, born)]));
     let mut to_cold = 0;
     for id in 1..=100 {
-        let at = door.served(id, &format!("c{id}"), "plain", "safe");
+        let at = harness.send_request(id, &format!("c{id}"), "plain", "safe");
         to_cold += usize::from(&*at == "a3");
-        door.now += 5.0;
-        door.end(id, 0, &at, Outcome::Served);
+        harness.now += 5.0;
+        harness.end_attempt(id, 0, &at, Outcome::Served);
     }
-    // Two warm ones share the rest: a tenth of it is a fifth of what one of them gets.
+    // Two warm backends share the rest: a tenth of it is a fifth of what one of them gets.
     assert!((1..=10).contains(&to_cold), "{to_cold}");
 }
 
 #[test]
-fn failures_in_a_row_eject_a_backend_and_an_answer_takes_it_back() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
+fn consecutive_failures_eject_a_backend_and_an_answer_restores_it() {
+    let mut harness = Harness::new(settings(), &["a1", "a2"]);
     let (mut id, mut logs) = (0, Vec::new());
-    let mut silent = 0;
-    while silent < 2 {
+    let mut failures = 0;
+    while failures < 2 {
         id += 1;
-        let at = door.served(id, &format!("c{id}"), "plain", "unsafe");
+        let at = harness.send_request(id, &format!("c{id}"), "plain", "unsafe");
         let outcome = if &*at == "a1" { Outcome::TimedOut } else { Outcome::Served };
-        silent += usize::from(&*at == "a1");
-        logs = door.end(id, 0, &at, outcome);
-        if outcome == Outcome::TimedOut && silent == 1 {
-            let next = door.served(1000, "other", "plain", "unsafe");
-            assert_eq!(&*next, "a2", "after one failure it is left alone for as long as that took");
-            door.end(1000, 0, &next, Outcome::Served);
+        failures += usize::from(&*at == "a1");
+        logs = harness.end_attempt(id, 0, &at, outcome);
+        if outcome == Outcome::TimedOut && failures == 1 {
+            let next = harness.send_request(1000, "other", "plain", "unsafe");
+            assert_eq!(&*next, "a2", "after one failure it gets nothing for as long as the failure took");
+            harness.end_attempt(1000, 0, &next, Outcome::Served);
         }
-        door.now += 150.0;
+        harness.now += 150.0;
         assert!(id < 50);
     }
     assert!(logs.iter().any(|a| matches!(a, Action::Log(line) if line.contains("a1 ejected"))));
     for id in 101..=105 {
-        assert_eq!(&*door.served(id, &format!("c{id}"), "plain", "safe"), "a2");
-        door.end(id, 0, &"a2".into(), Outcome::Served);
+        assert_eq!(&*harness.send_request(id, &format!("c{id}"), "plain", "safe"), "a2");
+        harness.end_attempt(id, 0, &"a2".into(), Outcome::Served);
     }
-    door.now += 1000.0;
+    harness.now += 1000.0;
     let tried = (201..=210).any(|id| {
-        let at = door.served(id, &format!("c{id}"), "plain", "safe");
-        door.end(id, 0, &at, Outcome::Served);
+        let at = harness.send_request(id, &format!("c{id}"), "plain", "safe");
+        harness.end_attempt(id, 0, &at, Outcome::Served);
         &*at == "a1"
     });
-    assert!(tried, "it is tried again after a while");
+    assert!(tried, "it is tried again later");
 }
 
 #[test]
-fn connections_that_break_leave_a_backend_in_use_until_three_in_a_row() {
-    let mut door = Door::new(settings(), &["a1"]);
+fn lost_connections_eject_a_backend_only_after_three_in_a_row() {
+    let mut harness = Harness::new(settings(), &["a1"]);
     let a1: Name = "a1".into();
     for (round, outcomes) in [
         (0, [Outcome::ConnectionLost, Outcome::ConnectionLost, Outcome::Served]),
@@ -78,70 +78,86 @@
     ] {
         for (n, outcome) in outcomes.into_iter().enumerate() {
             let id = round * 10 + n as u64 + 1;
-            door.served(id, &format!("c{id}"), "plain", "unsafe");
-            door.end_after(1.0, id, 0, &a1, outcome);
+            harness.send_request(id, &format!("c{id}"), "plain", "unsafe");
+            harness.end_attempt_after(1.0, id, 0, &a1, outcome);
         }
     }
-    let did = door.ask(50, "c50", "plain", "unsafe");
-    let (name, amount) = count(&did).expect("a call");
-    assert_eq!(sends(&door.total(name, amount)), 0, "the third in a row speaks of the backend");
+    let actions = harness.request(50, "c50", "plain", "unsafe");
+    let (name, amount) = counter_call(&actions).expect("a call");
+    assert_eq!(
+        send_count(&harness.reply_total(name, amount)),
+        0,
+        "the third in a row counts as a failure of the backend"
+    );
 }
 
 #[test]
-fn what_is_out_is_bounded_and_the_line_is_refused_early() {
-    let mut door = Door::new(settings(), &["a1"]);
-    let (mut out, mut turned_away) = (0, 0);
+fn requests_in_flight_are_bounded_and_excess_is_refused_early() {
+    let mut harness = Harness::new(settings(), &["a1"]);
+    let (mut sent, mut refused) = (0, 0);
     for id in 1..=40 {
-        let mut did = door.ask(id, &format!("c{id}"), "plain", "safe");
-        let (name, amount) = count(&did).expect("call");
-        did.extend(door.total(name, amount));
-        out += sends(&did);
-        turned_away += usize::from(refused(&did, id));
+        let mut actions = harness.request(id, &format!("c{id}"), "plain", "safe");
+        let (name, amount) = counter_call(&actions).expect("call");
+        actions.extend(harness.reply_total(name, amount));
+        sent += send_count(&actions);
+        refused += usize::from(is_refused(&actions, id));
     }
-    assert!((1..=3).contains(&out), "five for two gateways: {out}");
-    assert!(turned_away > 30, "{turned_away}");
+    assert!((1..=3).contains(&sent), "five for two gateways: {sent}");
+    assert!(refused > 30, "{refused}");
 }
 
 #[test]
-fn an_open_cap_is_shared_by_the_customer_s_gateways() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    let at = door.served(1, "c", "capped", "safe");
-    assert_eq!(sends(&door.ask(2, "c", "capped", "safe")), 0, "two at once for two gateways: one each");
-    assert_eq!(sent(&door.end(1, 0, &at, Outcome::Served)).map(|(id, _)| id), Some(2));
+fn a_concurrency_cap_is_shared_by_the_gateways_of_a_customer() {
+    let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
+    let at = harness.send_request(1, "c", "capped", "safe");
+    assert_eq!(
+        send_count(&harness.request(2, "c", "capped", "safe")),
+        0,
+        "a cap of two for two gateways: one each"
+    );
+    assert_eq!(first_send(&harness.end_attempt(1, 0, &at, Outcome::Served)).map(|(id, _)| id), Some(2));
 }
 
 #[test]
-fn gone_backends_are_forgotten_once_nothing_is_out_there() {
-    let mut door = Door::new(settings(), &["a0"]);
-    let at = door.served(1, "c", "plain", "safe");
+fn gone_backends_are_removed_once_nothing_is_in_flight() {
+    let mut harness = Harness::new(settings(), &["a0"]);
+    let at = harness.send_request(1, "c", "plain", "safe");
     for number in 1..=500 {
         let (old, new) = (format!("a{}", number - 1), format!("a{number}"));
         let changes = vec![backend(&old, BackendState::Gone, None), backend(&new, BackendState::Ready, None)];
-        // By changes and by whole lists alike.
+        // Changes and full lists alternate.
         let whole = vec![backend(&new, BackendState::Ready, None)];
-        door.tell(if number % 2 == 0 { Event::BackendChanges(changes) } else { Event::BackendList(whole) });
-        door.now += 25.0;
-        door.tell(Event::Timer { token: 1 });
+        harness.handle(if number % 2 == 0 {
+            Event::BackendChanges(changes)
+        } else {
+            Event::BackendList(whole)
+        });
+        harness.now += 25.0;
+        harness.handle(Event::Timer { token: 1 });
     }
     assert_eq!(
-        door.gateway.backend_count(),
+        harness.gateway.backend_count(),
         2,
-        "the last one, and the first, from which an end is still to come"
+        "the last one, and the first, which still has an attempt in flight"
     );
-    door.end(1, 0, &at, Outcome::Served);
-    door.tell(Event::Timer { token: 1 });
-    assert_eq!(door.gateway.backend_count(), 1);
+    harness.end_attempt(1, 0, &at, Outcome::Served);
+    harness.handle(Event::Timer { token: 1 });
+    assert_eq!(harness.gateway.backend_count(), 1);
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_its_cell_when_its_first_backend_is_forgotten() {
-    let mut door = Door::new(settings(), &["a1"]);
-    let at = door.served(1, "c", "plain", "keyed");
-    door.tell(Event::BackendList(vec![backend("b1", BackendState::Ready, None)]));
-    assert_eq!(sends(&door.end(1, 0, &at, Outcome::ConnectionLost)), 0);
-    door.now += 25.0;
-    assert_eq!(sends(&door.tell(Event::Timer { token: 1 })), 0, "another cell does not know the key");
-    assert_eq!(door.gateway.backend_count(), 1);
-    let did = door.tell(Event::BackendChanges(vec![backend("a2", BackendState::Ready, None)]));
-    assert_eq!(sent(&did), Some((1, "a2".into())));
+fn a_keyed_retry_stays_in_its_cell_after_its_first_backend_is_removed() {
+    let mut harness = Harness::new(settings(), &["a1"]);
+    let at = harness.send_request(1, "c", "plain", "keyed");
+    harness.handle(Event::BackendList(vec![backend("b1", BackendState::Ready, None)]));
+    assert_eq!(send_count(&harness.end_attempt(1, 0, &at, Outcome::ConnectionLost)), 0);
+    harness.now += 25.0;
+    assert_eq!(
+        send_count(&harness.handle(Event::Timer { token: 1 })),
+        0,
+        "another cell cannot deduplicate the key"
+    );
+    assert_eq!(harness.gateway.backend_count(), 1);
+    let actions = harness.handle(Event::BackendChanges(vec![backend("a2", BackendState::Ready, None)]));
+    assert_eq!(first_send(&actions), Some((1, "a2".into())));
 }
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -1,193 +1,198 @@
-//! The counter silent, slow or emptied; the ceiling through all of it.
+//! A silent, slow or emptied counter, and the ceiling in all of these cases.
 
 mod helper;
 use doorcourse::*;
 use helper::*;
 
-fn silence(door: &mut Door, name: u64) -> Vec<Action> {
-    door.now += 50.0;
-    door.tell(Event::CounterReply { key: name, outcome: CountOutcome::Unknown, latency: 50.0 })
+fn reply_timeout(harness: &mut Harness, key: u64) -> Vec<Action> {
+    harness.now += 50.0;
+    harness.handle(Event::CounterReply { key, outcome: CountOutcome::Unknown, latency: 50.0 })
 }
 
-/// Offers a request every 20 ms while the counter says nothing; gives how many went on.
-fn spent_in_silence(door: &mut Door, plan: &str, span: Millis) -> usize {
-    let (mut gone_on, mut id, end) = (0, 1_000_000, door.now + span);
-    while door.now < end {
+/// Offers a request every 20 ms while the counter does not answer; returns how many were sent.
+fn spent_in_silence(harness: &mut Harness, plan: &str, span: Millis) -> usize {
+    let (mut admitted, mut id, end) = (0, 1_000_000, harness.now + span);
+    while harness.now < end {
         id += 1;
-        let mut did = door.ask(id, "c", plan, "safe");
-        if let Some((name, _)) = count(&did) {
-            did.extend(silence(door, name));
+        let mut actions = harness.request(id, "c", plan, "safe");
+        if let Some((name, _)) = counter_call(&actions) {
+            actions.extend(reply_timeout(harness, name));
         }
-        if let Some((id, at)) = sent(&did) {
-            gone_on += 1;
-            door.end(id, 0, &at, Outcome::Served);
+        if let Some((id, at)) = first_send(&actions) {
+            admitted += 1;
+            harness.end_attempt(id, 0, &at, Outcome::Served);
         }
-        door.now += 20.0;
+        harness.now += 20.0;
     }
-    gone_on
+    admitted
 }
 
-/// Offers a request under a ceiling while the counter answers with `total`, served at once; gives how many went on.
-fn offer(door: &mut Door, id: RequestId, total: &mut f64) -> usize {
-    offer_of(door, id, "c", 2, total)
+/// Offers a request under a ceiling while the counter answers with `total`; returns how many were sent.
+fn offer(harness: &mut Harness, id: RequestId, total: &mut f64) -> usize {
+    offer_via(harness, id, "c", 2, total)
 }
 
-fn offer_of(door: &mut Door, id: RequestId, customer: &str, spread: u32, total: &mut f64) -> usize {
-    let mut gone_on = Vec::new();
-    let mut did = door.ask_of(id, customer, "ceiling", "safe", false, spread);
+fn offer_via(
+    harness: &mut Harness, id: RequestId, customer: &str, gateway_count: u32, total: &mut f64,
+) -> usize {
+    let mut admitted = Vec::new();
+    let mut actions = harness.request_via(id, customer, "ceiling", "safe", false, gateway_count);
     loop {
-        gone_on.extend(did.iter().filter_map(|a| sent(std::slice::from_ref(a))));
-        let Some((name, amount)) = count(&did) else { break };
+        admitted.extend(actions.iter().filter_map(|a| first_send(std::slice::from_ref(a))));
+        let Some((name, amount)) = counter_call(&actions) else { break };
         *total += amount;
-        did = door.total(name, *total);
+        actions = harness.reply_total(name, *total);
     }
-    for (id, at) in &gone_on {
-        door.end(*id, 0, at, Outcome::Served);
+    for (id, at) in &admitted {
+        harness.end_attempt(*id, 0, at, Outcome::Served);
     }
-    gone_on.len()
+    admitted.len()
 }
 
 #[test]
-fn in_silence_a_gateway_spends_its_even_slice_and_no_more() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second, 30 in ten seconds.
-    let gone_on = spent_in_silence(&mut door, "plain", 10_000.0);
-    assert!((26..=30).contains(&gone_on), "{gone_on}");
+fn without_the_counter_a_gateway_spends_at_most_its_even_slice() {
+    let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
+    // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 per second, 30 in ten seconds.
+    let admitted = spent_in_silence(&mut harness, "plain", 10_000.0);
+    assert!((26..=30).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn the_ceiling_holds_through_a_spent_burst_an_emptied_count_a_restart_and_silence() {
-    // The other gateway's view: the whole burst of 10 was just granted. This one comes back with nothing, finds
-    // the count emptied, takes what it is given, and then the counter falls silent.
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    let start = door.now;
-    let (mut gone_on, mut total, mut id) = (0.0, 0.0, 0);
-    while door.now < start + 2000.0 {
+fn the_ceiling_holds_after_a_spent_burst_an_emptied_count_a_restart_and_silence() {
+    // The other gateway was just granted the whole burst of 10. This one restarts without state, finds
+    // the count emptied, uses what it is granted, and then the counter falls silent.
+    let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
+    let start = harness.now;
+    let (mut admitted, mut total, mut id) = (0.0, 0.0, 0);
+    while harness.now < start + 2000.0 {
         id += 1;
-        gone_on += offer(&mut door, id, &mut total) as f64;
-        let ceiling = 16.0 + 8.0 * (door.now - start) / 1000.0 + 1.6;
-        assert!(10.0 + gone_on <= ceiling, "10 + {gone_on} against {ceiling} on the way");
-        door.now += 20.0;
+        admitted += offer(&mut harness, id, &mut total) as f64;
+        let ceiling = 16.0 + 8.0 * (harness.now - start) / 1000.0 + 1.6;
+        assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling} before the silence");
+        harness.now += 20.0;
     }
-    // Two gateways in silence: what each may spend is the same slice.
-    gone_on += 2.0 * spent_in_silence(&mut door, "ceiling", 4000.0) as f64;
+    // During the silence each of the two gateways may spend the same slice.
+    admitted += 2.0 * spent_in_silence(&mut harness, "ceiling", 4000.0) as f64;
     let ceiling = 16.0 + 8.0 * 6.0 + 1.6;
-    assert!(10.0 + gone_on <= ceiling, "10 + {gone_on} against {ceiling}");
+    assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling}");
 }
 
 #[test]
-fn an_emptied_count_is_told_again_what_is_held() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    let (name, amount) = count(&door.ask(1, "c", "plain", "safe")).expect("call");
-    door.total(name, amount);
+fn units_held_are_reported_again_to_an_emptied_count() {
+    let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
+    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    harness.reply_total(name, amount);
     let mut asked = None;
     for id in 2..=12 {
-        asked = count(&door.ask(id, "c", "plain", "safe"));
+        asked = counter_call(&harness.request(id, "c", "plain", "safe"));
         if asked.is_some() {
             break;
         }
     }
-    let (name, added) = asked.expect("a further block");
-    door.total(name, added);
-    let told = count(&door.pass(60.0, &[])).expect("the count hears what it forgot");
-    assert!(told.1 >= amount, "{told:?}");
+    let (name, added) = asked.expect("a further lease");
+    harness.reply_total(name, added);
+    let reported = counter_call(&harness.advance(60.0, &[])).expect("the lost units are reported again");
+    assert!(reported.1 >= amount, "{reported:?}");
 }
 
 #[test]
-fn silence_is_told_once_and_the_counter_is_asked_for_few_requests_only() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
+fn silence_is_logged_once_and_few_requests_call_the_counter() {
+    let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
     let (mut calls, mut lines, mut id) = (0, 0, 0);
-    let end = door.now + 5000.0;
-    while door.now < end {
+    let end = harness.now + 5000.0;
+    while harness.now < end {
         id += 1;
-        let mut did = door.ask(id, &format!("c{id}"), "plain", "safe");
-        if let Some((name, _)) = count(&did) {
+        let mut actions = harness.request(id, &format!("c{id}"), "plain", "safe");
+        if let Some((name, _)) = counter_call(&actions) {
             calls += 1;
-            did.extend(silence(&mut door, name));
+            actions.extend(reply_timeout(&mut harness, name));
         }
-        lines += did.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
-        if let Some((id, at)) = sent(&did) {
-            door.end(id, 0, &at, Outcome::Served);
+        lines += actions.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
+        if let Some((id, at)) = first_send(&actions) {
+            harness.end_attempt(id, 0, &at, Outcome::Served);
         }
-        door.now += 10.0;
+        harness.now += 10.0;
     }
     assert_eq!(lines, 1);
-    assert!(calls >= 3, "who never asks never learns that the counter is back: {calls}");
+    assert!(calls >= 3, "without calls a gateway never learns that the counter is back: {calls}");
     assert!(f64::from(calls) <= 0.15 * id as f64, "{calls} calls for {id} requests");
 }
 
 #[test]
 fn a_late_total_of_an_ended_window_grants_nothing() {
-    let mut door = Door::new(settings(), &["a1"]);
-    let (name, amount) = count(&door.ask(1, "c", "plain", "safe")).expect("call");
-    door.pass(100.0, &[1]);
-    door.now += 5000.0;
-    let did = door.total(name, amount);
-    assert_eq!(sends(&did), 0);
-    assert_eq!(sends(&door.ask(2, "c", "plain", "safe")), 0, "no block in hand");
+    let mut harness = Harness::new(settings(), &["a1"]);
+    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    harness.advance(100.0, &[1]);
+    harness.now += 5000.0;
+    let actions = harness.reply_total(name, amount);
+    assert_eq!(send_count(&actions), 0);
+    assert_eq!(send_count(&harness.request(2, "c", "plain", "safe")), 0, "no lease is left");
 }
 
 #[test]
-fn after_a_silence_an_idle_gateway_does_not_take_a_ceiling_s_store_for_full() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    let at = door.served(1, "c", "ceiling", "safe");
-    door.end(1, 0, &at, Outcome::Served);
-    door.now += 100.0;
+fn after_a_silence_an_idle_gateway_does_not_assume_a_full_balance_under_a_ceiling() {
+    let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
+    let at = harness.send_request(1, "c", "ceiling", "safe");
+    harness.end_attempt(1, 0, &at, Outcome::Served);
+    harness.now += 100.0;
     for id in 2..=3 {
-        let (name, _) = count(&door.ask(id, &format!("other{id}"), "plain", "safe")).expect("call");
-        silence(&mut door, name);
+        let (name, _) =
+            counter_call(&harness.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
+        reply_timeout(&mut harness, name);
     }
     // Three seconds in which the other gateway may spend all; then the counter is back, empty.
-    door.now += 3000.0;
-    let (mut gone_on, mut total, mut id) = (0, 0.0, 100);
+    harness.now += 3000.0;
+    let (mut admitted, mut total, mut id) = (0, 0.0, 100);
     for _ in 0..40 {
         id += 1;
-        gone_on += offer(&mut door, id, &mut total);
+        admitted += offer(&mut harness, id, &mut total);
     }
-    // Its part is what the ceiling bears over two gateways: 1.6 / 2 of the burst of 10.
-    assert!(gone_on <= 8 && total <= 8.0, "only the own slice of the silence: {gone_on} sent, {total} added");
+    // Its part is what the ceiling allows over two gateways: 1.6 / 2 of the burst of 10.
+    assert!(admitted <= 8 && total <= 8.0, "only the gateway's own slice: {admitted} sent, {total} added");
 }
 
 #[test]
-fn a_silent_counter_is_asked_by_time_whether_it_is_back_and_nothing_is_added_for_that() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
+fn a_silent_counter_is_probed_periodically_without_adding_units() {
+    let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
     for id in 1..=2 {
-        let (name, _) = count(&door.ask(id, &format!("c{id}"), "plain", "safe")).expect("call");
-        silence(&mut door, name);
+        let (name, _) = counter_call(&harness.request(id, &format!("c{id}"), "plain", "safe")).expect("call");
+        reply_timeout(&mut harness, name);
     }
-    door.now += 500.0;
+    harness.now += 500.0;
     let mut asked = Vec::new();
-    // No request comes; housekeeping runs on.
+    // No request arrives; housekeeping continues.
     for _ in 0..40 {
-        let did = door.pass(25.0, &[]);
-        if let Some((name, amount)) = count(&did) {
+        let actions = harness.advance(25.0, &[]);
+        if let Some((name, amount)) = counter_call(&actions) {
             asked.push(amount);
-            silence(&mut door, name);
+            reply_timeout(&mut harness, name);
         }
     }
-    assert!((5..=8).contains(&asked.len()), "every 200 ms and a time-out: {asked:?}");
+    assert!((5..=8).contains(&asked.len()), "every 200 ms plus a timeout: {asked:?}");
     assert!(asked.iter().all(|amount| *amount == 0.0), "{asked:?}");
 }
 
 #[test]
-fn right_after_a_silence_what_eight_gateways_may_still_spend_alone_is_not_granted_to_one() {
-    // An even part is 1.25 units and 0.625 a second. Those who still spend alone for 300 ms may use what comes in beyond that,
-    // 1.3 units: for a customer of before nothing is left for now, for one never seen the part.
+fn right_after_a_silence_units_that_other_gateways_may_still_spend_alone_are_not_granted() {
+    // An even part of eight is 1.25 units and 0.625 per second. Gateways that still spend alone for 300 ms
+    // may use the 1.3 units that accrue beyond it: a known customer has nothing left for now, a new one has
+    // the even part.
     for (customer, most) in [("known", 0.0), ("new", 1.0)] {
-        let mut door = Door::new(Settings { gateways: 8, ..settings() }, &["a1", "a2", "a3"]);
+        let mut harness = Harness::new(Settings { gateways: 8, ..settings() }, &["a1", "a2", "a3"]);
         let mut total = 0.0;
-        assert_eq!(offer_of(&mut door, 1, "known", 8, &mut total), 1);
-        door.now += 100.0;
+        assert_eq!(offer_via(&mut harness, 1, "known", 8, &mut total), 1);
+        harness.now += 100.0;
         for id in 2..=3 {
-            let (name, _) = count(&door.ask(id, &format!("other{id}"), "plain", "safe")).expect("call");
-            silence(&mut door, name);
+            let (name, _) =
+                counter_call(&harness.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
+            reply_timeout(&mut harness, name);
         }
-        door.now += 2500.0;
-        let back = count(&door.pass(25.0, &[])).expect("the counter is asked again");
-        door.total(back.0, 0.0);
+        harness.now += 2500.0;
+        let probe = counter_call(&harness.advance(25.0, &[])).expect("the counter is probed");
+        harness.reply_total(probe.0, 0.0);
         total = 0.0;
         for id in 10..20 {
-            offer_of(&mut door, id, customer, 8, &mut total);
+            offer_via(&mut harness, id, customer, 8, &mut total);
         }
         assert!(total <= most, "{customer}: {total} units taken");
     }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -1,9 +1,10 @@
-//! Settings with room to change, and a gateway driven by scripted events.
+//! Base settings for tests, and a gateway driven by scripted events.
 #![allow(dead_code)]
 
 use doorcourse::*;
 
-/// One safe, one keyed and one unsafe class; a small plan, one under a ceiling and one with an open cap.
+/// One safe, one keyed and one unsafe class; a small plan, one under a ceiling and one with a concurrency
+/// cap.
 pub fn settings() -> Settings {
     let class = |name: &str, effect, group| Class {
         name: name.into(),
@@ -51,78 +52,80 @@
     }
 }
 
-/// A list line; backends named `a…` are in cell 0, all others in cell 1.
+/// A list entry; backends named `a…` are in cell 0, all others in cell 1.
 pub fn backend(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
     let cell = u64::from(!name.starts_with('a'));
     BackendEntry { name: name.into(), zone: "z1".into(), cell, state, started }
 }
 
-/// A gateway, its clock and what it did at the last event.
-pub struct Door {
+/// A gateway, its clock and the actions of the last event.
+pub struct Harness {
     pub gateway: Gateway,
     pub now: Millis,
-    pub did: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
-impl Door {
+impl Harness {
     pub fn new(settings: Settings, backends: &[&str]) -> Self {
         Self::seeded(settings, 1, backends)
     }
 
     pub fn seeded(settings: Settings, seed: u64, backends: &[&str]) -> Self {
         let gateway = Gateway::new(settings, seed).expect("usable settings");
-        let mut door = Self { gateway, now: 1000.0, did: Vec::new() };
+        let mut harness = Self { gateway, now: 1000.0, actions: Vec::new() };
         let list = backends.iter().map(|name| backend(name, BackendState::Ready, None)).collect();
-        door.tell(Event::BackendList(list));
-        door
+        harness.handle(Event::BackendList(list));
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        self.did.clear();
-        self.gateway.handle(self.now, event, &mut self.did);
-        self.did.clone()
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        self.actions.clear();
+        self.gateway.handle(self.now, event, &mut self.actions);
+        self.actions.clone()
     }
 
-    /// Lets time pass and runs the housekeeping timer and the hold timers of the requests named.
-    pub fn pass(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
+    /// Advances the clock and fires the housekeeping timer and the wait timers of the given requests.
+    pub fn advance(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
         self.now += span;
-        let mut all = self.tell(Event::Timer { token: 1 });
+        let mut all = self.handle(Event::Timer { token: 1 });
         for id in requests {
-            all.extend(self.tell(Event::Timer { token: id * 2 }));
+            all.extend(self.handle(Event::Timer { token: id * 2 }));
         }
         all
     }
 
-    pub fn ask(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
-        self.ask_of(id, customer, plan, class, false, 2)
+    pub fn request(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
+        self.request_via(id, customer, plan, class, false, 2)
     }
 
-    /// The same for a customer of so many gateways, as a first try or as the client's repeat.
-    pub fn ask_of(
-        &mut self, id: RequestId, customer: &str, plan: &str, class: &str, repeat: bool, spread: u32,
+    /// Sends a request of a customer with `gateway_count` gateways, as a first request or as a client retry.
+    pub fn request_via(
+        &mut self, id: RequestId, customer: &str, plan: &str, class: &str, is_retry: bool, gateway_count: u32,
     ) -> Vec<Action> {
-        self.tell(Event::Request(Arrival {
+        self.handle(Event::Request(Arrival {
             id,
             customer: customer.into(),
             plan: plan.into(),
             class: class.into(),
             units: 1.0,
-            is_retry: repeat,
+            is_retry,
             client_timeout: 2000.0,
             first_gateway: 0,
-            gateway_count: spread,
+            gateway_count,
             constraints: None,
         }))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome) -> Vec<Action> {
-        self.end_after(100.0, id, attempt, backend, outcome)
+    pub fn end_attempt(
+        &mut self, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome,
+    ) -> Vec<Action> {
+        self.end_attempt_after(100.0, id, attempt, backend, outcome)
     }
 
-    pub fn end_after(
+    pub fn end_attempt_after(
         &mut self, latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome,
     ) -> Vec<Action> {
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             backend: backend.clone(),
@@ -135,47 +138,48 @@
     }
 
     /// Answers a counter call with a total.
-    pub fn total(&mut self, name: u64, total: f64) -> Vec<Action> {
-        self.tell(Event::CounterReply { key: name, outcome: CountOutcome::Total(total), latency: 2.0 })
+    pub fn reply_total(&mut self, key: u64, total: f64) -> Vec<Action> {
+        self.handle(Event::CounterReply { key, outcome: CountOutcome::Total(total), latency: 2.0 })
     }
 
-    /// A request that finds the counter answering `others` + what this gateway adds; gives where it was sent.
-    pub fn served(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
-        let mut did = self.ask(id, customer, plan, class);
-        if let Some((name, amount)) = count(&did) {
-            did = self.total(name, amount);
+    /// Sends a request, with the counter granting what this gateway adds; returns the backend that it was
+    /// sent to.
+    pub fn send_request(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
+        let mut actions = self.request(id, customer, plan, class);
+        if let Some((key, amount)) = counter_call(&actions) {
+            actions = self.reply_total(key, amount);
         }
-        sent(&did).expect("sent on").1
+        first_send(&actions).expect("sent on").1
     }
 }
 
-/// The first counter call among actions: its name and amount.
-pub fn count(actions: &[Action]) -> Option<(u64, f64)> {
+/// The first counter call among actions: its key and amount.
+pub fn counter_call(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
-        Action::AddToCounter { key: name, amount, .. } => Some((*name, *amount)),
+        Action::AddToCounter { key, amount, .. } => Some((*key, *amount)),
         _ => None,
     })
 }
 
 /// The first send among actions.
-pub fn sent(actions: &[Action]) -> Option<(RequestId, Name)> {
+pub fn first_send(actions: &[Action]) -> Option<(RequestId, Name)> {
     actions.iter().find_map(|a| match a {
         Action::Send { id, backend, .. } => Some((*id, backend.clone())),
         _ => None,
     })
 }
 
-/// How many requests were sent on.
-pub fn sends(actions: &[Action]) -> usize {
+/// The number of requests sent.
+pub fn send_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
-/// Whether a request got a refusal.
-pub fn refused(actions: &[Action], which: RequestId) -> bool {
+/// Whether a request was refused.
+pub fn is_refused(actions: &[Action], which: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == which))
 }
 
-/// Whether a request got a failure.
-pub fn failed(actions: &[Action], which: RequestId) -> bool {
+/// Whether a request failed.
+pub fn is_failed(actions: &[Action], which: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { id } if *id == which))
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used are an error value.
+//! Invalid settings are reported as error values.
 
 mod helper;
 use doorcourse::*;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn unusable_settings_are_refused() {
+fn invalid_settings_are_rejected() {
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(error(|s| s.gateway_index = 2), Some(SettingsError::IndexOutOfRange));
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Long seeded streams of legal events in odd orders, and the rules that one gateway alone can be held to. There is
-//! no model of servers or fleets here: outcomes and totals are drawn at random.
+//! Long seeded streams of valid events in unusual orders, checked against the rules that a single gateway
+//! must keep. Servers and fleets are not modelled: outcomes and totals are drawn at random.
 
 mod helper;
 use doorcourse::*;
@@ -15,12 +15,12 @@
     }
 }
 
-/// What the test itself knows of a request.
-struct Known {
+/// What the test records of a request.
+struct RequestRecord {
     class: usize,
     deadline: Millis,
     attempts: u32,
-    out: Option<(Name, Millis)>,
+    in_flight: Option<(Name, Millis)>,
     /// The backend and time of the first attempt that may have run.
     may_have_run: Option<(Name, Millis)>,
     answered: bool,
@@ -28,7 +28,7 @@
 
 #[derive(Default)]
 struct Checker {
-    requests: BTreeMap<RequestId, Known>,
+    requests: BTreeMap<RequestId, RequestRecord>,
     calls: Vec<u64>,
     timers: BTreeMap<(u64, u64), u64>,
     draining: BTreeMap<Name, bool>,
@@ -49,15 +49,15 @@
                     self.answer(now, id);
                 }
                 Action::CancelAttempt { id, .. } => {
-                    assert!(self.requests[&id].class != 2, "an unsafe attempt called off");
+                    assert!(self.requests[&id].class != 2, "an unsafe attempt was cancelled");
                 }
                 Action::SetTimer { after, token } => {
                     let order = self.timers.len() as u64;
                     self.timers.insert(((now + after).ceil() as u64, token << 8 | order & 0xff), token);
                 }
-                Action::AddToCounter { key: name, .. } => {
-                    assert!(!self.calls.contains(&name), "two calls out for one name");
-                    self.calls.push(name);
+                Action::AddToCounter { key, .. } => {
+                    assert!(!self.calls.contains(&key), "two calls in flight for one key");
+                    self.calls.push(key);
                     assert!(self.calls.len() <= 64, "calls are bounded");
                 }
                 Action::Probe { .. } | Action::Broadcast { .. } | Action::WatchBackends | Action::Log(_) => {}
@@ -66,32 +66,35 @@
     }
 
     fn sent(&mut self, now: Millis, id: RequestId, backend: Name) {
-        assert!(!self.draining.get(&backend).copied().unwrap_or(true), "sent to {backend} after its drain");
+        assert!(!self.draining.get(&backend).copied().unwrap_or(true), "sent to {backend} while it drains");
         let known = self.requests.get_mut(&id).expect("a known request");
-        assert!(!known.answered && known.out.is_none(), "a second attempt out, or after the answer");
+        assert!(
+            !known.answered && known.in_flight.is_none(),
+            "a second attempt in flight, or one after the answer"
+        );
         if let Some((home, at)) = &known.may_have_run {
-            assert!(known.class != 2, "an unsafe request repeated");
+            assert!(known.class != 2, "an unsafe request was retried");
             let same_cell = home.starts_with('a') == backend.starts_with('a');
             assert!(
                 known.class == 0 || same_cell && now - at < 4000.0,
-                "a keyed repeat outside group or time"
+                "a keyed retry outside its dedup scope or window"
             );
         }
         known.attempts += 1;
-        known.out = Some((backend, now));
+        known.in_flight = Some((backend, now));
     }
 
-    fn answer(&mut self, now: Millis, id: RequestId) -> &Known {
+    fn answer(&mut self, now: Millis, id: RequestId) -> &RequestRecord {
         let known = self.requests.get_mut(&id).expect("a known request");
         assert!(!known.answered, "two answers");
-        assert!(now <= known.deadline + 16.0, "an answer after the client's patience");
+        assert!(now <= known.deadline + 16.0, "an answer after the client gave up");
         known.answered = true;
         self.answers += 1;
         known
     }
 
     fn overdue(&self, now: Millis) -> Option<RequestId> {
-        let late = |k: &Known| !k.answered && k.out.is_none() && now > k.deadline + 16.0;
+        let late = |k: &RequestRecord| !k.answered && k.in_flight.is_none() && now > k.deadline + 16.0;
         self.requests.iter().find(|(_, k)| late(k)).map(|(id, _)| *id)
     }
 }
@@ -113,39 +116,39 @@
     })
 }
 
-fn play(seed: u64) -> usize {
+fn run(seed: u64) -> usize {
     let (mut random, mut checker) = (Random(seed), Checker::default());
     let names = ["a1", "a2", "a3", "b1", "b2", "b3"];
-    let mut door = Door::new(settings(), &names);
+    let mut harness = Harness::new(settings(), &names);
     checker.draining.extend(names.iter().map(|n| (Name::from(*n), false)));
-    let first = std::mem::take(&mut door.did);
-    checker.check(door.now, first);
+    let first = std::mem::take(&mut harness.actions);
+    checker.check(harness.now, first);
     for id in 1..=6000 {
-        door.now += random.below(12) as f64;
+        harness.now += random.below(12) as f64;
         while let Some(((at, order), token)) = checker.timers.first_key_value().map(|(k, t)| (*k, *t)) {
-            if at as f64 > door.now {
+            if at as f64 > harness.now {
                 break;
             }
             checker.timers.remove(&(at, order));
-            let did = door.tell(Event::Timer { token });
-            checker.check(door.now, did);
+            let actions = harness.handle(Event::Timer { token });
+            checker.check(harness.now, actions);
         }
-        for (id, event) in outcomes(&mut random, &mut checker, door.now) {
+        for (id, event) in outcomes(&mut random, &mut checker, harness.now) {
             let finished = matches!(&event, Event::AttemptEnded(end) if end.finished);
             if finished && !checker.requests[&id].answered {
-                checker.answer(door.now, id);
+                checker.answer(harness.now, id);
             }
-            let did = door.tell(event);
-            checker.check(door.now, did);
+            let actions = harness.handle(event);
+            checker.check(harness.now, actions);
         }
         let event = match random.below(40) {
             0..20 => {
                 let (class, patience) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
-                let known = Known {
+                let known = RequestRecord {
                     class,
-                    deadline: door.now + patience,
+                    deadline: harness.now + patience,
                     attempts: 0,
-                    out: None,
+                    in_flight: None,
                     may_have_run: None,
                     answered: false,
                 };
@@ -154,13 +157,13 @@
             }
             20..34 if !checker.calls.is_empty() => {
                 let at = random.below(checker.calls.len() as u64) as usize;
-                let name = checker.calls.remove(at);
+                let key = checker.calls.remove(at);
                 let outcome = match random.below(6) {
                     0 => CountOutcome::Unknown,
                     1 => CountOutcome::NotAdded,
                     _ => CountOutcome::Total(random.below(25) as f64),
                 };
-                Event::CounterReply { key: name, outcome, latency: 5.0 }
+                Event::CounterReply { key, outcome, latency: 5.0 }
             }
             34 | 35 => {
                 let name: Name = names[random.below(6) as usize].into();
@@ -178,18 +181,18 @@
             }
             _ => Event::ClientDisconnected { id: 900_000_000 },
         };
-        let did = door.tell(event);
-        checker.check(door.now, did);
-        assert_eq!(checker.overdue(door.now), None, "a request without its answer");
+        let actions = harness.handle(event);
+        checker.check(harness.now, actions);
+        assert_eq!(checker.overdue(harness.now), None, "a request without an answer");
     }
     checker.answers
 }
 
-/// Ends some of the attempts that are out: at random, and all whose client's time is up.
+/// Ends some of the attempts in flight: some at random, and all whose client has given up.
 fn outcomes(random: &mut Random, checker: &mut Checker, now: Millis) -> Vec<(RequestId, Event)> {
     let mut events = Vec::new();
     for (id, known) in &mut checker.requests {
-        let Some((backend, sent_at)) = known.out.clone() else { continue };
+        let Some((backend, sent_at)) = known.in_flight.clone() else { continue };
         let overdue = now >= known.deadline;
         if !overdue && random.below(12) != 0 {
             continue;
@@ -206,7 +209,7 @@
             ];
             all[random.below(5) as usize]
         };
-        known.out = None;
+        known.in_flight = None;
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
         if !never_ran && known.may_have_run.is_none() {
             known.may_have_run = Some((backend.clone(), sent_at));
@@ -229,9 +232,9 @@
 }
 
 #[test]
-fn rules_hold_through_long_streams_of_odd_events() {
+fn rules_hold_in_long_streams_of_unusual_events() {
     for seed in 1..=6 {
-        let answers = play(seed);
+        let answers = run(seed);
         assert!(answers > 1000, "the stream must reach the answers it checks: {answers}");
     }
 }
