--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -1,5 +1,5 @@
-//! A host's loop around one gateway: events in, actions out, timers, a counter, a backend, a restart.
-//! Time is a plain number here; a real host uses a clock that agrees with those of the other gateways.
+//! The event loop of a host with one gateway: events in, actions out, timers, a counter, a backend, a restart.
+//! Time is simulated here; a real host uses a clock that agrees with those of the other gateways.
 
 use doorcourse::{
     Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, CountOutcome, DedupScope, Event, Gateway,
@@ -7,8 +7,8 @@
 };
 use std::collections::BTreeMap;
 
-/// What is to happen, by time (whole ms) and order.
-type Agenda = BTreeMap<(u64, u64), Event>;
+/// Scheduled events, by time (whole ms) and order.
+type Schedule = BTreeMap<(u64, u64), Event>;
 
 fn settings() -> Settings {
     let class = Class {
@@ -50,10 +50,10 @@
 
 fn main() -> Result<(), doorcourse::SettingsError> {
     let mut gateway = Gateway::new(settings(), 42)?;
-    let (mut agenda, mut order) = (Agenda::new(), 0);
-    let mut plan = |agenda: &mut Agenda, at: Millis, event: Event| {
+    let (mut schedule, mut order) = (Schedule::new(), 0);
+    let mut push = |schedule: &mut Schedule, at: Millis, event: Event| {
         order += 1;
-        agenda.insert((at.ceil() as u64, order), event);
+        schedule.insert((at.ceil() as u64, order), event);
     };
     let backend = BackendEntry {
         name: "b1".into(),
@@ -62,13 +62,13 @@
         state: BackendState::Ready,
         started: None,
     };
-    plan(&mut agenda, 0.0, Event::BackendList(vec![backend.clone()]));
+    push(&mut schedule, 0.0, Event::BackendList(vec![backend.clone()]));
     for id in 1..=8 {
-        let (customer, name, class) = ("customer".into(), "basic".into(), "read".into());
+        let (customer, plan, class) = ("customer".into(), "basic".into(), "read".into());
         let arrival = Arrival {
             id,
             customer,
-            plan: name,
+            plan,
             class,
             units: 1.0,
             is_retry: false,
@@ -77,32 +77,32 @@
             gateway_count: 1,
             constraints: None,
         };
-        plan(&mut agenda, id as Millis * 10.0, Event::Request(arrival));
+        push(&mut schedule, id as Millis * 10.0, Event::Request(arrival));
     }
     let (mut counts, mut attempts) = (BTreeMap::<u64, f64>::new(), BTreeMap::<u64, u32>::new());
     let mut restarted = false;
-    while let Some(((at, _), event)) = agenda.pop_first() {
+    while let Some(((at, _), event)) = schedule.pop_first() {
         let now = at as Millis;
         if now > 500.0 {
             break;
         }
         if now > 60.0 && !restarted {
-            // A restart: a new gateway with a fresh seed and the last list; its requests are the clients' to retry.
+            // A restart: a new gateway with a fresh seed and the latest list; clients retry its open requests.
             restarted = true;
             gateway = Gateway::new(settings(), 43)?;
-            agenda.retain(|_, event| matches!(event, Event::Request(_)));
-            plan(&mut agenda, now, Event::BackendList(vec![backend.clone()]));
+            schedule.retain(|_, event| matches!(event, Event::Request(_)));
+            push(&mut schedule, now, Event::BackendList(vec![backend.clone()]));
         }
         let mut actions = Vec::new();
         gateway.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer { after, token } => plan(&mut agenda, now + after, Event::Timer { token }),
-                Action::AddToCounter { key: name, amount, .. } => {
-                    let total = counts.entry(name).or_default();
+                Action::SetTimer { after, token } => push(&mut schedule, now + after, Event::Timer { token }),
+                Action::AddToCounter { key, amount, .. } => {
+                    let total = counts.entry(key).or_default();
                     *total += amount;
                     let outcome = CountOutcome::Total(*total);
-                    plan(&mut agenda, now + 2.0, Event::CounterReply { key: name, outcome, latency: 2.0 });
+                    push(&mut schedule, now + 2.0, Event::CounterReply { key, outcome, latency: 2.0 });
                 }
                 Action::Send { id, backend, .. } => {
                     println!("{now:>5} ms  {id} sent to {backend}");
@@ -118,10 +118,10 @@
                         finished,
                         load: None,
                     };
-                    plan(&mut agenda, now + latency, Event::AttemptEnded(end));
+                    push(&mut schedule, now + latency, Event::AttemptEnded(end));
                 }
                 Action::Refuse { id, retry_after } => {
-                    println!("{now:>5} ms  {id} refused, come back in {retry_after:.0} ms");
+                    println!("{now:>5} ms  {id} refused, retry after {retry_after:.0} ms");
                 }
                 Action::Fail { id } => println!("{now:>5} ms  {id} failed"),
                 Action::Log(line) => println!("{now:>5} ms  log: {line}"),
--- a/simhost/tests/wire.rs
+++ b/simhost/tests/wire.rs
@@ -50,8 +50,18 @@
 #[test]
 fn a_stop_and_a_start_in_one_batch_keep_no_state_of_the_old_gateway() {
     let start = start(3);
-    let script =
-        ["BATCH\t1", &start, LIST[0], LIST[1], ANNOUNCE, ORDER, "EXIT\t3", &start, "GONE\t3\t55", "YOUR_TURN"];
+    let script = [
+        "BATCH\t1",
+        &start,
+        LIST[0],
+        LIST[1],
+        ANNOUNCE,
+        ORDER,
+        "EXIT\t3",
+        &start,
+        "GONE\t3\t55",
+        "YOUR_TURN",
+    ];
     assert_eq!(run(&script).expect("a reply").last().map(String::as_str), Some("READY"));
 }
 
--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -449,12 +449,9 @@
                     customer.share.note(now, requested + owed, total, span);
                     // The counter has just come back: its total may lack what others spent.
                     let recent = now - health.back_at < Customer::refill_time(plan) * IDLE_REFILLS;
-                    let capped = plan.ceiling_rate > 0.0 && health.back_at > 0.0 && recent;
-                    let most = if capped {
-                        customer.new_slice(0.0, now, &silence, plan).most
-                    } else {
-                        f64::INFINITY
-                    };
+                    let reset = plan.ceiling_rate > 0.0 && health.back_at > 0.0 && recent;
+                    let most =
+                        if reset { customer.new_slice(0.0, now, &silence, plan).most } else { f64::INFINITY };
                     customer.balance = Customer::initial_balance(plan).min(most) - total;
                     customer.has_total = true;
                 }
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -27,7 +27,8 @@
     admitted
 }
 
-/// Offers a request under a ceiling while the counter answers with `total`; returns how many were sent.
+/// Offers a request under a ceiling while the counter answers with `total` and backends serve at once; returns
+/// how many were sent.
 fn offer(harness: &mut Harness, id: RequestId, total: &mut f64) -> usize {
     offer_via(harness, id, "c", 2, total)
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -122,9 +122,9 @@
     let mut admitted = 0;
     for id in 1..=40 {
         let mut actions = request(&mut harnesses[1], id, "c", false);
-        if let Some((name, _)) = counter_call(&actions) {
+        if let Some((key, _)) = counter_call(&actions) {
             let (outcome, latency) = (CountOutcome::NotAdded, 1.0);
-            actions.extend(harnesses[1].handle(Event::CounterReply { key: name, outcome, latency }));
+            actions.extend(harnesses[1].handle(Event::CounterReply { key, outcome, latency }));
         }
         admitted += send_count(&actions);
     }
@@ -185,9 +185,9 @@
             id += 1;
             harness.now += 60.0;
             let mut actions = request(harness, id, &format!("c{id}"), false);
-            if let Some((name, _)) = counter_call(&actions) {
+            if let Some((key, _)) = counter_call(&actions) {
                 actions.extend(harness.handle(Event::CounterReply {
-                    key: name,
+                    key,
                     outcome: CountOutcome::NotAdded,
                     latency: 1.0,
                 }));
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -99,7 +99,7 @@
     }
 }
 
-fn arrival(random: &mut Random, id: RequestId, patience: Millis, class: usize) -> Event {
+fn arrival(random: &mut Random, id: RequestId, client_timeout: Millis, class: usize) -> Event {
     let plan = ["plain", "ceiling", "capped"][random.below(3) as usize];
     let customer = if random.below(5) == 0 { 1000 + id } else { random.below(12) };
     Event::Request(Arrival {
@@ -109,7 +109,7 @@
         class: ["safe", "keyed", "unsafe"][class].into(),
         units: 1.0,
         is_retry: random.below(4) == 0,
-        client_timeout: patience,
+        client_timeout,
         first_gateway: random.below(2) as u32,
         gateway_count: random.below(3) as u32,
         constraints: None,
@@ -143,17 +143,17 @@
         }
         let event = match random.below(40) {
             0..20 => {
-                let (class, patience) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
+                let (class, client_timeout) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
                 let known = RequestRecord {
                     class,
-                    deadline: harness.now + patience,
+                    deadline: harness.now + client_timeout,
                     attempts: 0,
                     in_flight: None,
                     may_have_run: None,
                     answered: false,
                 };
                 checker.requests.insert(id, known);
-                arrival(&mut random, id, patience, class)
+                arrival(&mut random, id, client_timeout, class)
             }
             20..34 if !checker.calls.is_empty() => {
                 let at = random.below(checker.calls.len() as u64) as usize;
