--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -22,8 +22,8 @@
 #[test]
 fn a_cold_backend_gets_less_than_its_current_share_of_a_warm_one() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    let born = Some(harness.now);
-    harness.handle(Event::BackendChanges(vec![backend("a3", BackendState::Ready, born)]));
+    let started = Some(harness.now);
+    harness.handle(Event::BackendChanges(vec![backend("a3", BackendState::Ready, started)]));
     let mut to_cold = 0;
     for id in 1..=100 {
         let at = harness.send_request(id, &format!("c{id}"), "plain", "safe");
@@ -83,9 +83,9 @@
         }
     }
     let actions = harness.request(50, "c50", "plain", "unsafe");
-    let (name, amount) = counter_call(&actions).expect("a call");
+    let (key, amount) = counter_call(&actions).expect("a call");
     assert_eq!(
-        send_count(&harness.reply_total(name, amount)),
+        send_count(&harness.reply_total(key, amount)),
         0,
         "the third in a row counts as a failure of the backend"
     );
@@ -97,8 +97,8 @@
     let (mut sent, mut refused) = (0, 0);
     for id in 1..=40 {
         let mut actions = harness.request(id, &format!("c{id}"), "plain", "safe");
-        let (name, amount) = counter_call(&actions).expect("call");
-        actions.extend(harness.reply_total(name, amount));
+        let (key, amount) = counter_call(&actions).expect("call");
+        actions.extend(harness.reply_total(key, amount));
         sent += send_count(&actions);
         refused += usize::from(is_refused(&actions, id));
     }
--- a/tests/counter_calls.rs
+++ b/tests/counter_calls.rs
@@ -109,8 +109,8 @@
     let mut harness = Harness::new(settings(), &["a1"]);
     for n in 0..2000 {
         let actions = harness.request(n + 1, &format!("once{n:04}"), "plain", "safe");
-        for (name, amount) in counts(&actions) {
-            harness.reply_total(name, amount);
+        for (key, amount) in counts(&actions) {
+            harness.reply_total(key, amount);
         }
         harness.handle(Event::ClientDisconnected { id: n + 1 });
         harness.end_attempt(n + 1, 0, &"a1".into(), Outcome::Cancelled);
@@ -119,8 +119,8 @@
     let mut rounds = 0;
     while harness.gateway.customer_count() > 0 {
         let before = harness.gateway.customer_count();
-        for (name, amount) in counts(&harness.advance(25.0, &[])) {
-            harness.reply_total(name, amount);
+        for (key, amount) in counts(&harness.advance(25.0, &[])) {
+            harness.reply_total(key, amount);
         }
         assert!(before - harness.gateway.customer_count() <= 256, "no round visits all");
         rounds += 1;
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -15,8 +15,8 @@
     while harness.now < end {
         id += 1;
         let mut actions = harness.request(id, "c", plan, "safe");
-        if let Some((name, _)) = counter_call(&actions) {
-            actions.extend(reply_timeout(harness, name));
+        if let Some((key, _)) = counter_call(&actions) {
+            actions.extend(reply_timeout(harness, key));
         }
         if let Some((id, at)) = first_send(&actions) {
             admitted += 1;
@@ -40,9 +40,9 @@
     let mut actions = harness.request_via(id, customer, "ceiling", "safe", false, gateway_count);
     loop {
         admitted.extend(actions.iter().filter_map(|a| first_send(std::slice::from_ref(a))));
-        let Some((name, amount)) = counter_call(&actions) else { break };
+        let Some((key, amount)) = counter_call(&actions) else { break };
         *total += amount;
-        actions = harness.reply_total(name, *total);
+        actions = harness.reply_total(key, *total);
     }
     for (id, at) in &admitted {
         harness.end_attempt(*id, 0, at, Outcome::Served);
@@ -81,17 +81,17 @@
 #[test]
 fn units_held_are_reported_again_to_an_emptied_count() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
-    harness.reply_total(name, amount);
-    let mut asked = None;
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    harness.reply_total(key, amount);
+    let mut call = None;
     for id in 2..=12 {
-        asked = counter_call(&harness.request(id, "c", "plain", "safe"));
-        if asked.is_some() {
+        call = counter_call(&harness.request(id, "c", "plain", "safe"));
+        if call.is_some() {
             break;
         }
     }
-    let (name, added) = asked.expect("a further lease");
-    harness.reply_total(name, added);
+    let (key, added) = call.expect("a further lease");
+    harness.reply_total(key, added);
     let reported = counter_call(&harness.advance(60.0, &[])).expect("the lost units are reported again");
     assert!(reported.1 >= amount, "{reported:?}");
 }
@@ -104,9 +104,9 @@
     while harness.now < end {
         id += 1;
         let mut actions = harness.request(id, &format!("c{id}"), "plain", "safe");
-        if let Some((name, _)) = counter_call(&actions) {
+        if let Some((key, _)) = counter_call(&actions) {
             calls += 1;
-            actions.extend(reply_timeout(&mut harness, name));
+            actions.extend(reply_timeout(&mut harness, key));
         }
         lines += actions.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
         if let Some((id, at)) = first_send(&actions) {
@@ -122,10 +122,10 @@
 #[test]
 fn a_late_total_of_an_ended_window_grants_nothing() {
     let mut harness = Harness::new(settings(), &["a1"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
     harness.advance(100.0, &[1]);
     harness.now += 5000.0;
-    let actions = harness.reply_total(name, amount);
+    let actions = harness.reply_total(key, amount);
     assert_eq!(send_count(&actions), 0);
     assert_eq!(send_count(&harness.request(2, "c", "plain", "safe")), 0, "no lease is left");
 }
@@ -137,9 +137,9 @@
     harness.end_attempt(1, 0, &at, Outcome::Served);
     harness.now += 100.0;
     for id in 2..=3 {
-        let (name, _) =
+        let (key, _) =
             counter_call(&harness.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
-        reply_timeout(&mut harness, name);
+        reply_timeout(&mut harness, key);
     }
     // Three seconds in which the other gateway may spend all; then the counter is back, empty.
     harness.now += 3000.0;
@@ -156,21 +156,21 @@
 fn a_silent_counter_is_probed_periodically_without_adding_units() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
     for id in 1..=2 {
-        let (name, _) = counter_call(&harness.request(id, &format!("c{id}"), "plain", "safe")).expect("call");
-        reply_timeout(&mut harness, name);
+        let (key, _) = counter_call(&harness.request(id, &format!("c{id}"), "plain", "safe")).expect("call");
+        reply_timeout(&mut harness, key);
     }
     harness.now += 500.0;
-    let mut asked = Vec::new();
+    let mut probes = Vec::new();
     // No request arrives; housekeeping continues.
     for _ in 0..40 {
         let actions = harness.advance(25.0, &[]);
-        if let Some((name, amount)) = counter_call(&actions) {
-            asked.push(amount);
-            reply_timeout(&mut harness, name);
+        if let Some((key, amount)) = counter_call(&actions) {
+            probes.push(amount);
+            reply_timeout(&mut harness, key);
         }
     }
-    assert!((5..=8).contains(&asked.len()), "every 200 ms plus a timeout: {asked:?}");
-    assert!(asked.iter().all(|amount| *amount == 0.0), "{asked:?}");
+    assert!((5..=8).contains(&probes.len()), "every 200 ms plus a timeout: {probes:?}");
+    assert!(probes.iter().all(|amount| *amount == 0.0), "{probes:?}");
 }
 
 #[test]
@@ -184,9 +184,9 @@
         assert_eq!(offer_via(&mut harness, 1, "known", 8, &mut total), 1);
         harness.now += 100.0;
         for id in 2..=3 {
-            let (name, _) =
+            let (key, _) =
                 counter_call(&harness.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
-            reply_timeout(&mut harness, name);
+            reply_timeout(&mut harness, key);
         }
         harness.now += 2500.0;
         let probe = counter_call(&harness.advance(25.0, &[])).expect("the counter is probed");
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -6,20 +6,20 @@
 /// One safe, one keyed and one unsafe class; a small plan, one under a ceiling and one with a concurrency
 /// cap.
 pub fn settings() -> Settings {
-    let class = |name: &str, effect, group| Class {
+    let class = |name: &str, retry_safety, dedup_scope| Class {
         name: name.into(),
         target_latency: 800.0,
-        retry_safety: effect,
-        dedup_scope: group,
+        retry_safety,
+        dedup_scope,
         dedup_window: 4000.0,
         value: 1.0,
         late_value_share: 0.0,
     };
-    let plan = |name: &str, open, ceiling: f64| Plan {
+    let plan = |name: &str, max_concurrent, ceiling: f64| Plan {
         name: name.into(),
         rate: 5.0,
         burst: 10.0,
-        max_concurrent: open,
+        max_concurrent,
         ceiling_rate: 5.0 * ceiling,
         ceiling_burst: 10.0 * ceiling,
         ceiling_slack: ceiling,
@@ -71,7 +71,7 @@
     }
 
     pub fn seeded(settings: Settings, seed: u64, backends: &[&str]) -> Self {
-        let gateway = Gateway::new(settings, seed).expect("usable settings");
+        let gateway = Gateway::new(settings, seed).expect("valid settings");
         let mut harness = Self { gateway, now: 1000.0, actions: Vec::new() };
         let list = backends.iter().map(|name| backend(name, BackendState::Ready, None)).collect();
         harness.handle(Event::BackendList(list));
@@ -149,7 +149,7 @@
         if let Some((key, amount)) = counter_call(&actions) {
             actions = self.reply_total(key, amount);
         }
-        first_send(&actions).expect("sent on").1
+        first_send(&actions).expect("a send").1
     }
 }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -11,13 +11,13 @@
 fn fleet(gateways: u32, backends: &[String], cold: bool, peer_messages: bool) -> Vec<Harness> {
     let names: Vec<&str> = backends.iter().map(String::as_str).collect();
     (0..gateways)
-        .map(|number| {
-            let settings = Settings { gateways, gateway_index: number, peer_messages, ..settings() };
-            let mut harness = Harness::seeded(settings, 1000 + u64::from(number), &names);
+        .map(|index| {
+            let settings = Settings { gateways, gateway_index: index, peer_messages, ..settings() };
+            let mut harness = Harness::seeded(settings, 1000 + u64::from(index), &names);
             if cold {
-                let born = Some(harness.now);
+                let started = Some(harness.now);
                 let last = backends.last().expect("a backend");
-                harness.handle(Event::BackendChanges(vec![backend(last, BackendState::Ready, born)]));
+                harness.handle(Event::BackendChanges(vec![backend(last, BackendState::Ready, started)]));
             }
             harness
         })
@@ -43,10 +43,10 @@
     for (id, harness) in (1..).zip(&mut harnesses) {
         harness.now = start + 3.0 * id as f64;
         let mut actions = request(harness, id, "c", false);
-        if let Some((name, amount)) = counter_call(&actions) {
-            let total = totals.entry(name).or_default();
+        if let Some((key, amount)) = counter_call(&actions) {
+            let total = totals.entry(key).or_default();
             *total += amount;
-            actions.extend(harness.reply_total(name, *total));
+            actions.extend(harness.reply_total(key, *total));
         }
         admitted += send_count(&actions);
     }
@@ -97,8 +97,8 @@
     let mut admitted = 0;
     for harness in &mut harnesses {
         let mut actions = request(harness, 1, "c", false);
-        if let Some((name, _)) = counter_call(&actions) {
-            actions.extend(harness.reply_total(name, 1.0));
+        if let Some((key, _)) = counter_call(&actions) {
+            actions.extend(harness.reply_total(key, 1.0));
         }
         admitted += send_count(&actions);
     }
@@ -108,8 +108,8 @@
 #[test]
 fn gateways_with_peer_messages_broadcast_and_apply_that_a_customer_is_over_its_quota() {
     let mut harnesses = fleet(GATEWAYS, &names(5), false, true);
-    let (name, amount) = counter_call(&request(&mut harnesses[0], 1, "c", false)).expect("a call");
-    let actions = harnesses[0].reply_total(name, 1000.0 + amount);
+    let (key, amount) = counter_call(&request(&mut harnesses[0], 1, "c", false)).expect("a call");
+    let actions = harnesses[0].reply_total(key, 1000.0 + amount);
     let message = actions
         .iter()
         .find_map(|a| if let Action::Broadcast { bytes } = a { Some(bytes.clone()) } else { None });
@@ -138,8 +138,8 @@
     for id in 1..=60 {
         // After fast answers the counter has capacity for calls for retries.
         let actions = request(&mut harnesses[0], id, &format!("c{id}"), id > 30);
-        if let Some((name, amount)) = counter_call(&actions) {
-            harnesses[0].reply_total(name, 1.0);
+        if let Some((key, amount)) = counter_call(&actions) {
+            harnesses[0].reply_total(key, 1.0);
             seen.push((id > 30, amount));
         }
     }
@@ -151,13 +151,13 @@
 fn late_answers_shed_fresh_requests_and_the_fleet_recovers() {
     let mut harnesses = fleet(GATEWAYS, &names(5), false, false);
     let mut id = 0;
-    let mut round = |harness: &mut Harness, latency: Millis, tries: u64| {
+    let mut round = |harness: &mut Harness, latency: Millis, requests: u64| {
         let mut admitted = 0;
-        for _ in 0..tries {
+        for _ in 0..requests {
             id += 1;
             let mut actions = request(harness, id, &format!("c{id}"), false);
-            if let Some((name, amount)) = counter_call(&actions) {
-                actions.extend(harness.reply_total(name, amount));
+            if let Some((key, amount)) = counter_call(&actions) {
+                actions.extend(harness.reply_total(key, amount));
             }
             for (id, backend) in actions.iter().filter_map(|a| first_send(std::slice::from_ref(a))) {
                 admitted += 1;
@@ -179,9 +179,9 @@
     let (harness, mut id) = (&mut harnesses[0], 0);
     // No probability was ever learned: an unknown one counts as learned at time zero of the clock.
     harness.now += 60_000.0;
-    let mut offer = |harness: &mut Harness, latency: Millis, tries: u64| {
+    let mut offer = |harness: &mut Harness, latency: Millis, requests: u64| {
         let mut admitted = 0;
-        for _ in 0..tries {
+        for _ in 0..requests {
             id += 1;
             harness.now += 60.0;
             let mut actions = request(harness, id, &format!("c{id}"), false);
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -8,10 +8,10 @@
 fn the_first_lease_is_burst_over_gateways_and_is_spent_locally() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
     let actions = harness.request(1, "c", "plain", "safe");
-    let (name, amount) = counter_call(&actions).expect("a lease is requested");
+    let (key, amount) = counter_call(&actions).expect("a lease is requested");
     assert_eq!(amount, 5.0);
     assert_eq!(send_count(&actions), 0, "waits for its lease");
-    assert_eq!(send_count(&harness.reply_total(name, 5.0)), 1);
+    assert_eq!(send_count(&harness.reply_total(key, 5.0)), 1);
     for id in 2..=5 {
         let actions = harness.request(id, "c", "plain", "safe");
         assert_eq!(send_count(&actions), 1, "request {id} is paid from the lease");
@@ -21,9 +21,9 @@
 #[test]
 fn beyond_the_quota_a_request_is_refused_with_retry_after_and_the_rest_is_returned() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
     // Others hold the whole burst and more than the window has refilled by now.
-    let actions = harness.reply_total(name, amount + 40.0);
+    let actions = harness.reply_total(key, amount + 40.0);
     let advice = actions.iter().find_map(|a| match a {
         Action::Refuse { id: 1, retry_after } => Some(*retry_after),
         _ => None,
@@ -49,20 +49,20 @@
 #[test]
 fn a_lease_is_not_spent_past_its_window() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
-    harness.reply_total(name, amount);
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    harness.reply_total(key, amount);
     harness.now += 4_001.0;
     let actions = harness.request(2, "c", "plain", "safe");
     assert_eq!(send_count(&actions), 0, "the old lease has expired");
-    assert!(counter_call(&actions).is_some_and(|(next, _)| next != name));
+    assert!(counter_call(&actions).is_some_and(|(next, _)| next != key));
 }
 
 #[test]
 fn an_unsent_request_returns_its_units() {
     let mut harness = Harness::new(settings(), &["a1"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
     harness.handle(Event::BackendList(Vec::new()));
-    let actions = harness.reply_total(name, amount);
+    let actions = harness.reply_total(key, amount);
     assert_eq!(send_count(&actions), 0);
     harness.advance(300.0, &[1]);
     harness.handle(Event::BackendList(vec![backend("a1", BackendState::Ready, None)]));
@@ -84,8 +84,8 @@
         (Outcome::Cancelled, 4.0),
     ] {
         let mut harness = Harness::new(settings(), &["a1"]);
-        let (name, amount) = counter_call(&harness.request(1, "c", "plain", "unsafe")).expect("call");
-        assert_eq!(send_count(&harness.reply_total(name, amount)), 1);
+        let (key, amount) = counter_call(&harness.request(1, "c", "plain", "unsafe")).expect("call");
+        assert_eq!(send_count(&harness.reply_total(key, amount)), 1);
         assert_eq!(harness.gateway.leased_and_owed(), (4.0, 0.0), "one unit of five is spent");
         harness.handle(Event::BackendList(Vec::new()));
         let actions = harness.end_attempt(1, 0, &"a1".into(), outcome);
@@ -103,8 +103,8 @@
         (Outcome::Served, 4.0),
     ] {
         let mut harness = Harness::new(settings(), &["a1", "a2"]);
-        let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
-        let (_, backend) = first_send(&harness.reply_total(name, amount)).expect("sent on");
+        let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+        let (_, backend) = first_send(&harness.reply_total(key, amount)).expect("a send");
         harness.handle(Event::ClientDisconnected { id: 1 });
         assert_eq!(
             (harness.gateway.leased_and_owed(), harness.gateway.in_flight()),
@@ -171,26 +171,26 @@
 #[test]
 fn on_shutdown_leases_are_returned_and_no_new_ones_are_taken() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
-    harness.reply_total(name, amount);
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    harness.reply_total(key, amount);
     harness.handle(Event::ShuttingDown);
     harness.now += 25.0;
     let actions = harness.handle(Event::Timer { token: 1 });
-    assert_eq!(counter_call(&actions), Some((name, 1.0 - amount)), "all but the spent unit");
-    harness.reply_total(name, 1.0);
+    assert_eq!(counter_call(&actions), Some((key, 1.0 - amount)), "all but the spent unit");
+    harness.reply_total(key, 1.0);
     assert_eq!(counter_call(&harness.handle(Event::Timer { token: 1 })), None);
     // A late request takes only what it needs.
-    assert_eq!(counter_call(&harness.request(2, "c", "plain", "safe")), Some((name, 1.0)));
+    assert_eq!(counter_call(&harness.request(2, "c", "plain", "safe")), Some((key, 1.0)));
 }
 
 #[test]
 fn units_that_the_slice_admitted_during_a_call_are_paid_from_its_lease() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3", "a4"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
     // The call is late: its request is admitted from the slice after its maximum wait.
     harness.now += 100.0;
     assert_eq!(send_count(&harness.handle(Event::Timer { token: 2 })), 1);
-    let actions = harness.reply_total(name, amount);
+    let actions = harness.reply_total(key, amount);
     assert_eq!(counter_call(&actions), None, "nothing more to report");
     let sent: usize = (2..=6).map(|id| send_count(&harness.request(id, "c", "plain", "safe"))).sum();
     assert_eq!(sent, 4, "the lease of five has paid for the first");
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -24,7 +24,7 @@
         let actions = harness.advance(900.0, &[1]);
         assert!(
             !actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })),
-            "the timer of the wait expires after the wait has ended"
+            "the wait timer does not cancel an attempt once the wait has ended"
         );
         let actions = harness.end_attempt(1, 0, &at, outcome);
         assert!(is_failed(&actions, 1) && send_count(&actions) == 0, "{outcome:?}: {actions:?}");
@@ -35,9 +35,9 @@
 fn a_keyed_request_that_may_have_run_stays_in_its_dedup_scope_and_window() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "b1", "b2", "b3"]);
     let at = harness.send_request(1, "c", "plain", "keyed");
-    let mates = if at.starts_with('a') { 'a' } else { 'b' };
+    let cell = if at.starts_with('a') { 'a' } else { 'b' };
     let (_, next) = first_send(&harness.end_attempt(1, 0, &at, Outcome::ConnectionLost)).expect("sent again");
-    assert!(next.starts_with(mates));
+    assert!(next.starts_with(cell));
     harness.now += 4000.0;
     let actions = harness.end_attempt(1, 1, &next, Outcome::ConnectionLost);
     assert!(send_count(&actions) == 0 && is_failed(&actions, 1), "no longer deduplicated: {actions:?}");
@@ -100,8 +100,8 @@
 #[test]
 fn without_a_backend_a_request_waits_and_is_refused_once() {
     let mut harness = Harness::new(settings(), &[]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "unsafe")).expect("call");
-    let actions = harness.reply_total(name, amount);
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "unsafe")).expect("call");
+    let actions = harness.reply_total(key, amount);
     assert!(!is_refused(&actions, 1));
     assert!(is_refused(&harness.advance(300.0, &[1]), 1));
     assert!(!is_refused(&harness.advance(300.0, &[1]), 1));
@@ -110,9 +110,9 @@
 #[test]
 fn a_disconnected_client_gets_no_answer() {
     let mut harness = Harness::new(settings(), &["a1"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    let (key, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
     harness.handle(Event::ClientDisconnected { id: 1 });
-    let actions = harness.reply_total(name, amount);
+    let actions = harness.reply_total(key, amount);
     assert!(send_count(&actions) == 0 && !is_refused(&actions, 1) && !is_failed(&actions, 1));
     let at = harness.send_request(2, "c", "plain", "safe");
     harness.handle(Event::ClientDisconnected { id: 2 });
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -41,9 +41,9 @@
             match action {
                 Action::Send { id, backend, .. } => self.sent(now, id, backend),
                 Action::Refuse { id, .. } => {
-                    let known = self.answer(now, id);
-                    let keyed_alone = known.class == 1 || known.class == 2;
-                    assert!(known.may_have_run.is_none() || !keyed_alone, "refused though it may have run");
+                    let record = self.answer(now, id);
+                    let not_safe = record.class == 1 || record.class == 2;
+                    assert!(record.may_have_run.is_none() || !not_safe, "refused though it may have run");
                 }
                 Action::Fail { id } => {
                     self.answer(now, id);
@@ -67,30 +67,30 @@
 
     fn sent(&mut self, now: Millis, id: RequestId, backend: Name) {
         assert!(!self.draining.get(&backend).copied().unwrap_or(true), "sent to {backend} while it drains");
-        let known = self.requests.get_mut(&id).expect("a known request");
+        let record = self.requests.get_mut(&id).expect("a known request");
         assert!(
-            !known.answered && known.in_flight.is_none(),
+            !record.answered && record.in_flight.is_none(),
             "a second attempt in flight, or one after the answer"
         );
-        if let Some((home, at)) = &known.may_have_run {
-            assert!(known.class != 2, "an unsafe request was retried");
-            let same_cell = home.starts_with('a') == backend.starts_with('a');
+        if let Some((first_backend, at)) = &record.may_have_run {
+            assert!(record.class != 2, "an unsafe request was retried");
+            let same_cell = first_backend.starts_with('a') == backend.starts_with('a');
             assert!(
-                known.class == 0 || same_cell && now - at < 4000.0,
+                record.class == 0 || same_cell && now - at < 4000.0,
                 "a keyed retry outside its dedup scope or window"
             );
         }
-        known.attempts += 1;
-        known.in_flight = Some((backend, now));
+        record.attempts += 1;
+        record.in_flight = Some((backend, now));
     }
 
     fn answer(&mut self, now: Millis, id: RequestId) -> &RequestRecord {
-        let known = self.requests.get_mut(&id).expect("a known request");
-        assert!(!known.answered, "two answers");
-        assert!(now <= known.deadline + 16.0, "an answer after the client gave up");
-        known.answered = true;
+        let record = self.requests.get_mut(&id).expect("a known request");
+        assert!(!record.answered, "two answers");
+        assert!(now <= record.deadline + 16.0, "an answer after the client gave up");
+        record.answered = true;
         self.answers += 1;
-        known
+        record
     }
 
     fn overdue(&self, now: Millis) -> Option<RequestId> {
@@ -144,7 +144,7 @@
         let event = match random.below(40) {
             0..20 => {
                 let (class, client_timeout) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
-                let known = RequestRecord {
+                let record = RequestRecord {
                     class,
                     deadline: harness.now + client_timeout,
                     attempts: 0,
@@ -152,7 +152,7 @@
                     may_have_run: None,
                     answered: false,
                 };
-                checker.requests.insert(id, known);
+                checker.requests.insert(id, record);
                 arrival(&mut random, id, client_timeout, class)
             }
             20..34 if !checker.calls.is_empty() => {
@@ -176,7 +176,7 @@
                 let Some(id) = checker.requests.iter().find(|(_, k)| !k.answered).map(|(id, _)| *id) else {
                     continue;
                 };
-                checker.requests.get_mut(&id).expect("known").answered = true;
+                checker.requests.get_mut(&id).expect("a known request").answered = true;
                 Event::ClientDisconnected { id }
             }
             _ => Event::ClientDisconnected { id: 900_000_000 },
@@ -191,9 +191,9 @@
 /// Ends some of the attempts in flight: some at random, and all whose client has given up.
 fn outcomes(random: &mut Random, checker: &mut Checker, now: Millis) -> Vec<(RequestId, Event)> {
     let mut events = Vec::new();
-    for (id, known) in &mut checker.requests {
-        let Some((backend, sent_at)) = known.in_flight.clone() else { continue };
-        let overdue = now >= known.deadline;
+    for (id, record) in &mut checker.requests {
+        let Some((backend, sent_at)) = record.in_flight.clone() else { continue };
+        let overdue = now >= record.deadline;
         if !overdue && random.below(12) != 0 {
             continue;
         }
@@ -209,13 +209,13 @@
             ];
             all[random.below(5) as usize]
         };
-        known.in_flight = None;
+        record.in_flight = None;
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
-        if !never_ran && known.may_have_run.is_none() {
-            known.may_have_run = Some((backend.clone(), sent_at));
+        if !never_ran && record.may_have_run.is_none() {
+            record.may_have_run = Some((backend.clone(), sent_at));
         }
-        let finished = outcome == Outcome::Served || known.answered;
-        let (attempt, latency) = (known.attempts - 1, now - sent_at);
+        let finished = outcome == Outcome::Served || record.answered;
+        let (attempt, latency) = (record.attempts - 1, now - sent_at);
         let end = AttemptEnd {
             id: *id,
             attempt,
