--- a/simhost/src/lib.rs
+++ b/simhost/src/lib.rs
@@ -47,38 +47,38 @@
 struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    fn text(&mut self, what: &str) -> Result<&'a str, String> {
-        self.0.next().ok_or_else(|| format!("{what} is missing"))
+    fn text(&mut self, field: &str) -> Result<&'a str, String> {
+        self.0.next().ok_or_else(|| format!("{field} is missing"))
     }
 
-    fn optional<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
-        let text = self.text(what)?;
+    fn optional<T: std::str::FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
+        let text = self.text(field)?;
         if text == "-" || text.is_empty() {
             return Ok(None);
         }
-        text.parse().map(Some).map_err(|_| format!("{what} is not a number: {text}"))
+        text.parse().map(Some).map_err(|_| format!("{field} is not a number: {text}"))
     }
 
-    fn number<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
-        self.optional(what)?.ok_or_else(|| format!("{what} is missing"))
+    fn number<T: std::str::FromStr>(&mut self, field: &str) -> Result<T, String> {
+        self.optional(field)?.ok_or_else(|| format!("{field} is missing"))
     }
 
-    fn millis(&mut self, what: &str) -> Result<Millis, String> {
-        let value: f64 = self.number(what)?;
-        if value.is_finite() { Ok(value) } else { Err(format!("{what} is not finite")) }
+    fn millis(&mut self, field: &str) -> Result<Millis, String> {
+        let value: f64 = self.number(field)?;
+        if value.is_finite() { Ok(value) } else { Err(format!("{field} is not finite")) }
     }
 
-    fn flag(&mut self, what: &str) -> Result<bool, String> {
-        match self.text(what)? {
+    fn flag(&mut self, field: &str) -> Result<bool, String> {
+        match self.text(field)? {
             "1" => Ok(true),
             "0" | "-" => Ok(false),
-            other => Err(format!("{what} is not 0 or 1: {other}")),
+            other => Err(format!("{field} is not 0 or 1: {other}")),
         }
     }
 
-    fn name(&mut self, what: &str) -> Result<Name, String> {
-        let text = self.text(what)?;
-        if text.is_empty() { Err(format!("{what} is missing")) } else { Ok(Name::from(text)) }
+    fn name(&mut self, field: &str) -> Result<Name, String> {
+        let text = self.text(field)?;
+        if text.is_empty() { Err(format!("{field} is missing")) } else { Ok(Name::from(text)) }
     }
 
     fn rest(&mut self) -> String {
