--- a/system/replication/src/seat.rs
+++ b/system/replication/src/acceptor.rs
@@ -1,43 +1,43 @@
 //! What a seat takes: promises, writes, what others hold as chosen.
 
-use crate::position::Contiguous;
+use crate::position::AcceptedPrefix;
 use crate::{MEMBERS_KEY, Output, Replica, versions};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Entry, Epoch, Named, Stamp, Word};
 
 impl Replica {
-    fn touch(&mut self, name: &str) {
-        self.dirty.insert(name.to_owned());
+    fn mark_dirty(&mut self, name: &str) {
+        self.dirty_items.insert(name.to_owned());
     }
 
     pub(crate) fn promise(&mut self, epoch: Epoch) {
         debug_assert!(epoch >= self.acceptor.promised, "a promise is never taken back");
-        self.round = self.round.max(epoch.round);
+        self.highest_round = self.highest_round.max(epoch.round);
         if self.acceptor.promised != epoch {
             self.acceptor.promised = epoch;
             self.dirty_acceptor = true;
         }
     }
 
-    pub(crate) fn pending(&self) -> Vec<Named> {
+    pub(crate) fn pending_entries(&self) -> Vec<Named> {
         let entry = |name: &String| Some((name.clone(), self.items[name].pending.clone()?));
-        self.pending.iter().filter_map(entry).collect()
+        self.pending_names.iter().filter_map(entry).collect()
     }
 
     /// What is taken of a name and not known to be chosen.
     pub(crate) fn set_pending(&mut self, name: &str, entry: Option<Entry>) {
         if entry.is_some() {
-            self.pending.insert(name.to_owned());
+            self.pending_names.insert(name.to_owned());
         } else {
-            self.pending.remove(name);
+            self.pending_names.remove(name);
         }
         self.items.entry(name.to_owned()).or_default().pending = entry;
-        self.touch(name);
-        self.refact(name);
+        self.mark_dirty(name);
+        self.update_config(name);
     }
 
     pub(crate) fn on_prepare(&mut self, from: Host, epoch: Epoch, since: Stamp) {
-        if !self.votes || !self.is_seat(from) || epoch.seat != from {
+        if !self.voting || !self.is_member(from) || epoch.seat != from {
             return;
         }
         if epoch <= self.acceptor.promised {
@@ -46,14 +46,15 @@
         }
         self.step_down(epoch);
         self.promise(epoch);
-        let (joined, tail, pending) = (self.acceptor.joined, self.tail(since), self.pending());
+        let (joined, tail, pending) =
+            (self.acceptor.joined, self.entries_since(since), self.pending_entries());
         let more = tail.is_none();
         self.send(from, Word::Promise { epoch, joined, chosen: tail.unwrap_or_default(), more, pending });
     }
 
     /// Whether a write of a turn may be taken here; who writes is told where a later turn was promised.
-    fn may_take(&mut self, from: Host, epoch: Epoch) -> bool {
-        if !self.votes || !self.is_seat(from) || epoch.seat != from {
+    fn may_accept(&mut self, from: Host, epoch: Epoch) -> bool {
+        if !self.voting || !self.is_member(from) || epoch.seat != from {
             return false;
         }
         if epoch < self.acceptor.promised {
@@ -74,53 +75,53 @@
     pub(crate) fn on_begin(
         &mut self, from: Host, epoch: Epoch, entries: Vec<Named>, digest: u64, lacked: Option<Vec<Named>>,
     ) {
-        if !self.may_take(from, epoch) {
+        if !self.may_accept(from, epoch) {
             return;
         }
         if self.acceptor.joined != epoch {
             match lacked {
-                Some(lacked) => self.merge(lacked),
+                Some(lacked) => self.merge_chosen(lacked),
                 None if digest != self.digest => return self.send_behind(from, epoch),
                 None => {}
             }
         }
         // The list of seats may have been among what was lacking.
-        if !self.votes {
+        if !self.voting {
             return;
         }
         let stamp = Stamp { epoch, turn: 0 };
-        self.take(stamp, entries);
+        self.accept(stamp, entries);
         self.send(from, Word::Accepted(stamp));
     }
 
     pub(crate) fn on_accept(&mut self, from: Host, stamp: Stamp, entries: Vec<Named>, chosen: u64) {
-        if !self.may_take(from, stamp.epoch) {
+        if !self.may_accept(from, stamp.epoch) {
             return;
         }
         if self.acceptor.joined != stamp.epoch {
             return self.send_behind(from, stamp.epoch);
         }
         // First what is chosen of this turn: this write may be the next one of a name that waits to be.
-        self.choose(stamp.epoch, chosen);
-        self.take(stamp, entries);
+        self.mark_chosen(stamp.epoch, chosen);
+        self.accept(stamp, entries);
         self.send(from, Word::Accepted(stamp));
     }
 
     /// Takes a write. The first of a turn holds all of earlier turns that may have been chosen: the rest is void.
-    pub(crate) fn take(&mut self, stamp: Stamp, entries: Vec<Named>) {
+    pub(crate) fn accept(&mut self, stamp: Stamp, entries: Vec<Named>) {
         self.promise(stamp.epoch);
         if stamp.turn == 0 && self.acceptor.joined != stamp.epoch {
             self.acceptor.joined = stamp.epoch;
             self.dirty_acceptor = true;
-            self.contiguous = Contiguous::default();
+            self.accepted_prefix = AcceptedPrefix::default();
             let before = |name: &&String| {
                 self.items[*name].pending.as_ref().is_some_and(|p| p.stamp.epoch < stamp.epoch)
             };
-            let void: Vec<String> = self.pending.iter().filter(before).cloned().collect();
+            let void: Vec<String> = self.pending_names.iter().filter(before).cloned().collect();
             void.iter().for_each(|name| self.set_pending(name, None));
         }
         if self.acceptor.joined == stamp.epoch {
-            self.contiguous.take(stamp.turn);
+            self.accepted_prefix.record(stamp.turn);
         }
         for (name, entry) in entries {
             let item = self.items.get(&name);
@@ -132,7 +133,7 @@
     }
 
     /// Writes of a turn below this one are chosen.
-    pub(crate) fn choose(&mut self, epoch: Epoch, below: u64) {
+    pub(crate) fn mark_chosen(&mut self, epoch: Epoch, below: u64) {
         if epoch != self.acceptor.joined {
             return;
         }
@@ -140,42 +141,42 @@
             let pending = self.items[*name].pending.as_ref();
             pending.is_some_and(|p| p.stamp.epoch == epoch && p.stamp.turn < below)
         };
-        let names: Vec<String> = self.pending.iter().filter(ready).cloned().collect();
+        let names: Vec<String> = self.pending_names.iter().filter(ready).cloned().collect();
         for name in names {
             if let Some(entry) = self.items.get_mut(&name).and_then(|item| item.pending.take()) {
-                self.set_chosen(name, entry);
+                self.apply_chosen(name, entry);
             }
         }
-        let reached = below.min(self.contiguous.reached());
+        let reached = below.min(self.accepted_prefix.end());
         if reached > 0 {
-            self.reach(Stamp { epoch, turn: reached });
+            self.advance_position(Stamp { epoch, turn: reached });
         }
     }
 
-    pub(crate) fn set_chosen(&mut self, name: String, entry: Entry) {
+    pub(crate) fn apply_chosen(&mut self, name: String, entry: Entry) {
         let item = self.items.entry(name.clone()).or_default();
         debug_assert!(item.chosen.as_ref().is_none_or(|c| c.stamp <= entry.stamp), "{name} goes back");
         if let Some(old) = &item.chosen {
             self.digest ^= fennelscale_config::entry_hash((&name, old));
-            self.by_stamp.remove(&(old.stamp, name.clone()));
+            self.chosen_by_stamp.remove(&(old.stamp, name.clone()));
         }
         self.digest ^= fennelscale_config::entry_hash((&name, &entry));
-        self.by_stamp.insert((entry.stamp, name.clone()));
+        self.chosen_by_stamp.insert((entry.stamp, name.clone()));
         item.chosen = Some(entry.clone());
         if item.pending.as_ref().is_some_and(|p| p.stamp <= entry.stamp) {
             item.pending = None;
         }
         if item.pending.is_none() {
-            self.pending.remove(&name);
+            self.pending_names.remove(&name);
         }
-        self.touch(&name);
-        self.refact(&name);
+        self.mark_dirty(&name);
+        self.update_config(&name);
         if name == MEMBERS_KEY {
-            self.take_seats();
-            let seats = self.seats.clone();
-            self.out.push(Output::Members(seats));
+            self.load_members();
+            let seats = self.members.clone();
+            self.outputs.push(Output::Members(seats));
         } else {
-            self.news.push((name, versions::published(&entry)));
+            self.newly_chosen.push((name, versions::without_history(&entry)));
         }
     }
 }
--- a/system/replication/src/catch_up.rs
+++ b/system/replication/src/catch_up.rs
@@ -13,11 +13,11 @@
 /// beside what a store may hold in memory.
 pub const CHUNK_BYTES: usize = 128 << 10;
 /// A chunk looks at so many names at most: those that it passes over cost time too.
-const CHUNK_NAMES: usize = 4096;
+const MAX_CHUNK_SCAN: usize = 4096;
 /// A chunk that does not come is asked for at another store after this: the longest way there and back, twice, and some.
-const RETRY: Millis = 700.0;
+const CHUNK_TIMEOUT: Millis = 700.0;
 /// A peer that holds something else up to the same place in so many beats in a row is compared with from the begin.
-const DIFFERS: u8 = 4;
+const MAX_DIGEST_MISMATCHES: u8 = 4;
 
 /// A transfer under way.
 #[derive(Clone, Debug)]
@@ -25,24 +25,24 @@
     since: Stamp,
     after: String,
     /// The lowest position of the stores that told a part.
-    reaches: Option<Stamp>,
-    from: Host,
-    asked: Millis,
+    complete_to: Option<Stamp>,
+    source: Host,
+    requested_at: Millis,
 }
 
 /// What an entry takes in a message, about.
-fn size(name: &str, entry: &Entry) -> usize {
+fn entry_size(name: &str, entry: &Entry) -> usize {
     let body = entry.body.as_ref().map_or(0, String::len);
     64 + name.len() + entry.host.len() + body + 16 * entry.history.len()
 }
 
 impl Replica {
     /// What is held as chosen with this stamp or a later one; none if that is more than one chunk.
-    pub(crate) fn tail(&self, since: Stamp) -> Option<Vec<Named>> {
+    pub(crate) fn entries_since(&self, since: Stamp) -> Option<Vec<Named>> {
         let (mut tail, mut bytes) = (Vec::new(), 0);
-        for (_, name) in self.by_stamp.range((since, String::new())..) {
+        for (_, name) in self.chosen_by_stamp.range((since, String::new())..) {
             let Some(entry) = self.items[name].chosen.as_ref() else { continue };
-            bytes += size(name, entry);
+            bytes += entry_size(name, entry);
             if bytes > CHUNK_BYTES && !tail.is_empty() {
                 return None;
             }
@@ -52,15 +52,15 @@
     }
 
     /// Entries from a name on, and the name to go on after if there are more.
-    fn chunk(&self, since: Stamp, after: &str) -> (Vec<Named>, Option<String>) {
+    fn next_chunk(&self, since: Stamp, after: &str) -> (Vec<Named>, Option<String>) {
         let names = self.items.range::<str, _>((Bound::Excluded(after), Bound::Unbounded));
         let (mut entries, mut bytes) = (Vec::new(), 0);
         let mut last: Option<&String> = None;
         for (looked, (name, item)) in names.enumerate() {
             let entry = item.chosen.as_ref().filter(|entry| entry.stamp >= since);
-            let more = entry.map_or(0, |entry| size(name, entry));
+            let more = entry.map_or(0, |entry| entry_size(name, entry));
             let full = bytes + more > CHUNK_BYTES && !entries.is_empty();
-            if let Some(last) = last.filter(|_| full || looked >= CHUNK_NAMES) {
+            if let Some(last) = last.filter(|_| full || looked >= MAX_CHUNK_SCAN) {
                 return (entries, Some(last.clone()));
             }
             bytes += more;
@@ -71,101 +71,108 @@
     }
 
     pub(crate) fn on_fetch(&mut self, from: Host, since: Stamp, after: String) {
-        if !self.votes {
+        if !self.voting {
             return;
         }
-        let whole = if after.is_empty() { self.tail(since) } else { None };
+        let whole = if after.is_empty() { self.entries_since(since) } else { None };
         let (entries, next) = match whole {
             Some(tail) => (tail, None),
-            None => self.chunk(since, &after),
+            None => self.next_chunk(since, &after),
         };
         let position = self.progress.position;
         self.send(from, Word::Chunk(Chunk { since, after, entries, next, position }));
     }
 
     /// Asks a store for what this copy lacks, if nothing is asked for already.
-    pub(crate) fn begin_transfer(&mut self, now: Millis, from: Host) {
+    pub(crate) fn start_transfer(&mut self, now: Millis, from: Host) {
         let since = self.progress.position;
-        self.transfer_since(now, from, since);
+        self.start_transfer_since(now, from, since);
     }
 
-    fn transfer_since(&mut self, now: Millis, from: Host, since: Stamp) {
-        if self.transfer.is_some() || from == self.place.local.host {
+    fn start_transfer_since(&mut self, now: Millis, from: Host, since: Stamp) {
+        if self.transfer.is_some() || from == self.config.local.host {
             return;
         }
-        self.transfer = Some(Transfer { since, after: String::new(), reaches: None, from, asked: now });
+        self.transfer = Some(Transfer {
+            since,
+            after: String::new(),
+            complete_to: None,
+            source: from,
+            requested_at: now,
+        });
         self.send(from, Word::Fetch { since, after: String::new() });
     }
 
     pub(crate) fn on_chunk(&mut self, now: Millis, from: Host, chunk: Chunk) {
         let Chunk { since, after, entries, next, position } = chunk;
         let Some(transfer) = &mut self.transfer else { return };
-        if (transfer.from, transfer.since, &transfer.after) != (from, since, &after) {
+        if (transfer.source, transfer.since, &transfer.after) != (from, since, &after) {
             return;
         }
-        let reaches = transfer.reaches.map_or(position, |known| known.min(position));
-        transfer.reaches = Some(reaches);
+        let complete_to = transfer.complete_to.map_or(position, |known| known.min(position));
+        transfer.complete_to = Some(complete_to);
         match next {
             Some(next) => {
-                (transfer.after, transfer.asked) = (next.clone(), now);
+                (transfer.after, transfer.requested_at) = (next.clone(), now);
                 self.send(from, Word::Fetch { since, after: next });
-                self.merge(entries);
+                self.merge_chosen(entries);
             }
             None => {
                 self.transfer = None;
-                self.merge(entries);
-                self.reach(reaches);
+                self.merge_chosen(entries);
+                self.advance_position(complete_to);
             }
         }
     }
 
     /// A transfer that stands still goes on with another store, where it was.
     pub(crate) fn transfer_tick(&mut self, now: Millis) {
-        let others = self.others();
+        let others = self.other_members();
         let Some(transfer) = &mut self.transfer else { return };
-        if now - transfer.asked < RETRY {
+        if now - transfer.requested_at < CHUNK_TIMEOUT {
             return;
         }
-        let at = others.iter().position(|host| *host == transfer.from);
+        let at = others.iter().position(|host| *host == transfer.source);
         let Some(next) = others.get(at.map_or(0, |at| at + 1) % others.len().max(1)).copied() else {
             self.transfer = None;
             return;
         };
-        (transfer.from, transfer.asked) = (next, now);
+        (transfer.source, transfer.requested_at) = (next, now);
         let (since, after) = (transfer.since, transfer.after.clone());
         self.send(next, Word::Fetch { since, after });
     }
 
     /// A beat says what a voting peer holds: what it knows to be chosen is chosen here too, and what is lacking is asked for. Copies that
     /// are complete up to the same place and still differ are compared from the begin: nothing known leads there.
-    pub(crate) fn compare(&mut self, now: Millis, from: Host, newest: Stamp, digest: u64) {
-        self.choose(newest.epoch, newest.turn);
-        let (position, own_newest, own_digest) = (self.progress.position, self.newest(), self.digest);
+    pub(crate) fn compare_with_peer(&mut self, now: Millis, from: Host, newest: Stamp, digest: u64) {
+        self.mark_chosen(newest.epoch, newest.turn);
+        let (position, own_newest, own_digest) = (self.progress.position, self.chosen_end(), self.digest);
         let Some(peer) = self.peers.get_mut(&from) else { return };
         let same_place = newest == own_newest && position >= newest;
-        peer.differs = if same_place && digest != own_digest { peer.differs + 1 } else { 0 };
-        if peer.differs >= DIFFERS {
-            peer.differs = 0;
+        peer.digest_mismatches =
+            if same_place && digest != own_digest { peer.digest_mismatches + 1 } else { 0 };
+        if peer.digest_mismatches >= MAX_DIGEST_MISMATCHES {
+            peer.digest_mismatches = 0;
             self.log("copies-differ", format!("peer={from}"));
-            self.transfer_since(now, from, Stamp::default());
+            self.start_transfer_since(now, from, Stamp::default());
         } else if position < newest {
-            self.begin_transfer(now, from);
+            self.start_transfer(now, from);
         }
     }
 
     /// Entries that another copy holds as chosen.
-    pub(crate) fn merge(&mut self, entries: Vec<Named>) {
+    pub(crate) fn merge_chosen(&mut self, entries: Vec<Named>) {
         for (name, entry) in entries {
             let known = self.items.get(&name).and_then(|item| item.chosen.as_ref()).map(|c| c.stamp);
             if known.is_none_or(|known| known < entry.stamp) {
-                self.round = self.round.max(entry.stamp.epoch.round);
-                self.set_chosen(name, entry);
+                self.highest_round = self.highest_round.max(entry.stamp.epoch.round);
+                self.apply_chosen(name, entry);
             }
         }
     }
 
     /// Tells another store the list of seats.
-    pub(crate) fn tell_seats(&mut self, to: Host) {
+    pub(crate) fn send_members(&mut self, to: Host) {
         if let Some(entry) = self.items.get(MEMBERS_KEY).and_then(|item| item.chosen.clone()) {
             self.send(to, Word::SeatList(entry));
         }
--- a/system/replication/src/lib.rs
+++ b/system/replication/src/lib.rs
@@ -24,17 +24,17 @@
 //! that is not gets there, `founding` and `membership` who has a seat, `calls` what callers are told, `versions` what a change
 //! comes to by the versions that its item has had.
 
+mod acceptor;
+mod bootstrap;
 mod calls;
 mod catch_up;
-mod founding;
+mod leader;
 mod membership;
 mod position;
-mod seat;
 pub mod versions;
-mod writer;
 
+pub use bootstrap::BootstrapRole;
 pub use catch_up::CHUNK_BYTES;
-pub use founding::BootstrapRole;
 pub use position::Progress;
 
 pub use calls::Origin;
@@ -42,9 +42,9 @@
 use fennelscale_config::Standing;
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Told, Word};
+use leader::Role;
+pub use leader::{ACCEPT_TIMEOUT, QUORUM_CONTACT_TIMEOUT};
 use std::collections::{BTreeMap, BTreeSet};
-use writer::Turn;
-pub use writer::{ACCEPT_TIMEOUT, QUORUM_CONTACT_TIMEOUT};
 
 /// Milliseconds of a clock that never goes back.
 pub type Millis = f64;
@@ -57,9 +57,9 @@
 /// A seat that was not heard for this long is not counted on: three beats, and the longest way.
 pub const PEER_TIMEOUT: Millis = 1300.0;
 /// A write that a living writer does not choose is asked for after this.
-const STUCK: Millis = 2600.0;
+const STUCK_WRITE_TIMEOUT: Millis = 2600.0;
 /// Seats that ask by themselves do so one after the other, this far apart.
-const APART: Millis = 250.0;
+const ELECTION_STAGGER: Millis = 250.0;
 
 /// Of one name: what is chosen, and what was taken but is not known to be.
 #[derive(Clone, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
@@ -145,67 +145,67 @@
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    heard: Millis,
-    votes: bool,
+    last_heartbeat: Millis,
+    voting: bool,
     leaving: bool,
     unconfirmed: bool,
     /// The stamp after the newest entry that it holds as chosen.
-    newest: Stamp,
+    chosen_end: Stamp,
     /// Beats in a row in which it held the same up to the same place, by its word, and something else by its digest.
-    differs: u8,
+    digest_mismatches: u8,
 }
 
 /// One store.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    place: ReplicaConfig,
+    config: ReplicaConfig,
     acceptor: AcceptorState,
     items: BTreeMap<String, Item>,
     /// What the items say, by the newest word on each.
-    standing: Standing,
+    latest_config: Standing,
     /// Of the chosen entries.
     digest: u64,
     /// The chosen entries by their stamps.
-    by_stamp: BTreeSet<(Stamp, String)>,
+    chosen_by_stamp: BTreeSet<(Stamp, String)>,
     /// Names with something that was taken and is not known to be chosen.
-    pending: BTreeSet<String>,
+    pending_names: BTreeSet<String>,
     progress: Progress,
-    contiguous: position::Contiguous,
+    accepted_prefix: position::AcceptedPrefix,
     transfer: Option<catch_up::Transfer>,
-    seats: Seats,
+    members: Seats,
     /// This seat has forgotten nothing.
-    votes: bool,
+    voting: bool,
     leaving: bool,
-    turn: Turn,
+    role: Role,
     peers: BTreeMap<Host, Peer>,
     /// When the last word of any kind came from each seat.
-    contact: BTreeMap<Host, Millis>,
+    last_contact: BTreeMap<Host, Millis>,
     /// Machines without a seat that would take one.
-    candidates: BTreeMap<Host, membership::Candidate>,
+    learners: BTreeMap<Host, membership::Learner>,
     calls: calls::Calls,
     /// The highest turn that was heard of.
-    round: u64,
+    highest_round: u64,
     /// When the next beat, announcement and change of seats are due.
-    beat_at: Millis,
-    announce_at: Millis,
-    reseat_at: Millis,
+    next_heartbeat: Millis,
+    next_announcement: Millis,
+    next_membership_change: Millis,
     /// When this life began, when the list of seats last changed, and the time as it was told last.
-    born: Millis,
-    seated: Millis,
-    told: Millis,
-    fresh: bool,
+    started_at: Millis,
+    members_changed_at: Millis,
+    last_tick: Millis,
+    up_to_date: bool,
     /// The oldest write that was taken here and is not known to be chosen, and since when it is.
-    stuck: Option<(Stamp, Millis)>,
+    oldest_pending: Option<(Stamp, Millis)>,
     /// There was such a write on the disk at the start: it may have been acknowledged.
-    inherited: bool,
+    unconfirmed: bool,
     /// What learned from whom, while everything is forgotten.
-    learned: BTreeSet<Host>,
-    lesson: BTreeMap<String, Item>,
-    dirty: BTreeSet<String>,
+    recovery_sources: BTreeSet<Host>,
+    recovered_pending: BTreeMap<String, Item>,
+    dirty_items: BTreeSet<String>,
     dirty_acceptor: bool,
     dirty_progress: bool,
-    news: Vec<Named>,
-    out: Vec<Output>,
+    newly_chosen: Vec<Named>,
+    outputs: Vec<Output>,
 }
 
 /// How many of these seats a write needs: so many that two quorums share two seats, where that many are still there after
@@ -227,70 +227,71 @@
 
 impl Replica {
     /// A store with what its disk held.
-    pub fn new(place: ReplicaConfig, memory: PersistedState, now: Millis) -> Self {
-        let PersistedState { acceptor, progress, items } = memory;
+    pub fn new(config: ReplicaConfig, persisted: PersistedState, now: Millis) -> Self {
+        let PersistedState { acceptor, progress, items } = persisted;
         let blank = acceptor.is_none();
-        let mut book = Self {
+        let mut replica = Self {
             acceptor: acceptor.unwrap_or_default(),
             items,
-            standing: Standing::default(),
+            latest_config: Standing::default(),
             digest: 0,
-            by_stamp: BTreeSet::new(),
-            pending: BTreeSet::new(),
+            chosen_by_stamp: BTreeSet::new(),
+            pending_names: BTreeSet::new(),
             progress,
-            contiguous: position::Contiguous::default(),
+            accepted_prefix: position::AcceptedPrefix::default(),
             transfer: None,
-            seats: Seats::default(),
-            votes: false,
+            members: Seats::default(),
+            voting: false,
             leaving: false,
-            turn: Turn::Idle,
+            role: Role::Follower,
             peers: BTreeMap::new(),
-            contact: BTreeMap::new(),
-            candidates: BTreeMap::new(),
-            calls: calls::Calls::new(place.incarnation),
-            round: 0,
-            beat_at: now,
-            announce_at: now,
-            reseat_at: now,
-            born: now,
-            seated: now,
-            told: now,
-            fresh: false,
-            stuck: None,
-            inherited: false,
-            learned: BTreeSet::new(),
-            lesson: BTreeMap::new(),
-            dirty: BTreeSet::new(),
+            last_contact: BTreeMap::new(),
+            learners: BTreeMap::new(),
+            calls: calls::Calls::new(config.incarnation),
+            highest_round: 0,
+            next_heartbeat: now,
+            next_announcement: now,
+            next_membership_change: now,
+            started_at: now,
+            members_changed_at: now,
+            last_tick: now,
+            up_to_date: false,
+            oldest_pending: None,
+            unconfirmed: false,
+            recovery_sources: BTreeSet::new(),
+            recovered_pending: BTreeMap::new(),
+            dirty_items: BTreeSet::new(),
             dirty_acceptor: false,
             dirty_progress: false,
-            news: Vec::new(),
-            out: Vec::new(),
-            place,
+            newly_chosen: Vec::new(),
+            outputs: Vec::new(),
+            config,
         };
-        book.round = book.acceptor.promised.round;
-        book.index();
-        book.contiguous = position::Contiguous::at_start(book.progress.position, book.acceptor.joined);
-        book.take_seats();
-        book.votes = !blank && book.is_seat(book.place.local.host);
-        book.inherited = !book.pending.is_empty();
+        replica.highest_round = replica.acceptor.promised.round;
+        replica.rebuild_indexes();
+        replica.accepted_prefix =
+            position::AcceptedPrefix::at_start(replica.progress.position, replica.acceptor.joined);
+        replica.load_members();
+        replica.voting = !blank && replica.is_member(replica.config.local.host);
+        replica.unconfirmed = !replica.pending_names.is_empty();
         if blank {
-            book.note_first_start();
+            replica.record_bootstrap_role();
         }
-        book
+        replica
     }
 
     /// Makes all that is derived from the items.
-    fn index(&mut self) {
+    fn rebuild_indexes(&mut self) {
         let names: Vec<String> = self.items.keys().cloned().collect();
         for name in &names {
-            self.refact(name);
+            self.update_config(name);
             let item = &self.items[name];
             if let Some(entry) = &item.chosen {
                 self.digest ^= fennelscale_config::entry_hash((name, entry));
-                self.by_stamp.insert((entry.stamp, name.clone()));
+                self.chosen_by_stamp.insert((entry.stamp, name.clone()));
             }
             if item.pending.is_some() {
-                self.pending.insert(name.clone());
+                self.pending_names.insert(name.clone());
             }
         }
     }
@@ -298,7 +299,7 @@
     /// What must be on the disk before [`Self::take_outputs`] are carried out.
     pub fn take_writes(&mut self) -> DiskWrites {
         let acceptor = std::mem::take(&mut self.dirty_acceptor).then_some(self.acceptor);
-        let dirty = std::mem::take(&mut self.dirty);
+        let dirty = std::mem::take(&mut self.dirty_items);
         // How far the copy goes is told with what it goes by; alone it is not worth a sync.
         let write = std::mem::take(&mut self.dirty_progress) || acceptor.is_some() || !dirty.is_empty();
         let progress = write.then_some(self.progress);
@@ -311,17 +312,17 @@
 
     /// What is to be done, in this order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        let news = std::mem::take(&mut self.news);
+        let news = std::mem::take(&mut self.newly_chosen);
         if !news.is_empty() {
-            self.out.push(Output::Chosen(news));
+            self.outputs.push(Output::Chosen(news));
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// All that is chosen, for a registry that begins to listen.
     pub fn published_entries(&self) -> Vec<Named> {
         let chosen = self.chosen_entries().filter(|(name, _)| *name != MEMBERS_KEY);
-        chosen.map(|(name, entry)| (name.clone(), versions::published(entry))).collect()
+        chosen.map(|(name, entry)| (name.clone(), versions::without_history(entry))).collect()
     }
 
     /// The entries that are chosen, the list of seats among them.
@@ -331,22 +332,22 @@
 
     /// The list of seats.
     pub fn members(&self) -> &Seats {
-        &self.seats
+        &self.members
     }
 
     /// Whether this copy is as new as a quorum's.
     pub fn is_up_to_date(&self) -> bool {
-        self.fresh
+        self.up_to_date
     }
 
     /// Whether this store is the one that writes.
     pub fn is_leader(&self) -> bool {
-        matches!(self.turn, Turn::Holding(_))
+        matches!(self.role, Role::Leader(_))
     }
 
     /// Whether this store counts towards a quorum.
     pub fn is_voting(&self) -> bool {
-        self.votes
+        self.voting
     }
 
     /// What was promised.
@@ -359,136 +360,141 @@
         self.items.get(name)
     }
 
-    fn is_seat(&self, host: Host) -> bool {
-        self.seats.seats.iter().any(|seat| seat.host == host)
+    fn is_member(&self, host: Host) -> bool {
+        self.members.seats.iter().any(|seat| seat.host == host)
     }
 
     fn quorum(&self) -> usize {
-        quorum(&self.seats, self.place.fault_tolerance)
+        quorum(&self.members, self.config.fault_tolerance)
     }
 
-    fn others(&self) -> Vec<Host> {
-        let me = self.place.local.host;
-        self.seats.seats.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
+    fn other_members(&self) -> Vec<Host> {
+        let me = self.config.local.host;
+        self.members.seats.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
     }
 
     fn send(&mut self, to: Host, word: Word) {
-        self.out.push(Output::Send(to, word));
+        self.outputs.push(Output::Send(to, word));
     }
 
     fn log(&mut self, event: &'static str, what: String) {
-        self.out.push(Output::Log(event, what));
+        self.outputs.push(Output::Log(event, what));
     }
 
     /// The newest word on a name: what is taken in this turn goes before what is chosen.
-    fn view(&self, name: &str) -> Option<&Entry> {
+    fn latest_entry(&self, name: &str) -> Option<&Entry> {
         let item = self.items.get(name)?;
         item.pending.as_ref().or(item.chosen.as_ref())
     }
 
-    fn refact(&mut self, name: &str) {
-        let entry = self.view(name).and_then(|e| Some((e.host.clone(), e.body.clone()?)));
+    fn update_config(&mut self, name: &str) {
+        let entry = self.latest_entry(name).and_then(|e| Some((e.host.clone(), e.body.clone()?)));
         let fact = entry.and_then(|(host, body)| fennelscale_config::fact(name, &host, &body).ok());
-        self.standing.set(name, fact);
+        self.latest_config.set(name, fact);
     }
 
     /// Time passes; to be told every so often, at least each quarter of a [`HEARTBEAT_INTERVAL`].
     pub fn tick(&mut self, now: Millis) {
         self.membership_tick(now);
         self.transfer_tick(now);
-        self.writer_tick(now);
+        self.leader_tick(now);
         self.calls_tick(now);
-        if now < self.beat_at {
+        if now < self.next_heartbeat {
             return;
         }
         // After a start others are to find soon that this copy is as new as theirs, or not.
-        self.beat_at = now + if self.fresh { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
-        self.look_stuck(now);
-        if self.votes {
+        self.next_heartbeat =
+            now + if self.up_to_date { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
+        self.resolve_stuck_write(now);
+        if self.voting {
             let beat = Word::Beat {
-                seats: self.seats.version,
+                seats: self.members.version,
                 promised: self.acceptor.promised,
                 votes: true,
                 leaving: self.leaving,
-                unconfirmed: self.inherited,
-                newest: self.newest(),
+                unconfirmed: self.unconfirmed,
+                newest: self.chosen_end(),
                 digest: self.digest,
             };
-            for host in self.others() {
+            for host in self.other_members() {
                 self.send(host, beat.clone());
             }
         }
-        self.look_fresh(now);
+        self.update_freshness(now);
     }
 
     /// A copy is as new as a quorum's if it holds all that each of them held at its last beat. Changes in quick succession do not
     /// make it doubtful: places are compared, not contents at a moment.
-    fn look_fresh(&mut self, now: Millis) {
+    fn update_freshness(&mut self, now: Millis) {
         let position = self.progress.position;
         let covered = |peer: &Peer| {
-            peer.votes && !peer.unconfirmed && now - peer.heard < PEER_TIMEOUT && peer.newest <= position
+            peer.voting
+                && !peer.unconfirmed
+                && now - peer.last_heartbeat < PEER_TIMEOUT
+                && peer.chosen_end <= position
         };
-        let heard = self.others().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
-        let enough = heard + usize::from(self.votes) >= self.quorum();
-        self.fresh = !self.seats.seats.is_empty() && enough && !self.inherited;
+        let heard =
+            self.other_members().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
+        let enough = heard + usize::from(self.voting) >= self.quorum();
+        self.up_to_date = !self.members.seats.is_empty() && enough && !self.unconfirmed;
         // Said with each beat: the registry goes by it for a while only, since a store that hangs cannot take it back.
-        self.out.push(Output::UpToDate(self.fresh));
+        self.outputs.push(Output::UpToDate(self.up_to_date));
     }
 
     /// Seats that ask by themselves take their turns, by their place in the list.
-    pub(crate) fn place_in_list(&self) -> f64 {
-        self.seats.seats.iter().position(|seat| seat.host == self.place.local.host).unwrap_or(0) as f64
+    pub(crate) fn member_index(&self) -> f64 {
+        self.members.seats.iter().position(|seat| seat.host == self.config.local.host).unwrap_or(0) as f64
     }
 
     /// A write that was taken here stays unknown where its writer died before it could say that it is chosen, though it may have
     /// acknowledged it. Who takes the next turn finds out; with no caller, a seat does so by itself.
-    fn look_stuck(&mut self, now: Millis) {
+    fn resolve_stuck_write(&mut self, now: Millis) {
         let stamp = |name: &String| self.items[name].pending.as_ref().map(|entry| entry.stamp);
-        let oldest = self.pending.iter().filter_map(stamp).min();
+        let oldest = self.pending_names.iter().filter_map(stamp).min();
         let Some(oldest) = oldest else {
-            (self.stuck, self.inherited) = (None, false);
+            (self.oldest_pending, self.unconfirmed) = (None, false);
             return;
         };
-        if !self.votes || !matches!(self.turn, Turn::Idle) {
+        if !self.voting || !matches!(self.role, Role::Follower) {
             return;
         }
-        let since = self.stuck.filter(|(stamp, _)| *stamp == oldest).map_or(now, |(_, since)| since);
-        self.stuck = Some((oldest, since));
+        let since = self.oldest_pending.filter(|(stamp, _)| *stamp == oldest).map_or(now, |(_, since)| since);
+        self.oldest_pending = Some((oldest, since));
         // A writer that lives will say so, unless it has forgotten.
-        let wait = if self.writer(now).is_some() { STUCK } else { PEER_TIMEOUT };
-        if now - since >= wait + self.place_in_list() * APART {
-            self.stuck = None;
-            self.ask_turn(now);
+        let wait = if self.known_leader(now).is_some() { STUCK_WRITE_TIMEOUT } else { PEER_TIMEOUT };
+        if now - since >= wait + self.member_index() * ELECTION_STAGGER {
+            self.oldest_pending = None;
+            self.start_election(now);
         }
     }
 
     /// A word from another store.
     pub fn receive(&mut self, now: Millis, from: Host, word: Word) {
         // Only who writes, or asks to, goes by it.
-        if !matches!(self.turn, Turn::Idle) && self.is_seat(from) {
-            self.contact.insert(from, now);
+        if !matches!(self.role, Role::Follower) && self.is_member(from) {
+            self.last_contact.insert(from, now);
         }
         match word {
             Word::Announce { seat, position } => self.on_announce(now, from, seat, position),
             Word::Beat { seats, promised, votes, leaving, unconfirmed, newest, digest } => {
-                self.round = self.round.max(promised.round);
+                self.highest_round = self.highest_round.max(promised.round);
                 let peer = self.peers.entry(from).or_default();
-                (peer.heard, peer.votes, peer.leaving) = (now, votes, leaving);
-                (peer.unconfirmed, peer.newest) = (unconfirmed, newest);
-                if seats > self.seats.version {
+                (peer.last_heartbeat, peer.voting, peer.leaving) = (now, votes, leaving);
+                (peer.unconfirmed, peer.chosen_end) = (unconfirmed, newest);
+                if seats > self.members.version {
                     self.announce_to(from);
-                } else if seats < self.seats.version {
+                } else if seats < self.members.version {
                     // Its place may have been taken while it was away: then nobody else says a word to it.
-                    self.tell_seats(from);
+                    self.send_members(from);
                 }
                 if votes {
-                    self.compare(now, from, newest, digest);
+                    self.compare_with_peer(now, from, newest, digest);
                 }
             }
             Word::Prepare(epoch, since) => self.on_prepare(from, epoch, since),
             Word::Promise { epoch, joined, chosen, more, pending } => {
                 if more {
-                    self.give_up_asking(now, from, epoch);
+                    self.abandon_election(now, from, epoch);
                 } else {
                     self.on_promise(now, from, epoch, joined, chosen, pending);
                 }
@@ -500,18 +506,18 @@
             Word::Accepted(stamp) => self.on_accepted(now, from, stamp),
             Word::Refused(epoch) => self.on_refused(epoch),
             Word::Behind(epoch, since) => self.on_behind(from, epoch, since),
-            Word::Chosen(stamp) => self.choose(stamp.epoch, stamp.turn + 1),
-            Word::SeatList(entry) => self.merge(vec![(MEMBERS_KEY.to_owned(), entry)]),
-            Word::CatchUp => self.begin_transfer(now, from),
+            Word::Chosen(stamp) => self.mark_chosen(stamp.epoch, stamp.turn + 1),
+            Word::SeatList(entry) => self.merge_chosen(vec![(MEMBERS_KEY.to_owned(), entry)]),
+            Word::CatchUp => self.start_transfer(now, from),
             Word::Fetch { since, after } => self.on_fetch(from, since, after),
             Word::Chunk(chunk) => self.on_chunk(now, from, chunk),
-            Word::Learn(since) => self.on_learn(from, since),
-            Word::Learned { more: true, .. } => self.begin_transfer(now, from),
+            Word::Learn(since) => self.on_recovery_request(from, since),
+            Word::Learned { more: true, .. } => self.start_transfer(now, from),
             Word::Learned { promised, joined, chosen, more: false, pending } => {
-                self.on_learned(from, promised, joined, chosen, pending);
+                self.on_recovery_response(from, promised, joined, chosen, pending);
             }
             Word::Pass(id, ask) => self.submit(now, Origin::Peer(from, id), ask),
-            Word::Passed(id, told) => self.on_passed(now, from, id, told),
+            Word::Passed(id, told) => self.on_forward_answer(now, from, id, told),
         }
     }
 }
--- a/system/replication/src/position.rs
+++ b/system/replication/src/position.rs
@@ -12,7 +12,7 @@
 //! A position is agreed on by being a stamp: it means the same at every store, also while changes go on.
 
 use crate::Replica;
-use crate::founding::BootstrapRole;
+use crate::bootstrap::BootstrapRole;
 use fennelscale_messages::depot::{Epoch, Stamp};
 use std::collections::BTreeSet;
 
@@ -26,47 +26,47 @@
 }
 
 /// Writes beyond a gap that are remembered. More than this are never on their way: a writer has as many out as calls may wait.
-const BEYOND: usize = 4096;
+const MAX_OUT_OF_ORDER: usize = 4096;
 
 /// Which writes of the turn that was joined last came without a gap.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Contiguous {
+pub(crate) struct AcceptedPrefix {
     /// All before this came.
     next: u64,
     /// Those that came after a gap.
-    beyond: BTreeSet<u64>,
+    out_of_order: BTreeSet<u64>,
 }
 
-impl Contiguous {
+impl AcceptedPrefix {
     /// What a store knows of it after a start: what is complete up to its position, and the first write of the turn it joined.
     pub(crate) fn at_start(position: Stamp, joined: Epoch) -> Self {
         let known = if position.epoch == joined { position.turn } else { 0 };
-        Self { next: known.max(1), beyond: BTreeSet::new() }
+        Self { next: known.max(1), out_of_order: BTreeSet::new() }
     }
 
     /// A write came.
-    pub(crate) fn take(&mut self, write: u64) {
-        if write > self.next && self.beyond.len() < BEYOND {
-            self.beyond.insert(write);
+    pub(crate) fn record(&mut self, write: u64) {
+        if write > self.next && self.out_of_order.len() < MAX_OUT_OF_ORDER {
+            self.out_of_order.insert(write);
         }
         if write == self.next {
             self.next += 1;
-            while self.beyond.remove(&self.next) {
+            while self.out_of_order.remove(&self.next) {
                 self.next += 1;
             }
         }
     }
 
     /// All writes before this one came.
-    pub(crate) fn reached(&self) -> u64 {
+    pub(crate) fn end(&self) -> u64 {
         self.next
     }
 }
 
 impl Replica {
     /// The stamp after the newest entry that is held as chosen.
-    pub(crate) fn newest(&self) -> Stamp {
-        self.by_stamp.last().map_or_else(Stamp::default, |(stamp, _)| stamp.following())
+    pub(crate) fn chosen_end(&self) -> Stamp {
+        self.chosen_by_stamp.last().map_or_else(Stamp::default, |(stamp, _)| stamp.following())
     }
 
     /// Up to where this copy is complete.
@@ -80,10 +80,10 @@
     }
 
     /// The copy is complete up to there.
-    pub(crate) fn reach(&mut self, position: Stamp) {
+    pub(crate) fn advance_position(&mut self, position: Stamp) {
         if position > self.progress.position {
             self.progress.position = position;
-            self.answer_readers();
+            self.answer_ready_reads();
         }
     }
 }
