--- a/system/replication/src/acceptor.rs
+++ b/system/replication/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! What a seat takes: promises, writes, what others hold as chosen.
+//! Acceptor: gives promises, accepts writes, and takes over entries that other replicas hold as chosen.
 
 use crate::position::AcceptedPrefix;
 use crate::{MEMBERS_KEY, Output, Replica, versions};
@@ -24,7 +24,7 @@
         self.pending_names.iter().filter_map(entry).collect()
     }
 
-    /// What is taken of a name and not known to be chosen.
+    /// Sets the accepted version of an entry that is not known to be chosen.
     pub(crate) fn set_pending(&mut self, name: &str, entry: Option<Entry>) {
         if entry.is_some() {
             self.pending_names.insert(name.to_owned());
@@ -52,7 +52,7 @@
         self.send(from, Word::Promise { epoch, joined, chosen: tail.unwrap_or_default(), more, pending });
     }
 
-    /// Whether a write of a turn may be taken here; who writes is told where a later turn was promised.
+    /// Whether a write of this term may be accepted. The sender is told if a later term was promised.
     fn may_accept(&mut self, from: Host, epoch: Epoch) -> bool {
         if !self.voting || !self.is_member(from) || epoch.seat != from {
             return false;
@@ -70,8 +70,9 @@
         self.send(to, Word::Behind(epoch, self.progress.position));
     }
 
-    /// A turn begins. What its writer holds as chosen is not written again, so a seat joins only once it holds that too: what
-    /// whoever joined does not hold was never chosen, and that is what later turns go by ([`Replica::base`]).
+    /// Handles the start of a term. The leader does not write again what it holds as chosen, so a member
+    /// joins only once it holds that too. Later terms rely on this: what no member that joined holds was
+    /// never chosen ([`Replica::recovered_entries`]).
     pub(crate) fn on_begin(
         &mut self, from: Host, epoch: Epoch, entries: Vec<Named>, digest: u64, lacked: Option<Vec<Named>>,
     ) {
@@ -85,7 +86,7 @@
                 None => {}
             }
         }
-        // The list of seats may have been among what was lacking.
+        // The member list may have been among the missing entries.
         if !self.voting {
             return;
         }
@@ -101,13 +102,15 @@
         if self.acceptor.joined != stamp.epoch {
             return self.send_behind(from, stamp.epoch);
         }
-        // First what is chosen of this turn: this write may be the next one of a name that waits to be.
+        // Mark earlier writes of this term as chosen first: this write may be the next version of an entry
+        // that is still pending.
         self.mark_chosen(stamp.epoch, chosen);
         self.accept(stamp, entries);
         self.send(from, Word::Accepted(stamp));
     }
 
-    /// Takes a write. The first of a turn holds all of earlier turns that may have been chosen: the rest is void.
+    /// Accepts a write. The first write of a term contains everything of earlier terms that may have been
+    /// chosen, so all other pending entries are discarded.
     pub(crate) fn accept(&mut self, stamp: Stamp, entries: Vec<Named>) {
         self.promise(stamp.epoch);
         if stamp.turn == 0 && self.acceptor.joined != stamp.epoch {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Writes of a turn below this one are chosen.
+    /// Marks the writes of a term below the given number as chosen.
     pub(crate) fn mark_chosen(&mut self, epoch: Epoch, below: u64) {
         if epoch != self.acceptor.joined {
             return;
--- a/system/replication/src/bootstrap.rs
+++ b/system/replication/src/bootstrap.rs
@@ -1,36 +1,38 @@
-//! The first start of all: who makes the list of seats.
+//! Bootstrap: creation of the first member list.
 //!
-//! At the first start all are told the same seeds, and these are up. The first of them, and nobody else, makes the list of all who
-//! announced themselves in time, brings it to its disk and tells them. What a store is to do then is on its disk before it says a word:
-//! one that dies before the list is made comes back with settings that say nothing of a first start, and goes on where it was. A founder
-//! that loses its *disk* before it has founded founds nothing: then nobody has promised anything, and all are started anew on empty
-//! disks.
+//! At the first start all machines have the same seed addresses, and the seeds are up. Only the first seed
+//! creates the list: it includes every machine that announced itself in time, persists the list and sends it
+//! out. Each replica persists its role in this before it sends any message, so one that is killed before the
+//! list exists continues after a restart with settings that no longer ask for a bootstrap. If the initiator
+//! loses its *disk* before it has created the list, no list is created: nobody has promised anything by then,
+//! and the cluster is started anew on empty disks.
 
 use crate::membership::encode_members;
 use crate::{MEMBERS_KEY, Millis, Replica};
 use fennelscale_messages::depot::{Entry, Epoch, Seat, Stamp};
 
-/// The founder waits so long for the others: all machines start together, and nothing is asked of them for seconds.
+/// Time that the initiator waits for the other machines: they all start together, and no calls are expected
+/// for the first seconds.
 const BOOTSTRAP_DELAY: Millis = 1800.0;
-/// Before it has this many together, itself included, it waits on; at the latest until ...
+/// Members, including itself, that the initiator waits for, at most until `BOOTSTRAP_MAX_WAIT`.
 const BOOTSTRAP_MIN_MEMBERS: usize = 3;
-/// ... this.
+/// Time after which the initiator creates the list with fewer members.
 const BOOTSTRAP_MAX_WAIT: Millis = 6000.0;
 
-/// What a store is to do at the first start of all. Kept on its disk.
+/// Role of a replica in the bootstrap; persisted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub enum BootstrapRole {
-    /// Nothing: it came later, or its disk was lost.
+    /// Takes no part: the replica joined later or lost its disk.
     #[default]
     None,
-    /// Takes its seat on the first list: it has forgotten nothing.
+    /// Becomes a voting member with the first list, since it has forgotten nothing.
     Participant,
-    /// Makes the first list.
+    /// Creates the first list.
     Initiator,
 }
 
 impl Replica {
-    /// An empty disk: what the settings say of the first start is kept.
+    /// On an empty disk, records the bootstrap role that the settings give this replica.
     pub(crate) fn record_bootstrap_role(&mut self) {
         if !self.config.bootstrap || self.progress.bootstrap_role != BootstrapRole::None {
             return;
@@ -62,7 +64,8 @@
         self.other_members().into_iter().for_each(|host| self.send_members(host));
     }
 
-    /// A store that was there at the first start has forgotten nothing: it takes its seat on the first list at once. Whether it did.
+    /// A replica that took part in the bootstrap has forgotten nothing, so it votes as soon as it is on the
+    /// first list. Returns whether it does.
     pub(crate) fn join_initial_members(&mut self) -> bool {
         if self.progress.bootstrap_role == BootstrapRole::None || self.members.version != 1 {
             return false;
--- a/system/replication/src/calls.rs
+++ b/system/replication/src/calls.rs
@@ -1,4 +1,4 @@
-//! Callers: what their calls change, who decides on them, and what they are told.
+//! Calls: which changes they make, who decides on them, and how they are answered.
 
 use crate::leader::Role;
 use crate::versions::{self, VersionStatus};
@@ -8,39 +8,40 @@
 use fennelscale_messages::depot::{Ask, CallId, Change, Entry, Named, Stamp, Told, Word};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A call that was passed on and not answered is taken up here after this: the way there and back, twice.
+/// A forwarded call that is not answered is retried locally after this time: two round trips.
 const FORWARD_TIMEOUT: Millis = 450.0;
-/// A call that waits for the turn longer than this has no clear answer; its caller has gone on by then.
+/// A call that is queued for longer than this is answered with an unknown outcome; its caller has given up by
+/// then.
 const QUEUE_TIMEOUT: Millis = 2500.0;
-/// A reader waits this long for what its copy lacks.
+/// Time that a reader waits for entries missing from the local copy.
 const READ_TIMEOUT: Millis = 1500.0;
-/// The most calls that wait at once; more are told that nothing is clear.
+/// Maximum number of queued calls; further calls are answered with an unknown outcome.
 const MAX_QUEUED_CALLS: usize = 1024;
 
-/// Who waits for the answer.
+/// Who waits for the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
-    /// This machine's registry; its number of the call.
+    /// The local registry, with its number for the call.
     Registry(u64),
-    /// Another store, which passed it on.
+    /// Another replica, which forwarded the call.
     Peer(Host, CallId),
 }
 
-/// A call whose answer is owed.
+/// A call that has to be answered.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
     pub(crate) origin: Origin,
     pub(crate) received_at: Millis,
 }
 
-/// What a caller is told once the write that its answer rests on is chosen.
+/// Response to a call, sent once the write that it depends on is chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Reply {
-    /// Its call is in force, or has been.
+    /// The change is in force, now or already before.
     Done,
-    /// The items.
+    /// The entries.
     Read,
-    /// It cannot be.
+    /// The change is not possible.
     Rejected(Told),
 }
 
@@ -48,7 +49,7 @@
 struct ForwardedCall {
     ticket: Ticket,
     ask: Ask,
-    /// The store that it was passed on to: nobody else answers it.
+    /// Replica that the call was forwarded to; a response from any other is ignored.
     target: Host,
     deadline: Millis,
 }
@@ -56,9 +57,9 @@
 #[derive(Clone, Debug)]
 struct PendingRead {
     ticket: Ticket,
-    /// The copy has to be complete up to here.
+    /// Position that the local copy must reach.
     required: Stamp,
-    /// The store that is.
+    /// Replica whose copy is complete up to there.
     source: Host,
     deadline: Millis,
 }
@@ -79,7 +80,7 @@
 }
 
 impl Replica {
-    /// A call from outside, or one that another store passes on.
+    /// Handles a call of the local registry or one forwarded by another replica.
     pub fn submit(&mut self, now: Millis, origin: Origin, ask: Ask) {
         let ask = match ask {
             Ask::Evacuate(zone, on, None) => {
@@ -98,7 +99,7 @@
             Role::Follower => {}
         }
         if !Self::is_local(&ticket.origin) {
-            // Who passed it on takes it up itself.
+            // The replica that forwarded the call retries it locally.
             return self.answer_unknown(ticket);
         }
         let heard = |host: &&Host| {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The turn is here: calls that waited for it are decided.
+    /// Decides the queued calls once this replica is the leader.
     pub(crate) fn process_queue(&mut self, now: Millis) {
         for (ticket, ask) in std::mem::take(&mut self.calls.queued) {
             self.decide(now, ticket, ask);
@@ -173,7 +174,7 @@
         self.start_election(now);
     }
 
-    /// The copy is complete up to a later place: readers that waited for it are answered.
+    /// Answers the readers whose required position the local copy has reached.
     pub(crate) fn answer_ready_reads(&mut self) {
         let position = self.progress.position;
         let (ready, rest): (Vec<PendingRead>, Vec<PendingRead>) =
@@ -182,7 +183,8 @@
         ready.into_iter().for_each(|reading| self.answer_items(reading.ticket));
     }
 
-    /// Readers whose copy is not there yet: what came was older than what they need.
+    /// Expires readers past their deadline. For the others it asks again: the entries received so far were
+    /// older than required.
     fn expire_reads(&mut self, now: Millis) {
         let (over, rest): (Vec<PendingRead>, Vec<PendingRead>) =
             std::mem::take(&mut self.calls.pending_reads).into_iter().partition(|r| now >= r.deadline);
@@ -216,7 +218,7 @@
                 if self.known_leader(now).is_none() {
                     self.start_election(now);
                 } else {
-                    // Another got the turn that these waited for.
+                    // Another replica became leader in the meantime.
                     for (ticket, ask) in std::mem::take(&mut self.calls.queued) {
                         self.dispatch(now, ticket, ask);
                     }
@@ -226,8 +228,8 @@
         self.expire_reads(now);
     }
 
-    /// What a call writes: of each item the new version, nothing where it is there already. A call is whole: where one of its items
-    /// cannot be, none of them is.
+    /// Entries that a call writes: the new version of each, or none if it is already in force. If one change
+    /// is not possible, none of them is made.
     pub(crate) fn entries_for(&self, changes: Vec<Change>) -> Result<Vec<Named>, Told> {
         let mut entries = Vec::new();
         let mut facts = Changes::new();
@@ -259,8 +261,8 @@
         Ok(entries)
     }
 
-    /// The host that a change writes. Who shares a failure order is said with its first version: with others later, its parts would
-    /// add up to more.
+    /// Host value that a change writes. The proxies that share a fault-injection order are fixed by its first
+    /// version: with other proxies in a later one, their shares would add up to more than the total.
     fn host_for(&self, change: &Change) -> String {
         let stands =
             self.latest_entry(&change.name).filter(|known| known.body.is_some() && change.body.is_some());
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Tells a caller what its call came to, now that what it rests on is chosen.
+    /// Answers a caller once the write that the response depends on is chosen.
     pub(crate) fn reply(&mut self, ticket: Ticket, reply: Reply) {
         match (reply, &ticket.origin) {
             (Reply::Done, _) => self.answer(ticket, Told::Done),
--- a/system/replication/src/catch_up.rs
+++ b/system/replication/src/catch_up.rs
@@ -1,43 +1,47 @@
-//! How a copy that is behind gets what it lacks: in chunks of a bounded size, from any store that votes.
+//! Catch-up: a copy that is behind fetches the missing entries in chunks of bounded size from any voting
+//! replica.
 //!
-//! An asker says up to where it is complete (`since`), and gets what has a stamp from there on, in the order of names. It may go on with
-//! another store after each chunk, or after a start of its own: each name was told by a store that was complete up to some position, so
-//! the asker is complete up to the lowest of these once the last name is through. What is chosen meanwhile is the next transfer's.
+//! The requester says up to which stamp it is complete (`since`) and receives the entries from that stamp on,
+//! ordered by name. It may continue with another replica after each chunk or after a restart: each chunk
+//! comes from a replica that was complete up to some position, so after the last one the requester is
+//! complete up to the lowest of these. Entries chosen in the meantime are left to the next transfer.
 
 use crate::{MEMBERS_KEY, Millis, Replica};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Chunk, Entry, Named, Stamp, Word};
 use std::ops::Bound;
 
-/// A chunk holds entries of about this many bytes; an entry that is longer goes alone. Small beside a beat's period on any link, and
-/// beside what a store may hold in memory.
+/// Approximate size of a chunk; a longer entry is sent alone. Small compared to what any link carries in a
+/// heartbeat interval and to the memory limit of a replica.
 pub const CHUNK_BYTES: usize = 128 << 10;
-/// A chunk looks at so many names at most: those that it passes over cost time too.
+/// Maximum number of names that one chunk examines: entries that it skips take time too.
 const MAX_CHUNK_SCAN: usize = 4096;
-/// A chunk that does not come is asked for at another store after this: the longest way there and back, twice, and some.
+/// A chunk that does not arrive is requested from another replica after this time: two of the longest round
+/// trips and some slack.
 const CHUNK_TIMEOUT: Millis = 700.0;
-/// A peer that holds something else up to the same place in so many beats in a row is compared with from the begin.
+/// After this many consecutive heartbeats with the same position and another digest, all entries are fetched
+/// from the peer.
 const MAX_DIGEST_MISMATCHES: u8 = 4;
 
-/// A transfer under way.
+/// A transfer in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Transfer {
     since: Stamp,
     after: String,
-    /// The lowest position of the stores that told a part.
+    /// Lowest position of the replicas that sent a chunk.
     complete_to: Option<Stamp>,
     source: Host,
     requested_at: Millis,
 }
 
-/// What an entry takes in a message, about.
+/// Approximate encoded size of an entry.
 fn entry_size(name: &str, entry: &Entry) -> usize {
     let body = entry.body.as_ref().map_or(0, String::len);
     64 + name.len() + entry.host.len() + body + 16 * entry.history.len()
 }
 
 impl Replica {
-    /// What is held as chosen with this stamp or a later one; none if that is more than one chunk.
+    /// Chosen entries with this stamp or a later one; none if they exceed one chunk.
     pub(crate) fn entries_since(&self, since: Stamp) -> Option<Vec<Named>> {
         let (mut tail, mut bytes) = (Vec::new(), 0);
         for (_, name) in self.chosen_by_stamp.range((since, String::new())..) {
@@ -51,7 +55,7 @@
         Some(tail)
     }
 
-    /// Entries from a name on, and the name to go on after if there are more.
+    /// The next chunk of entries after a name, and the name to continue after if there are more.
     fn next_chunk(&self, since: Stamp, after: &str) -> (Vec<Named>, Option<String>) {
         let names = self.items.range::<str, _>((Bound::Excluded(after), Bound::Unbounded));
         let (mut entries, mut bytes) = (Vec::new(), 0);
@@ -83,7 +87,7 @@
         self.send(from, Word::Chunk(Chunk { since, after, entries, next, position }));
     }
 
-    /// Asks a store for what this copy lacks, if nothing is asked for already.
+    /// Starts to fetch missing entries from a replica, unless a transfer is in progress.
     pub(crate) fn start_transfer(&mut self, now: Millis, from: Host) {
         let since = self.progress.position;
         self.start_transfer_since(now, from, since);
@@ -125,7 +129,7 @@
         }
     }
 
-    /// A transfer that stands still goes on with another store, where it was.
+    /// Continues a stalled transfer with another replica, where it stopped.
     pub(crate) fn transfer_tick(&mut self, now: Millis) {
         let others = self.other_members();
         let Some(transfer) = &mut self.transfer else { return };
@@ -142,8 +146,9 @@
         self.send(next, Word::Fetch { since, after });
     }
 
-    /// A beat says what a voting peer holds: what it knows to be chosen is chosen here too, and what is lacking is asked for. Copies that
-    /// are complete up to the same place and still differ are compared from the begin: nothing known leads there.
+    /// Handles the position and digest in a voting peer's heartbeat: marks as chosen what the peer knows to
+    /// be chosen, and fetches what is missing. Two copies with the same position and different contents are
+    /// compared from the start; no known fault leads there.
     pub(crate) fn compare_with_peer(&mut self, now: Millis, from: Host, newest: Stamp, digest: u64) {
         self.mark_chosen(newest.epoch, newest.turn);
         let (position, own_newest, own_digest) = (self.progress.position, self.chosen_end(), self.digest);
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Entries that another copy holds as chosen.
+    /// Merges entries that another replica holds as chosen.
     pub(crate) fn merge_chosen(&mut self, entries: Vec<Named>) {
         for (name, entry) in entries {
             let known = self.items.get(&name).and_then(|item| item.chosen.as_ref()).map(|c| c.stamp);
@@ -171,7 +176,7 @@
         }
     }
 
-    /// Tells another store the list of seats.
+    /// Sends the member list to another replica.
     pub(crate) fn send_members(&mut self, to: Host) {
         if let Some(entry) = self.items.get(MEMBERS_KEY).and_then(|item| item.chosen.clone()) {
             self.send(to, Word::SeatList(entry));
--- a/system/replication/src/leader.rs
+++ b/system/replication/src/leader.rs
@@ -1,7 +1,8 @@
-//! The one who writes at the moment: asks for its turn, takes over what may have been chosen, and has writes taken.
+//! Leader: runs for election, takes over what may have been chosen, and proposes writes.
 //!
-//! Any seat may ask for the turn; two who ask at once are told apart by their epochs. Who has it decides calls by its own
-//! view, and may: nothing else can be taken by a quorum until another has asked a quorum.
+//! Any member may start an election; terms order candidates that compete. The leader decides calls by its own
+//! latest entries. That is safe because no quorum accepts anything else until another candidate has collected
+//! promises from a quorum.
 
 use crate::calls::{Origin, Reply, Ticket};
 use crate::{HEARTBEAT_INTERVAL, Millis, Output, Replica};
@@ -9,23 +10,24 @@
 use fennelscale_messages::depot::{Ask, Entry, Epoch, Named, Stamp, Told, Word};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Asking for the turn is given up after this; guards against quorums that are not there.
+/// A candidate gives up after this time, for instance when no quorum is reachable.
 const ELECTION_TIMEOUT: Millis = 700.0;
-/// A write that is not taken by all is sent again after this.
+/// A write that some members have not accepted is sent again after this time.
 const RESEND_INTERVAL: Millis = 500.0;
-/// A writer that has heard no word of a quorum for this long ends its turn: four beats, and some.
+/// A leader that has heard nothing from a quorum for this long ends its term: four heartbeats and some slack.
 pub const QUORUM_CONTACT_TIMEOUT: Millis = 2000.0;
-/// One whose write is not taken for this long does so too, whatever it hears: its own words may not arrive.
+/// A leader whose write is not accepted by a quorum for this long also ends its term, even if it hears from
+/// the members: its own messages may not arrive.
 pub const ACCEPT_TIMEOUT: Millis = 2500.0;
 
-/// Whether this store writes.
+/// Role of this replica in the current term.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
-    /// It does not.
+    /// Neither leads nor wants to.
     Follower,
-    /// It asks to.
+    /// Has asked the members for their promises.
     Candidate(Campaign),
-    /// It does.
+    /// Leads, and proposes writes.
     Leader(Leadership),
 }
 
@@ -41,13 +43,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Leadership {
     pub(crate) epoch: Epoch,
-    /// The turn's first write, for seats that missed it.
+    /// First write of the term, kept for members that missed it.
     initial_entries: Vec<Named>,
     next_write: u64,
-    /// DiskWrites below this are chosen.
+    /// Writes below this number are chosen.
     chosen_below: u64,
     in_flight: BTreeMap<u64, InFlightWrite>,
-    /// The list of seats changes: until that is chosen nothing else is written.
+    /// Number of a write that changes the member list; nothing else is proposed until it is chosen.
     pub(crate) membership_change: Option<u64>,
 }
 
@@ -55,14 +57,14 @@
 struct InFlightWrite {
     entries: Vec<Named>,
     accepted_by: BTreeSet<Host>,
-    /// Who is told what when it is chosen.
+    /// Replies to send once the write is chosen.
     replies: Vec<(Ticket, Reply)>,
     proposed_at: Millis,
     last_sent: Millis,
 }
 
 impl Replica {
-    /// Asks for the turn.
+    /// Starts an election: promises a new term to itself and asks the other members for theirs.
     pub(crate) fn start_election(&mut self, now: Millis) {
         if !self.voting || !matches!(self.role, Role::Follower) {
             return;
@@ -81,7 +83,8 @@
         self.check_promises(now);
     }
 
-    /// A seat holds more than a promise can tell: who is so far behind catches up first and then asks again.
+    /// Ends the election when a member holds more chosen entries than a promise can carry: this replica
+    /// catches up first and then tries again.
     pub(crate) fn abandon_election(&mut self, now: Millis, from: Host, epoch: Epoch) {
         if matches!(&self.role, Role::Candidate(campaign) if campaign.epoch == epoch) {
             self.log("writer-behind", format!("round={} peer={from}", epoch.round));
@@ -131,9 +134,10 @@
         self.process_queue(now);
     }
 
-    /// What a new turn takes over. A value that was chosen is pending or chosen at one of the quorum that promised. What is
-    /// older than the newest turn that any of these joined, and is neither chosen there nor in that turn's first write, cannot
-    /// have been: who joins a turn holds all that was chosen before it ([`Replica::on_begin`]), by the quorum that its writer asked.
+    /// Entries that a new term takes over. A chosen value is chosen or pending at one of the members that
+    /// promised. A value from before the newest term that any of them joined, which is neither chosen there
+    /// nor in that term's first write, cannot have been chosen: by the quorum that its leader asked, a member
+    /// that joins a term holds everything chosen before it ([`Replica::on_begin`]).
     fn recovered_entries(&self, campaign: &Campaign) -> Vec<Named> {
         let stamp = Stamp { epoch: campaign.epoch, turn: 0 };
         let newer = |name: &str, entry: &Entry| {
@@ -145,8 +149,9 @@
         recovered.map(|(name, entry)| (name.clone(), Entry { stamp, ..entry.clone() })).collect()
     }
 
-    /// Has entries taken by all seats; their stamps are set here. Callers are answered once they are chosen. A write of nothing is a
-    /// round of contact: once it is chosen, no other store can have begun a turn before it was sent.
+    /// Proposes entries to all members and sets their stamps; callers are answered once the write is chosen.
+    /// An empty write checks contact with a quorum: once it is chosen, no other replica can have started a
+    /// term before it was sent.
     pub(crate) fn propose(&mut self, now: Millis, mut entries: Vec<Named>, replies: Vec<(Ticket, Reply)>) {
         let local = self.config.local.host;
         let Role::Leader(leadership) = &mut self.role else { return };
@@ -174,7 +179,7 @@
         self.advance_chosen(now);
     }
 
-    /// A write as it is sent to seats.
+    /// The message that carries a write.
     fn message_for_write(&self, stamp: Stamp, entries: Vec<Named>, chosen: u64) -> Word {
         match stamp.turn {
             0 => Word::Begin { epoch: stamp.epoch, entries, digest: self.digest, lacked: None },
@@ -182,8 +187,8 @@
         }
     }
 
-    /// Answers a call that needs nothing written, after a round of contact with a quorum under this turn. Nothing that a writer says
-    /// rests on its own view alone: cut off, it would confirm or refuse by what is no longer so.
+    /// Answers a call that writes nothing, after a round trip to a quorum in this term. A leader never
+    /// answers from its local state alone: if it was cut off, that state may be outdated.
     fn confirm_leadership(&mut self, now: Millis, ticket: Ticket, reply: Reply) {
         self.propose(now, Vec::new(), vec![(ticket, reply)]);
     }
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Writes are chosen in their order: what a later one was decided by must be there first.
+    /// Marks writes as chosen, in order: a later write was decided on the basis of the earlier ones.
     fn advance_chosen(&mut self, now: Millis) {
         loop {
             let quorum = self.quorum();
@@ -242,7 +247,7 @@
         self.step_down(epoch);
     }
 
-    /// Another has the turn. What is out may still be chosen, or not.
+    /// Steps down for a leader or candidate of a higher term. Writes in flight may or may not be chosen.
     pub(crate) fn step_down(&mut self, epoch: Epoch) {
         let mine = match &self.role {
             Role::Follower => return,
@@ -255,7 +260,8 @@
         self.end_term(&format!("by={}", epoch.seat));
     }
 
-    /// Ends the turn, or gives up asking for one. What is out may still be chosen, or not: its callers have no clear answer.
+    /// Ends the term or the candidacy. Writes in flight may or may not be chosen, so their callers are told
+    /// that the outcome is unknown.
     fn end_term(&mut self, why: &str) {
         self.last_contact.clear();
         if let Role::Leader(leadership) = std::mem::replace(&mut self.role, Role::Follower) {
@@ -266,12 +272,12 @@
         }
     }
 
-    /// Why a writer has to end its turn by itself, if it has to.
+    /// The reason why the leader must end its term by itself, if there is one.
     fn step_down_reason(&self, now: Millis) -> Option<&'static str> {
         let Role::Leader(leadership) = &self.role else { return None };
         let heard =
             |host: &Host| self.last_contact.get(host).is_some_and(|at| now - at < QUORUM_CONTACT_TIMEOUT);
-        // Itself included; its turn began with words of a quorum.
+        // Counts the leader itself. Its term began with messages from a quorum.
         let heard_from = 1 + self.other_members().iter().filter(|host| heard(host)).count();
         if heard_from < self.quorum() {
             return Some("out-of-contact");
@@ -280,8 +286,9 @@
         (now - oldest.proposed_at >= ACCEPT_TIMEOUT).then_some("not-taken")
     }
 
-    /// A seat lacks the first write of the turn, or what is chosen since before it: it gets both, and all that is out. One that lacks
-    /// more than a message bears gets the first chunk of it, and says once more that it is behind when it has caught up.
+    /// A member lacks the first write of the term or earlier chosen entries: it gets both and all writes in
+    /// flight. If it lacks more than one message can carry, it is told to fetch the entries in chunks; it
+    /// reports that it is behind once more when it has caught up.
     pub(crate) fn on_behind(&mut self, from: Host, epoch: Epoch, since: Stamp) {
         let Role::Leader(leadership) = &self.role else { return };
         if leadership.epoch != epoch {
@@ -331,7 +338,7 @@
         }
     }
 
-    /// Who is thought to write, if that was heard lately and is not about to leave.
+    /// The presumed leader, if it was heard from recently and is not about to leave.
     pub(crate) fn known_leader(&self, now: Millis) -> Option<Host> {
         let seat = self.acceptor.promised.seat;
         let peer = self.peers.get(&seat)?;
@@ -339,7 +346,7 @@
         (counts && now - peer.last_heartbeat < 2.5 * HEARTBEAT_INTERVAL).then_some(seat)
     }
 
-    /// Decides what a call writes, by the view of who writes.
+    /// Decides what a call writes, based on the latest entries of the leader.
     pub(crate) fn decide(&mut self, now: Millis, ticket: Ticket, ask: Ask) {
         let changing_members = matches!(&self.role, Role::Leader(h) if h.membership_change.is_some());
         if changing_members || self.has_write_in_flight(&ask) {
@@ -357,7 +364,8 @@
                 let all =
                     self.items.keys().filter_map(|name| Some((name.as_str(), self.latest_entry(name)?)));
                 if fennelscale_maintenance::seen(all) != seen {
-                    // Something that had a say in it has changed since it was decided: this is the fence.
+                    // An entry that the decision depended on has changed since: this check is the fence
+                    // against outdated decisions.
                     let told = Told::Conflict("decided from an older view".into());
                     return self.confirm_leadership(now, ticket, Reply::Rejected(told));
                 }
@@ -373,10 +381,12 @@
                 let known = self.latest_entry(&name);
                 let (stands, revision) = known.map_or((false, 0), |e| (e.body.is_some(), e.revision));
                 if stands != on && seen.is_some_and(|seen| seen != revision) {
-                    // Another order came between, or the copy that took this one was old: who sends it again is heard.
+                    // Another order came in between, or the replica that received this one was behind; the
+                    // caller may send it again.
                     return self.answer_unknown(ticket);
                 }
-                // Also where it stands already: an order that was held up and came before this one must find another version.
+                // The version advances even if the state is the same, so that a delayed earlier order finds
+                // another version.
                 let body = on.then(|| "{}".to_owned());
                 let entry = Entry { revision: revision + 1, body, ..Entry::default() };
                 self.propose(now, vec![(name, entry)], vec![(ticket, Reply::Done)]);
@@ -389,8 +399,9 @@
         }
     }
 
-    /// Whether a call writes a name whose last write is out and not chosen. Each name has one place for what is taken: a second
-    /// write in it would hide the first, which may have been acknowledged in an earlier turn, from whoever reads in between.
+    /// Whether a call writes an entry whose last write is in flight. Each entry has room for one pending
+    /// version: a second one would hide the first, which may have been acknowledged in an earlier term, from
+    /// a reader in between.
     fn has_write_in_flight(&self, ask: &Ask) -> bool {
         let in_flight = |name: &str| self.items.get(name).is_some_and(|item| item.pending.is_some());
         match ask {
@@ -402,7 +413,7 @@
         }
     }
 
-    /// Whether the origin of a call is this machine's registry.
+    /// Whether a call came from the local registry.
     pub(crate) fn is_local(origin: &Origin) -> bool {
         matches!(origin, Origin::Registry(_))
     }
--- a/system/replication/src/lib.rs
+++ b/system/replication/src/lib.rs
@@ -1,28 +1,36 @@
-//! The store of configuration: one machine for each core, which holds a copy of every item (its *seat*) and lets any of them
-//! take a write. In the literature's terms: a replicated register map under quorums with per-item stamps, whose writer of
-//! the moment is fenced by a ballot.
+//! Replicated store of configuration entries. Every core machine runs one replica, which holds a copy of
+//! every entry, and any replica accepts calls.
 //!
-//! # What holds
+//! The algorithm is a quorum-replicated register map with a stamp per entry. A leader, fenced by its term as
+//! in Multi-Paxos, orders the writes.
 //!
-//! - An item that was acknowledged is on the disks of a quorum ([`quorum`]), and every later writer and every reader that
-//!   asks a quorum finds it. Two quorums share two seats where the number of seats allows, so one that has forgotten
-//!   everything cannot make it unseen.
-//! - Nothing goes out as news before it is chosen; so nobody ever sees a value that might not come to be.
-//! - A call is taken whole or not at all: its entries are one write, taken by each seat in one step of its disk.
-//! - A call that was refused is never in force: who writes next takes from earlier turns only what may have been chosen
-//!   ([`Replica::base`]), before it decides on anything.
-//! - Copies merge name by name, the higher stamp stays: order, repetition and loss of words change nothing.
+//! # Invariants
 //!
-//! # What the caller owes
+//! - An acknowledged entry is on the disks of a quorum ([`quorum`]), so every later leader and every reader
+//!   that asks a quorum finds it. Where there are enough members two quorums share two of them, so one member
+//!   that lost its disk cannot hide an entry.
+//! - An entry is published only after it is chosen, so nobody sees a value that might still be discarded.
+//! - A call is atomic: its entries form one write, which each member persists in one step.
+//! - A rejected call never takes effect: before it decides on any call, a new leader takes over from earlier
+//!   terms only what may have been chosen ([`Replica::recovered_entries`]).
+//! - Copies merge entry by entry and the higher stamp wins, so reordered, repeated or lost messages are
+//!   harmless.
 //!
-//! After each input: take [`Replica::take_writes`], bring them to the disk and sync, and only then carry out [`Replica::take_outputs`]. Words to
-//! one seat go out in order or not at all. `now` never goes back.
+//! # Duties of the host
 //!
-//! # Inside
+//! After each input, persist and sync [`Replica::take_writes`], and only then carry out
+//! [`Replica::take_outputs`]. Messages to one member are delivered in order or not at all. `now` never goes
+//! back.
 //!
-//! `seat` is what takes (promises, accepts), `writer` what proposes, `position` up to where a copy is complete, `catch_up` how one
-//! that is not gets there, `founding` and `membership` who has a seat, `calls` what callers are told, `versions` what a change
-//! comes to by the versions that its item has had.
+//! # Modules
+//!
+//! - `acceptor`: promises, and acceptance of writes.
+//! - `leader`: elections, and proposal of writes.
+//! - `position`: up to which stamp a copy is complete.
+//! - `catch_up`: transfer of missing entries.
+//! - `bootstrap`, `membership`: who is a member.
+//! - `calls`: calls and their responses.
+//! - `versions`: how a change relates to the earlier versions of its entry.
 
 mod acceptor;
 mod bootstrap;
@@ -46,52 +54,54 @@
 pub use leader::{ACCEPT_TIMEOUT, QUORUM_CONTACT_TIMEOUT};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds of a clock that never goes back.
+/// Milliseconds of a monotonic clock.
 pub type Millis = f64;
 
-/// The name of the list of seats.
+/// Name of the entry that holds the member list.
 pub const MEMBERS_KEY: &str = "m:seats";
 
-/// Between two beats.
+/// Interval between heartbeats.
 pub const HEARTBEAT_INTERVAL: Millis = 400.0;
-/// A seat that was not heard for this long is not counted on: three beats, and the longest way.
+/// A member that was not heard from for this long does not count as up: three heartbeats and the longest
+/// one-way delay.
 pub const PEER_TIMEOUT: Millis = 1300.0;
-/// A write that a living writer does not choose is asked for after this.
+/// Time after which a member starts an election because a leader that is up has not reported a write as
+/// chosen.
 const STUCK_WRITE_TIMEOUT: Millis = 2600.0;
-/// Seats that ask by themselves do so one after the other, this far apart.
+/// Delay between the elections of successive members, so that they do not compete.
 const ELECTION_STAGGER: Millis = 250.0;
 
-/// Of one name: what is chosen, and what was taken but is not known to be.
+/// State of one entry: the chosen version, and one that was accepted but is not known to be chosen.
 #[derive(Clone, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub struct Item {
-    /// Chosen.
+    /// Newest version known to be chosen.
     pub chosen: Option<Entry>,
-    /// Taken.
+    /// Accepted version that is not known to be chosen.
     pub pending: Option<Entry>,
 }
 
-/// What a seat must not forget beside its items.
+/// Durable state of the acceptor besides its entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub struct AcceptorState {
-    /// Nothing of earlier turns is taken any more.
+    /// Highest promised term; writes of earlier terms are rejected.
     pub promised: Epoch,
-    /// The turn whose first write was taken last.
+    /// Latest term whose first write was accepted.
     pub joined: Epoch,
 }
 
-/// What was on the disk at the start.
+/// Contents of the disk at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// What was promised; none on an empty disk.
+    /// Acceptor state; none on an empty disk.
     pub acceptor: Option<AcceptorState>,
-    /// How far the copy goes, and how this store was started first.
+    /// Up to where the copy is complete, and the role at the first start.
     pub progress: Progress,
-    /// The items.
+    /// Entries by name.
     pub items: BTreeMap<String, Item>,
 }
 
 impl PersistedState {
-    /// What a disk holds after a write.
+    /// Applies a write, as the disk does.
     pub fn apply(&mut self, writes: DiskWrites) {
         let DiskWrites { acceptor, progress, items } = writes;
         self.acceptor = acceptor.or(self.acceptor);
@@ -100,46 +110,46 @@
     }
 }
 
-/// What must be on the disk before anything is sent.
+/// Changes that must be persisted before any output is carried out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiskWrites {
-    /// The promises, where they have changed.
+    /// Acceptor state, if it changed.
     pub acceptor: Option<AcceptorState>,
-    /// How far the copy goes, with all else that is written.
+    /// Progress, stored with every other write.
     pub progress: Option<Progress>,
-    /// The items that have changed.
+    /// Entries that changed.
     pub items: Vec<(String, Item)>,
 }
 
-/// What the host does, once the writes are safe.
+/// Action for the host to carry out once the writes are persisted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Sends a word to a seat.
+    /// Sends a message to another replica.
     Send(Host, Word),
-    /// Answers a call of this machine's registry.
+    /// Answers a call of the local registry.
     Answer(u64, Told),
-    /// Tells the registry of entries that are chosen now.
+    /// Reports newly chosen entries to the registry.
     Chosen(Vec<Named>),
-    /// Tells the registry of the seats.
+    /// Reports the member list to the registry.
     Members(Seats),
-    /// Tells the registry whether this copy is as new as a quorum's, with each beat.
+    /// Reports with each heartbeat whether this copy is as new as a quorum's.
     UpToDate(bool),
-    /// A line for the log: the event and what it is about.
+    /// Writes a log line: the event and its details.
     Log(&'static str, String),
 }
 
-/// What the machine is told of its place.
+/// Settings of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
     /// This machine.
     pub local: Seat,
-    /// Machines that are told to be there, in the order of the settings.
+    /// Configured addresses of machines to contact first, in order.
     pub seeds: Vec<Host>,
-    /// The whole system starts for the first time.
+    /// Whether the whole cluster starts for the first time.
     pub bootstrap: bool,
-    /// The machines, zones and regions that may be lost at once.
+    /// Numbers of machines, zones and regions whose simultaneous loss is tolerated.
     pub fault_tolerance: (usize, usize, usize),
-    /// A number of this life, for what is drawn by chance.
+    /// Number of this incarnation of the process; also seeds random choices.
     pub incarnation: u64,
 }
 
@@ -149,56 +159,56 @@
     voting: bool,
     leaving: bool,
     unconfirmed: bool,
-    /// The stamp after the newest entry that it holds as chosen.
+    /// Stamp after the newest entry that the peer holds as chosen.
     chosen_end: Stamp,
-    /// Beats in a row in which it held the same up to the same place, by its word, and something else by its digest.
+    /// Consecutive heartbeats with the same position as this copy and a different digest.
     digest_mismatches: u8,
 }
 
-/// One store.
+/// State machine of one replica.
 #[derive(Clone, Debug)]
 pub struct Replica {
     config: ReplicaConfig,
     acceptor: AcceptorState,
     items: BTreeMap<String, Item>,
-    /// What the items say, by the newest word on each.
+    /// Configuration view of the latest version of each entry.
     latest_config: Standing,
-    /// Of the chosen entries.
+    /// Hash of all chosen entries.
     digest: u64,
-    /// The chosen entries by their stamps.
+    /// Chosen entries by stamp.
     chosen_by_stamp: BTreeSet<(Stamp, String)>,
-    /// Names with something that was taken and is not known to be chosen.
+    /// Names of entries with an accepted version that is not known to be chosen.
     pending_names: BTreeSet<String>,
     progress: Progress,
     accepted_prefix: position::AcceptedPrefix,
     transfer: Option<catch_up::Transfer>,
     members: Seats,
-    /// This seat has forgotten nothing.
+    /// Whether this member votes: it remembers every promise that it gave.
     voting: bool,
     leaving: bool,
     role: Role,
     peers: BTreeMap<Host, Peer>,
-    /// When the last word of any kind came from each seat.
+    /// When the last message of any kind came from each member.
     last_contact: BTreeMap<Host, Millis>,
-    /// Machines without a seat that would take one.
+    /// Machines that are not members and would like to be.
     learners: BTreeMap<Host, membership::Learner>,
     calls: calls::Calls,
-    /// The highest turn that was heard of.
+    /// Highest term number seen.
     highest_round: u64,
-    /// When the next beat, announcement and change of seats are due.
+    /// When the next heartbeat, announcement and membership change are due.
     next_heartbeat: Millis,
     next_announcement: Millis,
     next_membership_change: Millis,
-    /// When this life began, when the list of seats last changed, and the time as it was told last.
+    /// When this incarnation started, when the member list last changed, and the time of the last tick.
     started_at: Millis,
     members_changed_at: Millis,
     last_tick: Millis,
     up_to_date: bool,
-    /// The oldest write that was taken here and is not known to be chosen, and since when it is.
+    /// Oldest accepted write that is not known to be chosen, and since when it is pending.
     oldest_pending: Option<(Stamp, Millis)>,
-    /// There was such a write on the disk at the start: it may have been acknowledged.
+    /// Whether such a write was on the disk at startup; it may have been acknowledged.
     unconfirmed: bool,
-    /// What learned from whom, while everything is forgotten.
+    /// Members whose state was received during recovery, and the pending entries that they reported.
     recovery_sources: BTreeSet<Host>,
     recovered_pending: BTreeMap<String, Item>,
     dirty_items: BTreeSet<String>,
@@ -208,8 +218,8 @@
     outputs: Vec<Output>,
 }
 
-/// How many of these seats a write needs: so many that two quorums share two seats, where that many are still there after
-/// the losses that are to be borne; else a bare majority, which is what is left then.
+/// Number of members that a write needs. Two quorums share two members if that many remain after the
+/// tolerated losses; otherwise a bare majority is enough, since no more would be left.
 pub fn quorum(seats: &Seats, (machines, zones, regions): (usize, usize, usize)) -> usize {
     let n = seats.seats.len();
     let largest = |of: fn(&Seat) -> &str, count: usize| {
@@ -226,7 +236,7 @@
 }
 
 impl Replica {
-    /// A store with what its disk held.
+    /// Creates a replica from the contents of its disk.
     pub fn new(config: ReplicaConfig, persisted: PersistedState, now: Millis) -> Self {
         let PersistedState { acceptor, progress, items } = persisted;
         let blank = acceptor.is_none();
@@ -280,7 +290,7 @@
         replica
     }
 
-    /// Makes all that is derived from the items.
+    /// Rebuilds everything that is derived from the entries.
     fn rebuild_indexes(&mut self) {
         let names: Vec<String> = self.items.keys().cloned().collect();
         for name in &names {
@@ -296,11 +306,11 @@
         }
     }
 
-    /// What must be on the disk before [`Self::take_outputs`] are carried out.
+    /// Takes the changes that must be persisted before [`Self::take_outputs`] is carried out.
     pub fn take_writes(&mut self) -> DiskWrites {
         let acceptor = std::mem::take(&mut self.dirty_acceptor).then_some(self.acceptor);
         let dirty = std::mem::take(&mut self.dirty_items);
-        // How far the copy goes is told with what it goes by; alone it is not worth a sync.
+        // Progress is persisted with other changes; on its own it is not worth a sync.
         let write = std::mem::take(&mut self.dirty_progress) || acceptor.is_some() || !dirty.is_empty();
         let progress = write.then_some(self.progress);
         let item = |name: String| {
@@ -310,7 +320,7 @@
         DiskWrites { acceptor, progress, items: dirty.into_iter().map(item).collect() }
     }
 
-    /// What is to be done, in this order.
+    /// Takes the pending actions, in the order in which they are to be carried out.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         let news = std::mem::take(&mut self.newly_chosen);
         if !news.is_empty() {
@@ -319,18 +329,18 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// All that is chosen, for a registry that begins to listen.
+    /// All chosen entries except the member list, for a registry that connects.
     pub fn published_entries(&self) -> Vec<Named> {
         let chosen = self.chosen_entries().filter(|(name, _)| *name != MEMBERS_KEY);
         chosen.map(|(name, entry)| (name.clone(), versions::without_history(entry))).collect()
     }
 
-    /// The entries that are chosen, the list of seats among them.
+    /// All chosen entries, including the member list.
     pub fn chosen_entries(&self) -> impl Iterator<Item = (&String, &Entry)> {
         self.items.iter().filter_map(|(name, item)| Some((name, item.chosen.as_ref()?)))
     }
 
-    /// The list of seats.
+    /// Current member list.
     pub fn members(&self) -> &Seats {
         &self.members
     }
@@ -340,22 +350,22 @@
         self.up_to_date
     }
 
-    /// Whether this store is the one that writes.
+    /// Whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this store counts towards a quorum.
+    /// Whether this replica votes and counts towards a quorum.
     pub fn is_voting(&self) -> bool {
         self.voting
     }
 
-    /// What was promised.
+    /// Durable state of the acceptor.
     pub fn acceptor(&self) -> AcceptorState {
         self.acceptor
     }
 
-    /// An item, with what is pending of it.
+    /// State of one entry, including its pending version.
     pub fn item(&self, name: &str) -> Option<&Item> {
         self.items.get(name)
     }
@@ -381,7 +391,7 @@
         self.outputs.push(Output::Log(event, what));
     }
 
-    /// The newest word on a name: what is taken in this turn goes before what is chosen.
+    /// Latest version of an entry: the pending one if there is one, otherwise the chosen one.
     fn latest_entry(&self, name: &str) -> Option<&Entry> {
         let item = self.items.get(name)?;
         item.pending.as_ref().or(item.chosen.as_ref())
@@ -393,7 +403,7 @@
         self.latest_config.set(name, fact);
     }
 
-    /// Time passes; to be told every so often, at least each quarter of a [`HEARTBEAT_INTERVAL`].
+    /// Handles timeouts; must be called at least every quarter of a [`HEARTBEAT_INTERVAL`].
     pub fn tick(&mut self, now: Millis) {
         self.membership_tick(now);
         self.transfer_tick(now);
@@ -402,7 +412,8 @@
         if now < self.next_heartbeat {
             return;
         }
-        // After a start others are to find soon that this copy is as new as theirs, or not.
+        // Until this copy is up to date, heartbeats are more frequent, so that both sides soon learn who is
+        // behind.
         self.next_heartbeat =
             now + if self.up_to_date { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
         self.resolve_stuck_write(now);
@@ -423,8 +434,9 @@
         self.update_freshness(now);
     }
 
-    /// A copy is as new as a quorum's if it holds all that each of them held at its last beat. Changes in quick succession do not
-    /// make it doubtful: places are compared, not contents at a moment.
+    /// A copy is as new as a quorum's if it is complete up to the positions that a quorum reported in its
+    /// last heartbeats. Positions are compared rather than contents, so that a copy stays up to date during
+    /// rapid changes.
     fn update_freshness(&mut self, now: Millis) {
         let position = self.progress.position;
         let covered = |peer: &Peer| {
@@ -437,17 +449,18 @@
             self.other_members().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
         let enough = heard + usize::from(self.voting) >= self.quorum();
         self.up_to_date = !self.members.seats.is_empty() && enough && !self.unconfirmed;
-        // Said with each beat: the registry goes by it for a while only, since a store that hangs cannot take it back.
+        // Repeated with each heartbeat: the registry relies on it only for a short time, since a hung replica
+        // cannot withdraw it.
         self.outputs.push(Output::UpToDate(self.up_to_date));
     }
 
-    /// Seats that ask by themselves take their turns, by their place in the list.
+    /// Position in the member list; staggers elections that members start by themselves.
     pub(crate) fn member_index(&self) -> f64 {
         self.members.seats.iter().position(|seat| seat.host == self.config.local.host).unwrap_or(0) as f64
     }
 
-    /// A write that was taken here stays unknown where its writer died before it could say that it is chosen, though it may have
-    /// acknowledged it. Who takes the next turn finds out; with no caller, a seat does so by itself.
+    /// A leader may fail after it acknowledged a write and before it reported the write as chosen. The next
+    /// leader finds out; without a call that triggers an election, a member starts one itself.
     fn resolve_stuck_write(&mut self, now: Millis) {
         let stamp = |name: &String| self.items[name].pending.as_ref().map(|entry| entry.stamp);
         let oldest = self.pending_names.iter().filter_map(stamp).min();
@@ -460,7 +473,7 @@
         }
         let since = self.oldest_pending.filter(|(stamp, _)| *stamp == oldest).map_or(now, |(_, since)| since);
         self.oldest_pending = Some((oldest, since));
-        // A writer that lives will say so, unless it has forgotten.
+        // A leader that is up reports the write as chosen, unless it has forgotten it.
         let wait = if self.known_leader(now).is_some() { STUCK_WRITE_TIMEOUT } else { PEER_TIMEOUT };
         if now - since >= wait + self.member_index() * ELECTION_STAGGER {
             self.oldest_pending = None;
@@ -468,9 +481,9 @@
         }
     }
 
-    /// A word from another store.
+    /// Handles a message from another replica.
     pub fn receive(&mut self, now: Millis, from: Host, word: Word) {
-        // Only who writes, or asks to, goes by it.
+        // Only the leader and candidates use the time of last contact.
         if !matches!(self.role, Role::Follower) && self.is_member(from) {
             self.last_contact.insert(from, now);
         }
@@ -484,7 +497,8 @@
                 if seats > self.members.version {
                     self.announce_to(from);
                 } else if seats < self.members.version {
-                    // Its place may have been taken while it was away: then nobody else says a word to it.
+                    // It may have been replaced while it was away, in which case no other replica sends it
+                    // anything.
                     self.send_members(from);
                 }
                 if votes {
--- a/system/replication/src/membership.rs
+++ b/system/replication/src/membership.rs
@@ -1,41 +1,45 @@
-//! Who has a seat: how an empty machine takes the place of one that is gone, and how a member leaves.
+//! Membership: how an empty machine replaces a failed member, and how a member leaves.
 //!
-//! # What holds
+//! # Invariants
 //!
-//! - The list of seats is an item like others, written under a quorum of the old list; one seat changes at a time.
-//! - *Learn first*: a machine is given a seat only once its copy is complete but for a last part ([`Candidate`]). Until then it is a
-//!   learner: it votes on nothing, and no quorum is counted by it.
-//! - *One at a time*: the list changes again only when all seats of it vote, but for those that are gone; never after a mere time.
-//! - *Enough must stay*: no seat is given away unless those that remain and vote are a quorum of the new list. The new seat learns the
-//!   promises of a quorum before it votes, so any old and new quorum share a seat that remembers.
-//! - A member that leaves in order hands over first ([`Replica::leave_blocker`]).
-//! - *Who is not on the list* finds that at the first word with anybody: it passes calls on and votes on nothing.
+//! - The member list is an entry like any other, written under a quorum of the old list; one member changes
+//!   at a time.
+//! - A machine becomes a member only once its copy is complete up to what fits in one message ([`Learner`]).
+//!   Until then it is a learner, which does not vote and counts towards no quorum.
+//! - The list changes again only when all its members vote, apart from the failed ones; never merely because
+//!   time has passed.
+//! - A member is replaced only if the remaining voters form a quorum of the new list. The new member recovers
+//!   the promises of a quorum before it votes, so any old and any new quorum share a member that remembers.
+//! - A member that leaves in an orderly way hands over first ([`Replica::leave_blocker`]).
+//! - A machine that is no longer on the list learns that from the first message it exchanges: it forwards
+//!   calls and does not vote.
 
 use crate::leader::Role;
 use crate::{HEARTBEAT_INTERVAL, MEMBERS_KEY, Millis, PEER_TIMEOUT, Replica};
 use fennelscale_messages::Host;
 use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Word};
 
-/// A seat that was silent for this long may be given to a machine that waits for it in the same zone. Longer than a kill and
-/// the start after it; an old machine that comes back later is a learner.
+/// A member that was silent for this long may be replaced by a learner in its zone. Longer than a kill and a
+/// restart; an old machine that comes back later is a learner.
 const MEMBER_FAILURE_TIMEOUT: Millis = 2500.0;
-/// A change of the list that did not come about is tried again after this.
+/// A membership change that did not succeed is tried again after this time.
 const MEMBER_CHANGE_INTERVAL: Millis = 500.0;
-/// Who has no seat announces itself this often.
+/// Interval at which a machine that is not a member announces itself.
 const ANNOUNCE_INTERVAL: Millis = 250.0;
-/// A candidate that was heard within this is there.
+/// A learner that was not heard from for this long does not count as up.
 const LEARNER_TIMEOUT: Millis = 1500.0;
 
-/// A machine without a seat that would take one.
+/// A machine that is not a member and would like to be.
 #[derive(Clone, Debug)]
 pub(crate) struct Learner {
     pub(crate) seat: Seat,
-    /// Its copy holds all that was chosen before this.
+    /// Its copy is complete up to this stamp.
     pub(crate) position: Stamp,
     pub(crate) last_heard: Millis,
 }
 
-/// The list as an item's text. Names of zones are the operator's: they are kept apart by line ends, which none has.
+/// Encodes the member list as the body of an entry. Zone names are chosen by the operator; newlines separate
+/// the members, since no zone name contains one.
 pub(crate) fn encode_members(seats: &[Seat]) -> String {
     let line = |seat: &Seat| format!("{}\t{}\t{}", seat.host.0, seat.zone, seat.region);
     seats.iter().map(line).collect::<Vec<_>>().join("\n")
@@ -51,7 +55,7 @@
 }
 
 impl Replica {
-    /// Takes the chosen list of seats into use.
+    /// Puts the chosen member list into use.
     pub(crate) fn load_members(&mut self) {
         let entry = self.items.get(MEMBERS_KEY).and_then(|item| item.chosen.as_ref());
         let Some(entry) = entry else { return };
@@ -76,7 +80,7 @@
         }
         self.send_members(from);
         if !self.is_member(seat.host) {
-            // It may have come by way of another seat: who writes has to hear of it.
+            // The announcement may have been relayed by another member; the leader has to receive it.
             let direct = seat.host == from;
             self.learners.insert(seat.host, learner);
             if direct && let Some(writer) = self.known_leader(now) {
@@ -104,9 +108,10 @@
         }
     }
 
-    /// Who has no seat tells those who may give it one, and sees that its copy is one that may have it.
+    /// Announces this machine to those that may make it a member, and keeps its copy complete enough to
+    /// become one.
     fn announce(&mut self, now: Millis) {
-        // Who is about to go wants no seat.
+        // A machine that is about to leave does not become a member.
         if now < self.next_announcement || self.leaving {
             return;
         }
@@ -124,7 +129,7 @@
         }
     }
 
-    /// This machine is on the list and does not vote yet: it may have forgotten what it promised. It asks all the others.
+    /// Asks all other members for their state. This member does not vote yet: it may have lost its promises.
     fn request_recovery(&mut self, now: Millis) {
         if now < self.next_announcement {
             return;
@@ -133,7 +138,8 @@
         let position = self.progress.position;
         for host in self.other_members() {
             self.send(host, Word::Learn(position));
-            // The list may have changed again before this one could learn: then it is a candidate once more.
+            // The list may have changed again before recovery finished; then this machine is a learner once
+            // more.
             self.announce_to(host);
         }
     }
@@ -147,7 +153,8 @@
         self.send(from, Word::Learned { promised, joined, chosen: tail.unwrap_or_default(), more, pending });
     }
 
-    /// A seat that has forgotten what it promised learns from a quorum of the others before it votes again.
+    /// Handles a response to a recovery request: a member that lost its promises recovers the state of a
+    /// quorum of the others before it votes again.
     pub(crate) fn on_recovery_response(
         &mut self, from: Host, promised: Epoch, joined: Epoch, chosen: Vec<Named>, pending: Vec<Named>,
     ) {
@@ -170,9 +177,10 @@
         }
     }
 
-    /// All that a quorum promised and took is known: this seat votes from now on.
+    /// Everything that a quorum promised and accepted is known: this member votes from now on.
     fn finish_recovery(&mut self) {
-        // What was taken in turns before the newest that anybody joined, and is not in that one's first write, is void.
+        // Writes of terms before the newest one that any member joined, which are not in that term's first
+        // write, are void.
         for (name, lesson) in std::mem::take(&mut self.recovered_pending) {
             let Some(entry) = lesson.pending.filter(|p| p.stamp.epoch >= self.acceptor.joined) else {
                 continue;
@@ -192,19 +200,19 @@
         self.log("seat-learned", format!("from={from} items={}", self.items.len()));
     }
 
-    /// Whether a seat is to be given away: its machine was silent for long, or is about to go.
+    /// Whether a member may be replaced: it was silent for long, or is about to leave.
     fn is_replaceable(&self, now: Millis, seat: &Seat) -> bool {
         if seat.host == self.config.local.host {
             return self.leaving;
         }
-        // One that was never heard may have its seat since a moment ago.
+        // A member that was never heard from may have joined only a moment ago.
         let new = || now - self.started_at.max(self.members_changed_at) > 2.0 * MEMBER_FAILURE_TIMEOUT;
         self.peers
             .get(&seat.host)
             .map_or_else(new, |p| p.leaving || now - p.last_heartbeat > MEMBER_FAILURE_TIMEOUT)
     }
 
-    /// Whether a seat is there and counts.
+    /// Whether a member is up and votes.
     fn is_active_voter(&self, now: Millis, host: Host) -> bool {
         if host == self.config.local.host {
             return self.voting;
@@ -212,12 +220,12 @@
         self.peers.get(&host).is_some_and(|peer| peer.voting && now - peer.last_heartbeat < PEER_TIMEOUT)
     }
 
-    /// Whether a machine's copy is complete but for what fits in one message.
+    /// Whether the copy of a learner is complete up to what fits in one message.
     fn has_caught_up(&self, learner: &Learner) -> bool {
         learner.position > Stamp::default() && self.entries_since(learner.position).is_some()
     }
 
-    /// The list after the next change; none if there is none to make, or it has to wait.
+    /// The member list after the next change; none if no change is needed or possible now.
     fn next_members(&self, now: Millis) -> Option<Vec<Seat>> {
         let seats = &self.members.seats;
         let ready = || self.learners.values().filter(|c| self.has_caught_up(c)).map(|c| &c.seat);
@@ -240,7 +248,7 @@
         (stay >= needed).then_some(list)
     }
 
-    /// Gives the seat of a machine that is gone or about to go to one that has learned and waits in its zone.
+    /// Replaces a failed or leaving member by a learner of its zone that has caught up.
     fn change_members(&mut self, now: Millis) {
         if now < self.next_membership_change || now - self.started_at < MEMBER_FAILURE_TIMEOUT {
             return;
@@ -265,14 +273,14 @@
         }
     }
 
-    /// The process is about to end in order: others may take its place and what it does.
+    /// Prepares for an orderly shutdown: others may take over this member's place and duties.
     pub fn begin_leave(&mut self, now: Millis) {
         self.leaving = true;
         self.next_heartbeat = now;
         self.tick(now);
     }
 
-    /// Why a member that leaves in order should wait, if it should: it goes on voting until then.
+    /// The reason why a leaving member should wait, if there is one; it continues to vote until then.
     pub fn leave_blocker(&self, now: Millis) -> Option<&'static str> {
         let me = &self.config.local;
         let others = self.other_members().into_iter().filter(|host| self.is_active_voter(now, *host)).count();
--- a/system/replication/src/versions.rs
+++ b/system/replication/src/versions.rs
@@ -1,35 +1,39 @@
-//! What becomes of a change, by the versions that its item has had.
+//! Decides how a change relates to the versions that its entry has had.
 //!
-//! # What holds
+//! # Invariants
 //!
-//! - *One number, one content*: of two contents under one version of an item at most one is ever confirmed, also where the item has
-//!   moved on or was dropped since. A version that was never given and arrives late is given to its content when it is confirmed.
-//! - *Sent again, told again*: a change that was confirmed is confirmed again or has no clear answer; it is never refused.
-//! - Both hold for the last [`HISTORY_LIMIT`] versions of each item. What is older cannot be told from another content any more: it has no
-//!   clear answer, and no effect.
+//! - Of two contents under one version of an entry at most one is ever confirmed, also after the entry has
+//!   changed further or was removed. A version that was skipped and arrives late belongs to the first content
+//!   confirmed under it.
+//! - A change that was confirmed is confirmed again when it is repeated, or its outcome is unknown; it is
+//!   never rejected.
+//! - Both hold for the last [`HISTORY_LIMIT`] versions of each entry. An older version cannot be told apart
+//!   from another content: its outcome is unknown and it has no effect.
 
 use fennelscale_messages::depot::{Change, Entry, VersionRecord};
 
-/// Versions of one item that are remembered, besides the one that it has. An operator gives up on a call within seconds; in these no
-/// item has so many versions. Costs 16 bytes a version and item.
+/// Number of earlier versions remembered for each entry. An operator gives up on a call within seconds, and
+/// no entry has so many versions in that time. Costs 16 bytes for each version of an entry.
 pub const HISTORY_LIMIT: usize = 64;
 
-/// How a change stands to the item that it names.
+/// Relation of a change to the current entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionStatus {
-    /// Its version is higher than any that the item has had.
+    /// Its version is higher than any that the entry has had.
     Newer,
-    /// The very same was taken before.
+    /// The same change was applied before.
     AlreadyApplied,
-    /// Its version was given to another content.
+    /// Its version belongs to another content.
     Conflicting,
-    /// Its version was passed over: it has no effect, and is this content's from now on.
+    /// Its version was skipped: the change has no effect, but the version belongs to this content from now
+    /// on.
     Skipped,
-    /// Its version is older than what is remembered.
+    /// Its version is older than the remembered history.
     Expired,
 }
 
-/// The hash by which a change that arrives again is known. Who shares a failure order is the registry's to say, not the sender's.
+/// Hash that identifies a repeated change. For a fault-injection order it leaves out the proxies that share
+/// it, which are chosen by the registry and not by the sender.
 pub fn content_hash(name: &str, host: &str, body: Option<&str>) -> u64 {
     let host = if name.starts_with(fennelscale_fault_injection::FAILURE) { "" } else { host };
     fennelscale_config::content(host, body)
@@ -40,7 +44,7 @@
     VersionRecord { revision: entry.revision, content }
 }
 
-/// How a change stands to the entry that is in force.
+/// Determines how a change relates to the current entry.
 pub fn status(known: &Entry, change: &Change) -> VersionStatus {
     let content = content_hash(&change.name, &change.host, change.body.as_deref());
     let own = current_record(&change.name, known);
@@ -60,7 +64,7 @@
     if complete || change.revision > oldest { VersionStatus::Skipped } else { VersionStatus::Expired }
 }
 
-/// The history of the entry that takes the place of this one.
+/// History of the entry that replaces this one.
 pub fn history_after(name: &str, known: &Entry) -> Vec<VersionRecord> {
     let mut history = known.history.clone();
     history.push(current_record(name, known));
@@ -68,7 +72,7 @@
     history
 }
 
-/// The same entry, with a version that was passed over given to a content.
+/// The same entry with a skipped version recorded for a content.
 pub fn with_skipped_version(known: &Entry, change: &Change) -> Entry {
     let content = content_hash(&change.name, &change.host, change.body.as_deref());
     let record = VersionRecord { revision: change.revision, content };
@@ -79,7 +83,7 @@
     entry
 }
 
-/// An entry as registries and proxies hear of it: its history is the stores' matter.
+/// The entry as published to registries and proxies; only replicas need the history.
 pub fn without_history(entry: &Entry) -> Entry {
     let Entry { stamp, revision, host, body, .. } = entry;
     Entry { stamp: *stamp, revision: *revision, host: host.clone(), body: body.clone(), history: Vec::new() }
