--- /dev/null
+++ b/system/replication/tests/cluster/mod.rs
@@ -0,0 +1,528 @@
+//! A cluster of replicas in virtual time: members in three regions, connections with delays and cuts but no
+//! reordering, processes that crash with or without loss of their disks, and machines that are replaced. It
+//! does not rely on what replicas report about themselves: it records and compares the responses to callers
+//! and the published entries.
+
+use fennelscale_messages::Host;
+use fennelscale_messages::depot::{Ask, Change, Seat, Told, Word};
+use fennelscale_messages::mix;
+use fennelscale_replication::{AcceptorState, Item, Origin, Output, PersistedState, Replica, ReplicaConfig};
+use std::collections::{BTreeMap, BTreeSet};
+
+const TICK: f64 = 50.0;
+
+/// Random numbers, the same for the same seed.
+pub struct Random(u64);
+
+impl Random {
+    pub fn new(seed: u64) -> Self {
+        Self(mix(seed ^ 0x5eed))
+    }
+    pub fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        mix(self.0)
+    }
+    pub fn below(&mut self, n: usize) -> usize {
+        (self.next() % n.max(1) as u64) as usize
+    }
+    pub fn fraction(&mut self) -> f64 {
+        (self.next() >> 11) as f64 / (1_u64 << 53) as f64
+    }
+}
+
+struct Node {
+    seat: Seat,
+    disk: PersistedState,
+    replica: Option<Replica>,
+    incarnation: u64,
+    /// Versions published in this incarnation.
+    published: BTreeMap<String, u64>,
+    failed: bool,
+}
+
+struct Call {
+    ask: Ask,
+    told: Option<Told>,
+    began: f64,
+}
+
+/// Deliberate faults that the cluster must detect.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Mutant {
+    None,
+    /// Messages are sent before their writes are persisted.
+    NothingPersisted,
+    /// A machine that lost its disk votes as if it had not.
+    VotesAfterDiskLoss,
+}
+
+/// A message in flight: receiver, sender, the message, and the incarnations of sender and receiver when it
+/// was sent.
+type Sent = (usize, usize, Word, u64, u64);
+
+pub struct Cluster {
+    pub now: f64,
+    pub random: Random,
+    nodes: Vec<Node>,
+    in_flight: BTreeMap<(u64, u64), Sent>,
+    order: u64,
+    last: BTreeMap<(usize, usize), f64>,
+    cuts: BTreeSet<(usize, usize)>,
+    calls: BTreeMap<u64, Call>,
+    /// Contents by name and version, as any replica published them.
+    contents: BTreeMap<(String, u64), Option<String>>,
+    /// Rejected changes: name, version and content, and the time.
+    rejected: Vec<(String, u64, Option<String>, f64)>,
+    pub violations: Vec<String>,
+    pub acknowledged: usize,
+    mutant: Mutant,
+    seeds: Vec<Host>,
+    longest_message: usize,
+}
+
+fn seat(n: usize, zone: usize) -> Seat {
+    Seat { host: Host(n as u32 + 1), zone: format!("z{zone}"), region: format!("r{}", zone % 3) }
+}
+
+fn node(n: usize, zone: usize) -> Node {
+    let (disk, published) = (PersistedState::default(), BTreeMap::new());
+    Node { seat: seat(n, zone), disk, replica: None, incarnation: 0, published, failed: false }
+}
+
+impl Cluster {
+    pub fn new(seed: u64, seats: usize, mutant: Mutant) -> Self {
+        let mut cluster = Self::not_bootstrapped(seed, seats, mutant);
+        cluster.run(4000.0);
+        cluster
+    }
+
+    /// All replicas have just started for the first time.
+    pub fn not_bootstrapped(seed: u64, seats: usize, mutant: Mutant) -> Self {
+        let mut cluster = Self {
+            now: 0.0,
+            random: Random::new(seed),
+            nodes: (0..seats).map(|n| node(n, n)).collect(),
+            in_flight: BTreeMap::new(),
+            order: 0,
+            last: BTreeMap::new(),
+            cuts: BTreeSet::new(),
+            calls: BTreeMap::new(),
+            contents: BTreeMap::new(),
+            rejected: Vec::new(),
+            violations: Vec::new(),
+            acknowledged: 0,
+            mutant,
+            seeds: (0..3.min(seats)).map(|n| seat(n, n).host).collect(),
+            longest_message: 0,
+        };
+        (0..seats).for_each(|n| cluster.start(n, true));
+        cluster
+    }
+
+    pub fn len(&self) -> usize {
+        self.nodes.len()
+    }
+
+    pub fn is_up(&self, n: usize) -> bool {
+        self.nodes[n].replica.is_some()
+    }
+
+    pub fn start(&mut self, n: usize, bootstrap: bool) {
+        let now = self.now;
+        // The operator's list when the settings are written.
+        let listed = self.nodes.iter().filter(|node| !node.failed).map(|node| node.seat.host);
+        let seeds = if bootstrap { self.seeds.clone() } else { listed.take(3).collect() };
+        let node = &mut self.nodes[n];
+        if node.replica.is_some() || node.failed {
+            return;
+        }
+        node.incarnation += 1;
+        node.published.clear();
+        let place = ReplicaConfig {
+            local: node.seat.clone(),
+            seeds,
+            bootstrap,
+            fault_tolerance: (1, 1, 1),
+            incarnation: mix(n as u64 ^ node.incarnation << 32) >> 24,
+        };
+        node.replica = Some(Replica::new(place, node.disk.clone(), now));
+    }
+
+    pub fn crash(&mut self, n: usize) {
+        self.nodes[n].replica = None;
+    }
+
+    pub fn lose_disk(&mut self, n: usize) {
+        self.crash(n);
+        let forgets = self.mutant != Mutant::VotesAfterDiskLoss;
+        let node = &mut self.nodes[n];
+        let (acceptor, seats) =
+            (node.disk.acceptor, node.disk.items.remove(fennelscale_replication::MEMBERS_KEY));
+        node.disk = PersistedState::default();
+        if !forgets {
+            node.disk.acceptor = acceptor.map(|_| AcceptorState::default());
+            node.disk
+                .items
+                .extend(seats.map(|seats| (fennelscale_replication::MEMBERS_KEY.to_owned(), seats)));
+        }
+    }
+
+    /// A machine fails for good, or leaves if `planned`; an empty one starts in its zone.
+    pub fn replace(&mut self, n: usize, planned: bool) {
+        if self.nodes[n].failed {
+            return;
+        }
+        let fresh = self.nodes.len();
+        let zone = self.nodes[n].seat.zone[1..].parse().unwrap();
+        self.nodes.push(node(fresh, zone));
+        if planned {
+            self.start(fresh, false);
+            self.run(500.0);
+            self.apply_input(n, Replica::begin_leave);
+            self.run(700.0);
+        }
+        self.crash(n);
+        self.nodes[n].failed = true;
+        self.start(fresh, false);
+    }
+
+    pub fn cut(&mut self, a: usize, b: usize, one_way: bool) {
+        self.cuts.insert((a, b));
+        if !one_way {
+            self.cuts.insert((b, a));
+        }
+    }
+
+    /// Disconnects a replica from all others.
+    pub fn isolate(&mut self, n: usize) {
+        (0..self.len()).filter(|other| *other != n).for_each(|other| self.cut(n, other, false));
+    }
+
+    pub fn heal(&mut self) {
+        self.cuts.clear();
+    }
+
+    fn at(&self, host: Host) -> Option<usize> {
+        self.nodes.iter().position(|node| node.seat.host == host)
+    }
+
+    fn apply_input(&mut self, n: usize, input: impl FnOnce(&mut Replica, f64)) {
+        let now = self.now;
+        let Some(replica) = self.nodes[n].replica.as_mut() else { return };
+        input(replica, now);
+        let writes = replica.take_writes();
+        let outputs = replica.take_outputs();
+        // A host that does not sync loses what the last steps wrote.
+        if self.mutant != Mutant::NothingPersisted || self.random.fraction() < 0.3 {
+            self.nodes[n].disk.apply(writes);
+        }
+        outputs.into_iter().for_each(|out| self.carry_out(n, out));
+    }
+
+    fn carry_out(&mut self, n: usize, out: Output) {
+        match out {
+            Output::Send(to, word) => {
+                let Some(to) = self.at(to) else { return };
+                if matches!(
+                    word,
+                    Word::Chunk(_) | Word::Learned { .. } | Word::Promise { .. } | Word::Begin { .. }
+                ) {
+                    self.longest_message = self.longest_message.max(fennelscale_messages::frame(&word).len());
+                }
+                let near = self.nodes[n].seat.region == self.nodes[to].seat.region;
+                let delay = if near { 1.0 } else { 55.0 } * (1.0 + 0.5 * self.random.fraction());
+                // Messages on one connection arrive in order.
+                let due = (self.now + delay).max(self.last.get(&(n, to)).copied().unwrap_or(0.0));
+                self.last.insert((n, to), due);
+                self.order += 1;
+                let incarnations = (self.nodes[n].incarnation, self.nodes[to].incarnation);
+                self.in_flight.insert(
+                    ((due * 1000.0) as u64, self.order),
+                    (to, n, word, incarnations.0, incarnations.1),
+                );
+            }
+            Output::Chosen(entries) => entries.into_iter().for_each(|entry| self.on_published(n, entry)),
+            Output::Answer(id, told) => self.on_response(id, told),
+            Output::Members(_) | Output::UpToDate(_) | Output::Log(..) => {}
+        }
+    }
+
+    fn on_published(&mut self, n: usize, (name, entry): fennelscale_messages::depot::Named) {
+        let content = entry.body.clone().map(|body| format!("{}{body}", entry.host));
+        let known = self.contents.entry((name.clone(), entry.revision)).or_insert_with(|| content.clone());
+        if *known != content {
+            self.violations.push(format!("{name} {} has two contents", entry.revision));
+        }
+        let published = self.nodes[n].published.entry(name.clone()).or_default();
+        if entry.revision < *published {
+            self.violations.push(format!("{name} goes back from {published} to {}", entry.revision));
+        }
+        *published = entry.revision;
+        let same = |(of, revision, body, _): &&(String, u64, Option<String>, f64)| {
+            *of == name && *revision == entry.revision && *body == entry.body
+        };
+        // The same change may have been accepted in another call.
+        let another = self.calls.values().any(|call| {
+            let rejected = matches!(call.told, Some(Told::Conflict(_) | Told::Invalid(_)));
+            let Ask::Change(changes) = &call.ask else { return false };
+            let same = |c: &Change| c.name == name && c.revision == entry.revision && c.body == entry.body;
+            !rejected && changes.iter().any(same)
+        });
+        if let Some((.., at)) = self.rejected.iter().find(same).filter(|_| !another) {
+            self.violations.push(format!("{name} {} was rejected at {at} and is in force", entry.revision));
+        }
+    }
+
+    fn on_response(&mut self, id: u64, told: Told) {
+        let now = self.now;
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        if call.told.is_some() {
+            self.violations.push(format!("call {id} was answered twice"));
+        }
+        if let (Told::Conflict(_) | Told::Invalid(_), Ask::Change(changes)) = (&told, &call.ask) {
+            for c in changes {
+                let current = self.contents.contains_key(&(c.name.clone(), c.revision));
+                // What was in force before the rejection does not stem from this call.
+                if !current {
+                    self.rejected.push((c.name.clone(), c.revision, c.body.clone(), now));
+                }
+            }
+        }
+        self.acknowledged += usize::from(told == Told::Done);
+        call.told = Some(told);
+    }
+
+    pub fn is_leader(&self, n: usize) -> bool {
+        self.nodes[n].replica.as_ref().is_some_and(Replica::is_leader)
+    }
+
+    pub fn is_up_to_date(&self, n: usize) -> bool {
+        self.nodes[n].replica.as_ref().is_some_and(Replica::is_up_to_date)
+    }
+
+    /// Members according to one replica's list.
+    pub fn members(&self, n: usize) -> Vec<usize> {
+        let seats = self.nodes[n].replica.iter().flat_map(|replica| &replica.members().seats);
+        seats.filter_map(|seat| self.at(seat.host)).collect()
+    }
+
+    /// Starts an empty machine in the zone of another, where it waits to become a member. Returns its number.
+    pub fn add_machine(&mut self, zone_of: usize) -> usize {
+        let fresh = self.nodes.len();
+        let zone = self.nodes[zone_of].seat.zone[1..].parse().unwrap();
+        self.nodes.push(node(fresh, zone));
+        self.start(fresh, false);
+        fresh
+    }
+
+    /// A machine fails for good.
+    pub fn remove(&mut self, n: usize) {
+        self.crash(n);
+        self.nodes[n].failed = true;
+    }
+
+    /// Tells a replica that its process is about to end.
+    pub fn leave(&mut self, n: usize) {
+        self.apply_input(n, Replica::begin_leave);
+    }
+
+    pub fn leave_blocker(&self, n: usize) -> Option<&'static str> {
+        self.nodes[n].replica.as_ref().and_then(|replica| replica.leave_blocker(self.now))
+    }
+
+    /// Length of the longest message sent so far, in bytes.
+    pub fn longest_message(&self) -> usize {
+        self.longest_message
+    }
+
+    /// The leader, if there is one.
+    pub fn leader(&self) -> Option<usize> {
+        (0..self.len()).find(|n| self.nodes[*n].replica.as_ref().is_some_and(Replica::is_leader))
+    }
+
+    /// A process crashes and the messages that it sent are lost.
+    pub fn crash_losing_messages(&mut self, n: usize) {
+        self.crash(n);
+        self.nodes[n].incarnation += 1;
+    }
+
+    /// Delivers a message to a replica and returns its replies to the sender.
+    pub fn deliver(&mut self, to: usize, from: usize, word: Word) -> Vec<Word> {
+        let (now, host) = (self.now, self.nodes[from].seat.host);
+        let Some(replica) = self.nodes[to].replica.as_mut() else { return Vec::new() };
+        replica.receive(now, host, word);
+        let answers = replica.take_outputs().into_iter();
+        answers
+            .filter_map(
+                |out| if let Output::Send(to, word) = out { (to == host).then_some(word) } else { None },
+            )
+            .collect()
+    }
+
+    pub fn acceptor(&self, n: usize) -> Option<AcceptorState> {
+        self.nodes[n].replica.as_ref().map(Replica::acceptor)
+    }
+
+    /// Restarts a machine that was replaced.
+    pub fn restart_replaced(&mut self, n: usize) {
+        self.nodes[n].failed = false;
+        self.start(n, false);
+    }
+
+    pub fn is_voting(&self, n: usize) -> Option<bool> {
+        self.nodes[n].replica.as_ref().map(Replica::is_voting)
+    }
+
+    pub fn item(&self, n: usize, name: &str) -> Option<Item> {
+        self.nodes[n].replica.as_ref().and_then(|replica| replica.item(name)).cloned()
+    }
+
+    /// Hash of all entries that a replica holds as chosen.
+    pub fn digest(&self, n: usize) -> u64 {
+        let chosen = self.nodes[n].replica.iter().flat_map(Replica::chosen_entries);
+        chosen.fold(0, |digest, (name, entry)| digest ^ fennelscale_config::entry_hash((name, entry)))
+    }
+
+    pub fn position(&self, n: usize) -> fennelscale_messages::depot::Stamp {
+        self.nodes[n].replica.as_ref().map(Replica::position).unwrap_or_default()
+    }
+
+    pub fn call(&mut self, n: usize, ask: Ask) -> u64 {
+        let id = self.calls.len() as u64 + 1;
+        self.calls.insert(id, Call { ask: ask.clone(), told: None, began: self.now });
+        self.apply_input(n, |replica, now| replica.submit(now, Origin::Registry(id), ask));
+        id
+    }
+
+    pub fn told(&self, id: u64) -> Option<Told> {
+        self.calls.get(&id).and_then(|call| call.told.clone())
+    }
+
+    pub fn run(&mut self, span: f64) {
+        let end = self.now + span;
+        let mut next_tick = self.now;
+        while self.now < end && self.violations.is_empty() {
+            next_tick += TICK;
+            while let Some(entry) = self.in_flight.first_entry() {
+                let due = entry.key().0 as f64 / 1000.0;
+                if due > next_tick {
+                    break;
+                }
+                let (to, from, word, from_incarnation, to_incarnation) = entry.remove();
+                self.now = self.now.max(due);
+                // A connection ends with either process, and messages that meet a cut are lost.
+                let connected = self.nodes[to].incarnation == to_incarnation
+                    && self.nodes[from].incarnation == from_incarnation;
+                if connected && !self.cuts.contains(&(from, to)) {
+                    let host = self.nodes[from].seat.host;
+                    self.apply_input(to, |replica, now| replica.receive(now, host, word));
+                }
+            }
+            self.now = next_tick;
+            (0..self.nodes.len()).for_each(|n| self.apply_input(n, Replica::tick));
+            let writers = self.nodes.iter().filter_map(|n| n.replica.as_ref()).filter(|b| b.is_leader());
+            let mut turns: Vec<_> = writers.map(|b| b.acceptor().promised).collect();
+            turns.sort_unstable();
+            if turns.windows(2).any(|pair| pair[0] == pair[1]) {
+                self.violations.push("two leaders in one term".into());
+            }
+        }
+    }
+
+    /// Restarts and reconnects everything; acknowledged entries must then be readable on every replica.
+    pub fn settle(&mut self) {
+        self.heal();
+        (0..self.len()).for_each(|n| self.start(n, false));
+        self.run(9000.0);
+        let live: Vec<usize> = (0..self.len()).filter(|n| !self.nodes[*n].failed).collect();
+        for n in live {
+            let read = (0..6).find_map(|_| {
+                let id = self.call(n, Ask::Read);
+                self.run(1500.0);
+                if let Some(Told::Items(items)) = self.told(id) { Some(items) } else { None }
+            });
+            match read {
+                Some(items) => self.compare(n, &items.into_iter().collect()),
+                None => {
+                    let state = |node: &Node| {
+                        let replica = node.replica.as_ref()?;
+                        let seats: Vec<u32> = replica.members().seats.iter().map(|s| s.host.0).collect();
+                        Some((
+                            node.seat.host.0,
+                            node.failed,
+                            replica.is_voting(),
+                            replica.is_leader(),
+                            replica.acceptor(),
+                            seats,
+                        ))
+                    };
+                    let states: Vec<_> = self.nodes.iter().map(state).collect();
+                    self.violations.push(format!("nothing could be read at {n}: {states:?}"));
+                }
+            }
+        }
+    }
+
+    fn compare(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::depot::Entry>) {
+        let changes =
+            |call: &Call| if let Ask::Change(changes) = &call.ask { changes.clone() } else { Vec::new() };
+        let mut broken = Vec::new();
+        for call in self.calls.values().filter(|call| call.told == Some(Told::Done)) {
+            for change in changes(call) {
+                let current = items.get(&change.name);
+                // A newer version that removed the entry may be in force.
+                let mut all = self.calls.values().flat_map(changes);
+                let dropped =
+                    all.any(|c| c.name == change.name && c.body.is_none() && c.revision >= change.revision);
+                let there = current.is_some_and(|entry| entry.revision >= change.revision);
+                let as_sent =
+                    current.is_none_or(|e| e.revision != change.revision || e.body == change.body || dropped);
+                let wrong = match change.body {
+                    Some(_) => !there && !dropped || !as_sent,
+                    None => current.is_some_and(|entry| entry.revision <= change.revision),
+                };
+                if wrong {
+                    let read = current.map(|entry| entry.revision);
+                    broken.push(format!(
+                        "{} {} was acknowledged; {n} reads {read:?}",
+                        change.name, change.revision
+                    ));
+                }
+            }
+            if let Ask::Evacuate(zone, on, _) = &call.ask {
+                let later =
+                    |o: &Call| matches!(&o.ask, Ask::Evacuate(z, ..) if z == zone) && o.began > call.began;
+                if !self.calls.values().any(later) {
+                    let in_force = self.nodes[n].replica.as_ref().and_then(|b| b.item(&format!("e:{zone}")));
+                    let in_force = in_force.and_then(|i| i.chosen.as_ref()).is_some_and(|e| e.body.is_some());
+                    if in_force != *on {
+                        broken.push(format!("evacuation of {zone} ({on}) is lost at {n}"));
+                    }
+                }
+            }
+        }
+        self.violations.extend(broken);
+    }
+}
+
+/// A route as an operator sends it.
+pub fn change(name: usize, revision: u64, prefix: usize, mark: u64) -> Change {
+    let timeout = mark % 60_000 + 1;
+    let body = format!(
+        r#"{{"routeType":"upload","matchCriteria":{{"pathPrefix":"/{prefix}/"}},"action":{{"service":"s","timeout":"{timeout}ms"}}}}"#
+    );
+    Change { name: format!("r:{name}"), revision, host: "h".into(), body: Some(body) }
+}
+
+/// The service that all routes refer to.
+pub fn service() -> Change {
+    let body = Some(r#"{"healthCheckPath":"/health"}"#.into());
+    Change { name: "s:s".into(), revision: 1, host: String::new(), body }
+}
+
+/// Has the cluster accept a first call.
+pub fn accept_first_call(cluster: &mut Cluster) {
+    let id = cluster.call(1, Ask::Change(vec![service(), change(0, 1, 0, 0)]));
+    cluster.run(1500.0);
+    assert_eq!(cluster.told(id), Some(Told::Done), "the first call is accepted");
+}
--- a/system/replication/tests/control_safety.rs
+++ b/system/replication/tests/control_safety.rs
@@ -1,331 +1,344 @@
-//! The operators' worst days of the control side, each brought about: see `docs/control-safety.md`.
+//! Failure scenarios of the control plane, as described in `docs/control-safety.md`.
 
-#[allow(dead_code, reason = "each test uses its part of the world")]
-mod world;
+#[allow(dead_code, reason = "each test uses its part of the cluster")]
+mod cluster;
 
+use cluster::{Cluster, Mutant, accept_first_call, change};
 use fennelscale_messages::depot::{Ask, Change, Told};
 use fennelscale_replication::CHUNK_BYTES;
 use fennelscale_replication::versions::HISTORY_LIMIT;
-use world::{Mutant, World, change, ready};
 
-const STORES: usize = 6;
+const MEMBERS: usize = 6;
 
-fn drop_of(name: usize, revision: u64) -> Change {
+fn removal(name: usize, revision: u64) -> Change {
     Change { body: None, host: String::new(), ..change(name, revision, 0, 0) }
 }
 
-/// Sends a change and waits for its answer.
-fn told(world: &mut World, at: usize, change: Change) -> Option<Told> {
-    let id = world.call(at, Ask::Change(vec![change]));
-    world.run(4000.0);
-    world.told(id)
+/// Submits a change and waits for its response.
+fn told(cluster: &mut Cluster, at: usize, change: Change) -> Option<Told> {
+    let id = cluster.call(at, Ask::Change(vec![change]));
+    cluster.run(4000.0);
+    cluster.told(id)
 }
 
-/// A writer that was cut off, and a majority that has moved on: route 1 has left its place to others.
-fn cut_off_writer(seed: u64) -> (World, usize, usize) {
-    let mut world = World::new(seed, STORES, Mutant::None);
-    ready(&mut world);
-    let writer = world.writer().unwrap();
-    assert_eq!(told(&mut world, writer, change(1, 1, 1, 1)), Some(Told::Done));
-    world.isolate(writer);
-    let other = (writer + 1) % STORES;
-    world.run(1000.0);
-    (world, writer, other)
+/// A leader that was cut off and a majority that has moved on: route 1 has since freed its path for other
+/// routes.
+fn disconnected_leader(seed: u64) -> (Cluster, usize, usize) {
+    let mut cluster = Cluster::new(seed, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
+    let leader = cluster.leader().unwrap();
+    assert_eq!(told(&mut cluster, leader, change(1, 1, 1, 1)), Some(Told::Done));
+    cluster.isolate(leader);
+    let other = (leader + 1) % MEMBERS;
+    cluster.run(1000.0);
+    (cluster, leader, other)
 }
 
 #[test]
-fn a_cut_off_writer_neither_refuses_nor_confirms() {
+fn a_disconnected_leader_neither_rejects_nor_confirms() {
     for seed in 0..10 {
-        let (mut world, writer, other) = cut_off_writer(seed);
+        let (mut cluster, leader, other) = disconnected_leader(seed);
         let at_cut = [
-            // Refused by an old view: the place is free by now.
-            world.call(writer, Ask::Change(vec![change(2, 1, 1, 2)])),
-            // Confirmed by an old view: the version may have been given elsewhere.
-            world.call(writer, Ask::Change(vec![change(1, 1, 1, 1)])),
-            world.call(writer, Ask::Read),
-            world.call(writer, Ask::Change(vec![change(1, 1, 1, 9)])),
+            // Would be rejected by outdated state: the path is free by now.
+            cluster.call(leader, Ask::Change(vec![change(2, 1, 1, 2)])),
+            // Would be confirmed by outdated state: the version may belong to another content by now.
+            cluster.call(leader, Ask::Change(vec![change(1, 1, 1, 1)])),
+            cluster.call(leader, Ask::Read),
+            cluster.call(leader, Ask::Change(vec![change(1, 1, 1, 9)])),
         ];
-        assert_eq!(told(&mut world, other, drop_of(1, 2)), Some(Told::Done), "seed {seed}");
-        assert_eq!(told(&mut world, other, change(2, 1, 1, 2)), Some(Told::Done), "seed {seed}");
-        let answers = at_cut.map(|id| world.told(id));
+        assert_eq!(told(&mut cluster, other, removal(1, 2)), Some(Told::Done), "seed {seed}");
+        assert_eq!(told(&mut cluster, other, change(2, 1, 1, 2)), Some(Told::Done), "seed {seed}");
+        let answers = at_cut.map(|id| cluster.told(id));
         assert_eq!(answers, [const { Some(Told::Unclear) }; 4], "seed {seed}");
-        assert!(!world.is_writer(writer), "seed {seed}: without contact its turn has ended");
-        world.settle();
-        assert_eq!(world.broken, Vec::<String>::new());
+        assert!(!cluster.is_leader(leader), "seed {seed}: without contact its term has ended");
+        cluster.settle();
+        assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn a_writer_whose_words_do_not_arrive_ends_its_turn() {
-    let mut world = World::new(4, STORES, Mutant::None);
-    ready(&mut world);
-    let writer = world.writer().unwrap();
-    // It hears all the others, and nobody hears it.
-    (0..STORES).filter(|n| *n != writer).for_each(|n| world.cut(writer, n, true));
-    let id = world.call(writer, Ask::Change(vec![change(1, 5, 1, 1)]));
-    world.run(fennelscale_replication::ACCEPT_TIMEOUT + 300.0);
-    assert!(!world.is_writer(writer));
-    world.run(3000.0);
-    assert_eq!(world.told(id), Some(Told::Unclear));
-    world.heal();
-    world.settle();
-    assert_eq!(world.broken, Vec::<String>::new());
+fn a_leader_whose_messages_are_lost_ends_its_term() {
+    let mut cluster = Cluster::new(4, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
+    let leader = cluster.leader().unwrap();
+    // It hears from all others and none of them hears from it.
+    (0..MEMBERS).filter(|n| *n != leader).for_each(|n| cluster.cut(leader, n, true));
+    let id = cluster.call(leader, Ask::Change(vec![change(1, 5, 1, 1)]));
+    cluster.run(fennelscale_replication::ACCEPT_TIMEOUT + 300.0);
+    assert!(!cluster.is_leader(leader));
+    cluster.run(3000.0);
+    assert_eq!(cluster.told(id), Some(Told::Unclear));
+    cluster.heal();
+    cluster.settle();
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// What a refusal rests on may never come to be: it goes out only once that is chosen.
+/// The write that a rejection is based on may be discarded, so the rejection is sent only once that write is
+/// chosen.
 #[test]
-fn a_change_is_not_refused_for_one_that_was_void() {
+fn a_change_is_not_rejected_because_of_a_discarded_write() {
     for seed in 0..10 {
-        let mut world = World::new(seed, STORES, Mutant::None);
-        ready(&mut world);
-        let writer = world.writer().unwrap();
-        world.isolate(writer);
-        let void = world.call(writer, Ask::Change(vec![change(1, 5, 1, 1)]));
-        let refused = world.call(writer, Ask::Change(vec![change(2, 5, 1, 1)]));
-        world.run(200.0);
-        assert_eq!([world.told(void), world.told(refused)], [None, None], "seed {seed}");
-        world.run(8000.0);
-        assert_eq!(world.told(refused), Some(Told::Unclear), "seed {seed}");
-        world.settle();
-        assert_eq!(world.broken, Vec::<String>::new());
+        let mut cluster = Cluster::new(seed, MEMBERS, Mutant::None);
+        accept_first_call(&mut cluster);
+        let leader = cluster.leader().unwrap();
+        cluster.isolate(leader);
+        let void = cluster.call(leader, Ask::Change(vec![change(1, 5, 1, 1)]));
+        let rejected = cluster.call(leader, Ask::Change(vec![change(2, 5, 1, 1)]));
+        cluster.run(200.0);
+        assert_eq!([cluster.told(void), cluster.told(rejected)], [None, None], "seed {seed}");
+        cluster.run(8000.0);
+        assert_eq!(cluster.told(rejected), Some(Told::Unclear), "seed {seed}");
+        cluster.settle();
+        assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn of_two_contents_under_one_number_one_is_confirmed_however_late_the_other_comes() {
-    let mut world = World::new(7, STORES, Mutant::None);
-    ready(&mut world);
+fn of_two_contents_under_one_version_one_is_confirmed_however_late_the_other_arrives() {
+    let mut cluster = Cluster::new(7, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
     for revision in [5, 6] {
-        assert_eq!(told(&mut world, 0, change(1, revision, 1, revision)), Some(Told::Done));
+        assert_eq!(told(&mut cluster, 0, change(1, revision, 1, revision)), Some(Told::Done));
     }
-    assert!(matches!(told(&mut world, 2, change(1, 5, 3, 3)), Some(Told::Conflict(_))));
-    assert_eq!(told(&mut world, 3, change(1, 5, 1, 5)), Some(Told::Done), "the same again is confirmed");
-    // Also once it is dropped, and after more versions.
-    assert_eq!(told(&mut world, 1, drop_of(1, 9)), Some(Told::Done));
-    assert!(matches!(told(&mut world, 4, change(1, 6, 1, 7)), Some(Told::Conflict(_))));
-    assert_eq!(told(&mut world, 5, change(1, 6, 1, 6)), Some(Told::Done));
-    assert_eq!(told(&mut world, 5, drop_of(1, 9)), Some(Told::Done));
-    // A number that was passed over belongs to whom it is confirmed to first, and changes nothing.
-    assert_eq!(told(&mut world, 2, change(1, 7, 1, 1)), Some(Told::Done));
-    assert!(matches!(told(&mut world, 3, change(1, 7, 1, 2)), Some(Told::Conflict(_))));
-    assert_eq!(told(&mut world, 4, change(1, 7, 1, 1)), Some(Told::Done));
-    let entry = world.item(0, "r:1").and_then(|item| item.chosen).unwrap();
+    assert!(matches!(told(&mut cluster, 2, change(1, 5, 3, 3)), Some(Told::Conflict(_))));
+    assert_eq!(
+        told(&mut cluster, 3, change(1, 5, 1, 5)),
+        Some(Told::Done),
+        "the repeated change is confirmed"
+    );
+    // Also after the entry is removed, and after further versions.
+    assert_eq!(told(&mut cluster, 1, removal(1, 9)), Some(Told::Done));
+    assert!(matches!(told(&mut cluster, 4, change(1, 6, 1, 7)), Some(Told::Conflict(_))));
+    assert_eq!(told(&mut cluster, 5, change(1, 6, 1, 6)), Some(Told::Done));
+    assert_eq!(told(&mut cluster, 5, removal(1, 9)), Some(Told::Done));
+    // A skipped version belongs to the first content confirmed under it, and has no effect.
+    assert_eq!(told(&mut cluster, 2, change(1, 7, 1, 1)), Some(Told::Done));
+    assert!(matches!(told(&mut cluster, 3, change(1, 7, 1, 2)), Some(Told::Conflict(_))));
+    assert_eq!(told(&mut cluster, 4, change(1, 7, 1, 1)), Some(Told::Done));
+    let entry = cluster.item(0, "r:1").and_then(|item| item.chosen).unwrap();
     assert_eq!((entry.revision, entry.body), (9, None));
-    world.settle();
-    assert_eq!(world.broken, Vec::<String>::new());
+    cluster.settle();
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_call_of_which_one_item_cannot_be_changes_none() {
-    let mut world = World::new(3, STORES, Mutant::None);
-    ready(&mut world);
+fn a_call_with_one_impossible_change_makes_none() {
+    let mut cluster = Cluster::new(3, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
     for revision in [5, 6] {
-        assert_eq!(told(&mut world, 0, change(1, revision, 1, revision)), Some(Told::Done));
+        assert_eq!(told(&mut cluster, 0, change(1, revision, 1, revision)), Some(Told::Done));
     }
-    // One is overtaken by another content, the other would be new.
-    let id = world.call(2, Ask::Change(vec![change(1, 5, 1, 9), change(2, 1, 2, 1)]));
-    world.run(2000.0);
-    assert!(matches!(world.told(id), Some(Told::Conflict(_))));
-    assert_eq!(world.item(0, "r:2"), None);
-    // One is known, the other new: that one comes into force.
-    let id = world.call(2, Ask::Change(vec![change(1, 5, 1, 5), change(2, 1, 2, 1)]));
-    world.run(2000.0);
-    assert_eq!(world.told(id), Some(Told::Done));
-    assert!(world.item(0, "r:2").is_some());
+    // One version belongs to another content; the other change would be new.
+    let id = cluster.call(2, Ask::Change(vec![change(1, 5, 1, 9), change(2, 1, 2, 1)]));
+    cluster.run(2000.0);
+    assert!(matches!(cluster.told(id), Some(Told::Conflict(_))));
+    assert_eq!(cluster.item(0, "r:2"), None);
+    // One change was applied before, the other is new and comes into force.
+    let id = cluster.call(2, Ask::Change(vec![change(1, 5, 1, 5), change(2, 1, 2, 1)]));
+    cluster.run(2000.0);
+    assert_eq!(cluster.told(id), Some(Told::Done));
+    assert!(cluster.item(0, "r:2").is_some());
 }
 
-/// The same order ten times at random stores, over kills of all and three versions after it.
+/// The same change is submitted ten times to random replicas, while all of them crash and later versions
+/// follow.
 #[test]
-fn an_order_sent_again_is_confirmed_or_unclear_and_never_refused() {
+fn a_repeated_change_is_confirmed_or_unknown_and_never_rejected() {
     for seed in 0..20 {
-        let mut world = World::new(seed, STORES, Mutant::None);
-        ready(&mut world);
+        let mut cluster = Cluster::new(seed, MEMBERS, Mutant::None);
+        accept_first_call(&mut cluster);
         let order = change(1, 5, 1, 5);
         let mut ids = Vec::new();
         for n in 0..10 {
-            let at = world.chance.below(STORES);
-            ids.push(world.call(at, Ask::Change(vec![order.clone()])));
-            let span = world.chance.share() * 300.0;
-            world.run(span);
+            let at = cluster.random.below(MEMBERS);
+            ids.push(cluster.call(at, Ask::Change(vec![order.clone()])));
+            let span = cluster.random.fraction() * 300.0;
+            cluster.run(span);
             if n == 3 {
-                (0..STORES).for_each(|n| world.kill(n));
-                (0..STORES).for_each(|n| world.start(n, false));
-                world.run(3000.0);
+                (0..MEMBERS).for_each(|n| cluster.crash(n));
+                (0..MEMBERS).for_each(|n| cluster.start(n, false));
+                cluster.run(3000.0);
             }
             if n > 5 {
-                let at = world.chance.below(STORES);
-                world.call(at, Ask::Change(vec![change(1, 10 + n, 1, n)]));
+                let at = cluster.random.below(MEMBERS);
+                cluster.call(at, Ask::Change(vec![change(1, 10 + n, 1, n)]));
             }
         }
-        world.run(4000.0);
-        let refused =
-            ids.iter().filter(|id| !matches!(world.told(**id), None | Some(Told::Done | Told::Unclear)));
-        assert_eq!(refused.count(), 0, "seed {seed}");
-        assert_eq!(told(&mut world, 3, order), Some(Told::Done), "seed {seed}");
-        world.settle();
-        assert_eq!(world.broken, Vec::<String>::new());
+        cluster.run(4000.0);
+        let rejected =
+            ids.iter().filter(|id| !matches!(cluster.told(**id), None | Some(Told::Done | Told::Unclear)));
+        assert_eq!(rejected.count(), 0, "seed {seed}");
+        assert_eq!(told(&mut cluster, 3, order), Some(Told::Done), "seed {seed}");
+        cluster.settle();
+        assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn what_is_older_than_the_history_has_no_clear_answer_and_no_effect() {
-    let mut world = World::new(5, STORES, Mutant::None);
-    ready(&mut world);
+fn a_version_older_than_the_history_has_an_unknown_outcome_and_no_effect() {
+    let mut cluster = Cluster::new(5, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
     let last = 2 + HISTORY_LIMIT as u64;
     for revision in 1..=last + 1 {
-        let id = world.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
-        world.run(400.0);
-        assert_eq!(world.told(id), Some(Told::Done), "version {revision}");
+        let id = cluster.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
+        cluster.run(400.0);
+        assert_eq!(cluster.told(id), Some(Told::Done), "version {revision}");
     }
-    assert_eq!(told(&mut world, 2, change(1, 2, 1, 2)), Some(Told::Forgotten));
-    assert_eq!(told(&mut world, 2, change(1, 3, 1, 3)), Some(Told::Done));
-    assert!(matches!(told(&mut world, 2, change(1, 3, 1, 4)), Some(Told::Conflict(_))));
-    let entry = world.item(0, "r:1").and_then(|item| item.chosen).unwrap();
+    assert_eq!(told(&mut cluster, 2, change(1, 2, 1, 2)), Some(Told::Forgotten));
+    assert_eq!(told(&mut cluster, 2, change(1, 3, 1, 3)), Some(Told::Done));
+    assert!(matches!(told(&mut cluster, 2, change(1, 3, 1, 4)), Some(Told::Conflict(_))));
+    let entry = cluster.item(0, "r:1").and_then(|item| item.chosen).unwrap();
     assert_eq!((entry.revision, entry.history.len()), (last + 1, HISTORY_LIMIT));
 }
 
-/// A machine is lost and replaced, and the next one is lost the moment the first replacement votes: also with both replaced at once there
-/// are never two seats that do not count, and what was acknowledged stays writable.
+/// A machine is replaced, and another one shortly after. Never more than one new member may lack its vote,
+/// even if both are replaced at once, so that acknowledged entries stay writable.
 #[test]
-fn two_machines_replaced_at_once_are_seated_one_after_the_other() {
+fn two_machines_replaced_at_once_become_members_one_after_the_other() {
     for gap in [0.0, 300.0, 1500.0, 2500.0] {
-        let mut world = World::new(11, STORES, Mutant::None);
-        ready(&mut world);
-        world.replace(0, false);
-        world.run(gap);
-        world.replace(1, false);
+        let mut cluster = Cluster::new(11, MEMBERS, Mutant::None);
+        accept_first_call(&mut cluster);
+        cluster.replace(0, false);
+        cluster.run(gap);
+        cluster.replace(1, false);
         for _ in 0..400 {
-            world.run(25.0);
-            let seated = world.seats(2);
-            let learning = seated.iter().filter(|n| **n >= STORES && world.is_voting(**n) != Some(true));
-            assert!(learning.count() <= 1, "gap {gap} at {}", world.now);
+            cluster.run(25.0);
+            let seated = cluster.members(2);
+            let learning = seated.iter().filter(|n| **n >= MEMBERS && cluster.is_voting(**n) != Some(true));
+            assert!(learning.count() <= 1, "gap {gap} at {}", cluster.now);
         }
-        assert_eq!([6, 7].map(|n| world.is_voting(n)), [Some(true); 2], "gap {gap}");
-        // Two more losses at once, as many as the list bears, and it still writes.
-        [2, 5].into_iter().for_each(|n| world.kill(n));
-        assert_eq!(told(&mut world, 3, change(1, 9, 1, 9)), Some(Told::Done), "gap {gap}");
-        world.settle();
-        assert_eq!(world.broken, Vec::<String>::new());
+        assert_eq!([6, 7].map(|n| cluster.is_voting(n)), [Some(true); 2], "gap {gap}");
+        // Two more failures at once, as many as the list tolerates, and writes still succeed.
+        [2, 5].into_iter().for_each(|n| cluster.crash(n));
+        assert_eq!(told(&mut cluster, 3, change(1, 9, 1, 9)), Some(Told::Done), "gap {gap}");
+        cluster.settle();
+        assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
 
-/// A new machine holds the whole copy before it has a seat: a seat never waits for a transfer.
+/// A new machine holds a complete copy before it becomes a member, so that no member waits for a transfer.
 #[test]
-fn a_new_machine_has_no_seat_before_it_holds_what_the_others_hold() {
-    let mut world = World::new(5, STORES, Mutant::None);
-    ready(&mut world);
-    world.is_lost(4);
-    let fresh = world.joins(4);
-    // It announces itself to two of the seeds and hears nobody who could tell it what there is.
-    (0..STORES).for_each(|n| world.cut(n, fresh, true));
-    world.run(9000.0);
-    assert!(!world.seats(0).contains(&fresh) && world.seats(0).contains(&4));
-    world.heal();
-    world.run(4000.0);
-    assert!(world.seats(0).contains(&fresh));
-    assert_eq!((world.is_voting(fresh), world.digest(fresh)), (Some(true), world.digest(0)));
+fn a_new_machine_is_no_member_before_its_copy_is_complete() {
+    let mut cluster = Cluster::new(5, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
+    cluster.remove(4);
+    let fresh = cluster.add_machine(4);
+    // It announces itself to two of the seeds and hears from no replica that could send it entries.
+    (0..MEMBERS).for_each(|n| cluster.cut(n, fresh, true));
+    cluster.run(9000.0);
+    assert!(!cluster.members(0).contains(&fresh) && cluster.members(0).contains(&4));
+    cluster.heal();
+    cluster.run(4000.0);
+    assert!(cluster.members(0).contains(&fresh));
+    assert_eq!((cluster.is_voting(fresh), cluster.digest(fresh)), (Some(true), cluster.digest(0)));
 }
 
-/// With too few others that count, no seat is given away: the machine that is silent may hold the only other copy.
+/// No member is replaced when too few others vote: the silent machine may hold the only other copy.
 #[test]
-fn no_seat_is_given_away_where_the_rest_would_be_no_quorum() {
-    let mut world = World::new(6, STORES, Mutant::None);
-    ready(&mut world);
-    [2, 5].into_iter().for_each(|n| world.kill(n));
-    world.is_lost(4);
-    let fresh = world.joins(4);
-    world.run(9000.0);
-    assert!(world.seats(0).contains(&4), "three of six that count are no quorum");
-    // One is back: four count, and the new machine takes the place.
-    world.start(2, false);
-    world.run(6000.0);
-    assert!(world.seats(0).contains(&fresh) && !world.seats(0).contains(&4));
-    world.start(5, false);
-    world.settle();
-    assert_eq!(world.broken, Vec::<String>::new());
+fn no_member_is_replaced_when_the_rest_would_be_no_quorum() {
+    let mut cluster = Cluster::new(6, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
+    [2, 5].into_iter().for_each(|n| cluster.crash(n));
+    cluster.remove(4);
+    let fresh = cluster.add_machine(4);
+    cluster.run(9000.0);
+    assert!(cluster.members(0).contains(&4), "three voting members of six are no quorum");
+    // One is back: four vote, and the new machine replaces the failed one.
+    cluster.start(2, false);
+    cluster.run(6000.0);
+    assert!(cluster.members(0).contains(&fresh) && !cluster.members(0).contains(&4));
+    cluster.start(5, false);
+    cluster.settle();
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_member_that_leaves_hands_over_first() {
-    let mut world = World::new(8, STORES, Mutant::None);
-    ready(&mut world);
-    let fresh = world.joins(3);
-    world.run(600.0);
-    world.leave(3);
-    assert_eq!(world.waits_to_leave(3), Some("its seat is not handed over"));
-    world.run(2500.0);
-    assert_eq!(world.waits_to_leave(3), None);
-    assert_eq!((world.is_voting(3), world.is_voting(fresh)), (Some(false), Some(true)));
-    // With nobody to take the place it goes, unless the others are no quorum without it.
-    world.leave(1);
-    assert_eq!(world.waits_to_leave(1), None);
-    [0, 2].into_iter().for_each(|n| world.kill(n));
-    world.run(2000.0);
-    assert_eq!(world.waits_to_leave(1), Some("the others are no quorum without it"));
+fn a_leaving_member_hands_over_first() {
+    let mut cluster = Cluster::new(8, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
+    let fresh = cluster.add_machine(3);
+    cluster.run(600.0);
+    cluster.leave(3);
+    assert_eq!(cluster.leave_blocker(3), Some("its seat is not handed over"));
+    cluster.run(2500.0);
+    assert_eq!(cluster.leave_blocker(3), None);
+    assert_eq!((cluster.is_voting(3), cluster.is_voting(fresh)), (Some(false), Some(true)));
+    // If nobody can replace it, it leaves, unless the others form no quorum without it.
+    cluster.leave(1);
+    assert_eq!(cluster.leave_blocker(1), None);
+    [0, 2].into_iter().for_each(|n| cluster.crash(n));
+    cluster.run(2000.0);
+    assert_eq!(cluster.leave_blocker(1), Some("the others are no quorum without it"));
 }
 
-/// All that were there at the first start die before the list is made, and come back with settings that say nothing of a first start.
+/// All machines of the first start crash before the member list exists, and restart with settings that no
+/// longer ask for a bootstrap.
 #[test]
-fn a_core_that_dies_before_it_is_founded_is_founded_when_it_is_back() {
+fn a_cluster_that_crashes_before_its_bootstrap_bootstraps_after_the_restart() {
     for died_at in [50.0, 700.0, 1750.0, 1900.0] {
-        let mut world = World::unfounded(2, STORES, Mutant::None);
-        world.run(died_at);
-        (0..STORES).for_each(|n| world.kill(n));
-        (0..STORES).rev().for_each(|n| world.start(n, false));
-        world.run(6000.0);
-        ready(&mut world);
-        assert_eq!(world.seats(4).len(), STORES, "died at {died_at}");
-        world.settle();
-        assert_eq!(world.broken, Vec::<String>::new());
+        let mut cluster = Cluster::not_bootstrapped(2, MEMBERS, Mutant::None);
+        cluster.run(died_at);
+        (0..MEMBERS).for_each(|n| cluster.crash(n));
+        (0..MEMBERS).rev().for_each(|n| cluster.start(n, false));
+        cluster.run(6000.0);
+        accept_first_call(&mut cluster);
+        assert_eq!(cluster.members(4).len(), MEMBERS, "died at {died_at}");
+        cluster.settle();
+        assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
 
-/// A configuration that is many times what one message bears: nothing that is sent to bring a copy up to date is longer than a few
-/// chunks, whatever the copy lacks, and a transfer goes on where it was when its source dies.
+/// With a configuration many times larger than a message, no message that brings a copy up to date is longer
+/// than a few chunks, whatever the copy lacks, and a transfer continues where it was when its source fails.
 #[test]
-fn a_copy_that_lacks_everything_catches_up_in_bounded_messages() {
-    let mut world = World::new(9, STORES, Mutant::None);
-    ready(&mut world);
+fn an_empty_copy_catches_up_in_bounded_messages() {
+    let mut cluster = Cluster::new(9, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
     for first in (10..4010).step_by(400) {
         let items = (first..first + 400).map(|n| change(n, 1, n, 1)).collect();
-        let id = world.call(0, Ask::Change(items));
-        world.run(2500.0);
-        assert_eq!(world.told(id), Some(Told::Done));
+        let id = cluster.call(0, Ask::Change(items));
+        cluster.run(2500.0);
+        assert_eq!(cluster.told(id), Some(Told::Done));
     }
-    world.run(3000.0);
-    // One lost its disk, one is replaced by an empty machine, and one of those that tell them dies on the way.
-    world.wipe(2);
-    world.start(2, false);
-    world.is_lost(4);
-    let fresh = world.joins(4);
-    world.run(400.0);
-    world.kill(1);
-    world.run(6000.0);
-    // Three of six count: nobody votes anew by so few, but both copies are whole.
+    cluster.run(3000.0);
+    // One machine lost its disk, one is replaced by an empty machine, and one of the sources of their
+    // transfers fails.
+    cluster.lose_disk(2);
+    cluster.start(2, false);
+    cluster.remove(4);
+    let fresh = cluster.add_machine(4);
+    cluster.run(400.0);
+    cluster.crash(1);
+    cluster.run(6000.0);
+    // Three of six vote: too few for others to regain their vote, but both copies are complete.
     assert_eq!(
-        [2, fresh].map(|n| (world.is_voting(n), world.digest(n))),
-        [(Some(false), world.digest(0)); 2]
+        [2, fresh].map(|n| (cluster.is_voting(n), cluster.digest(n))),
+        [(Some(false), cluster.digest(0)); 2]
     );
-    world.start(1, false);
-    // The one that died wrote last: it looks for five seconds who else is there before it gives a seat away.
-    world.run(9000.0);
-    assert_eq!([2, fresh].map(|n| (world.is_voting(n), world.digest(n))), [(Some(true), world.digest(0)); 2]);
-    assert!(world.longest_message() < 2 * CHUNK_BYTES, "{} bytes", world.longest_message());
-    assert_eq!(world.broken, Vec::<String>::new());
+    cluster.start(1, false);
+    // The crashed machine was the leader: it waits five seconds to see which others are up before it replaces
+    // a member.
+    cluster.run(9000.0);
+    assert_eq!(
+        [2, fresh].map(|n| (cluster.is_voting(n), cluster.digest(n))),
+        [(Some(true), cluster.digest(0)); 2]
+    );
+    assert!(cluster.longest_message() < 2 * CHUNK_BYTES, "{} bytes", cluster.longest_message());
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// 400 changes while a member is cut off; then another loses its disk and the rest go dark: for a while there are only the old copy and
-/// the empty one.
+/// 400 changes are made while a member is cut off; then another loses its disk and all others go down, so
+/// that only the old copy and the empty one remain for a while.
 #[test]
 fn an_old_copy_and_an_empty_one_answer_nothing_and_catch_up_when_the_rest_is_back() {
     for seed in 0..4 {
-        let mut world = World::new(seed, STORES, Mutant::None);
-        ready(&mut world);
-        world.isolate(5);
-        world.run(2500.0);
+        let mut cluster = Cluster::new(seed, MEMBERS, Mutant::None);
+        accept_first_call(&mut cluster);
+        cluster.isolate(5);
+        cluster.run(2500.0);
         let mut last = 0;
         for revision in 1..=400 {
-            let id = world.call(
+            let id = cluster.call(
                 0,
                 Ask::Change(vec![change(
                     revision as usize % 7 + 1,
@@ -334,71 +347,75 @@
                     revision,
                 )]),
             );
-            world.run(100.0);
+            cluster.run(100.0);
             last = id;
         }
-        world.run(1500.0);
-        assert_eq!(world.told(last), Some(Told::Done));
-        world.wipe(4);
-        [0, 1, 2, 3].into_iter().for_each(|n| world.kill(n));
-        world.heal();
-        world.start(4, false);
+        cluster.run(1500.0);
+        assert_eq!(cluster.told(last), Some(Told::Done));
+        cluster.lose_disk(4);
+        [0, 1, 2, 3].into_iter().for_each(|n| cluster.crash(n));
+        cluster.heal();
+        cluster.start(4, false);
         for n in [4, 5] {
-            let read = world.call(n, Ask::Read);
-            let order = world.call(n, Ask::Change(vec![change(1, 1000, 1, 1)]));
-            world.run(6000.0);
+            let read = cluster.call(n, Ask::Read);
+            let order = cluster.call(n, Ask::Change(vec![change(1, 1000, 1, 1)]));
+            cluster.run(6000.0);
             let clear = [read, order]
-                .map(|id| world.told(id))
+                .map(|id| cluster.told(id))
                 .into_iter()
                 .flatten()
                 .find(|told| *told != Told::Unclear);
-            assert_eq!((clear, world.is_fresh(n), world.is_writer(n)), (None, false, false), "seed {seed}");
+            assert_eq!(
+                (clear, cluster.is_up_to_date(n), cluster.is_leader(n)),
+                (None, false, false),
+                "seed {seed}"
+            );
         }
-        [0, 1, 2, 3].into_iter().for_each(|n| world.start(n, false));
-        world.run(4000.0);
+        [0, 1, 2, 3].into_iter().for_each(|n| cluster.start(n, false));
+        cluster.run(4000.0);
         assert_eq!(
-            [4, 5].map(|n| (world.is_fresh(n), world.digest(n))),
-            [(true, world.digest(0)); 2],
+            [4, 5].map(|n| (cluster.is_up_to_date(n), cluster.digest(n))),
+            [(true, cluster.digest(0)); 2],
             "seed {seed}"
         );
-        world.settle();
-        assert_eq!(world.broken, Vec::<String>::new());
+        cluster.settle();
+        assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
 
-/// Whether a copy is as new as a quorum's is a matter of places, not of equality at a moment: it stays so while a change comes every
-/// 100 ms for a minute.
+/// Whether a copy is up to date depends on its position and not on equal contents at a moment: it stays up to
+/// date while a change is made every 100 ms for a minute.
 #[test]
-fn copies_are_known_to_be_new_while_changes_come_in_quick_succession() {
-    let mut world = World::new(3, STORES, Mutant::None);
-    ready(&mut world);
-    world.run(2000.0);
-    let mut doubtful = [0; STORES];
+fn copies_stay_up_to_date_during_rapid_changes() {
+    let mut cluster = Cluster::new(3, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
+    cluster.run(2000.0);
+    let mut outdated = [0; MEMBERS];
     for revision in 1..=600 {
         let name = revision as usize % 5 + 1;
-        world.call(0, Ask::Change(vec![change(name, revision, name, revision)]));
-        world.run(100.0);
-        (0..STORES).for_each(|n| doubtful[n] += usize::from(!world.is_fresh(n)));
+        cluster.call(0, Ask::Change(vec![change(name, revision, name, revision)]));
+        cluster.run(100.0);
+        (0..MEMBERS).for_each(|n| outdated[n] += usize::from(!cluster.is_up_to_date(n)));
     }
-    assert!(doubtful.iter().all(|times| *times <= 6), "one in a hundred looks at the most: {doubtful:?}");
+    assert!(outdated.iter().all(|times| *times <= 6), "at most one check in a hundred: {outdated:?}");
 }
 
-/// Started again fifty times in a minute under changes: each life goes on from where the disk is.
+/// Fifty restarts in a minute during changes: each incarnation continues from the state on disk.
 #[test]
-fn a_member_that_starts_again_and_again_is_up_to_date_each_time_that_it_may_be() {
-    let mut world = World::new(12, STORES, Mutant::None);
-    ready(&mut world);
+fn a_member_that_restarts_repeatedly_continues_from_its_disk() {
+    let mut cluster = Cluster::new(12, MEMBERS, Mutant::None);
+    accept_first_call(&mut cluster);
     for revision in 1..=50 {
-        world.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
-        world.run(600.0);
-        let before = world.position(3);
-        world.vanish(3);
-        world.start(3, false);
-        assert!(world.position(3) >= before, "restart {revision}");
-        world.run(600.0);
+        cluster.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
+        cluster.run(600.0);
+        let before = cluster.position(3);
+        cluster.crash_losing_messages(3);
+        cluster.start(3, false);
+        assert!(cluster.position(3) >= before, "restart {revision}");
+        cluster.run(600.0);
     }
-    world.run(1500.0);
-    assert_eq!((world.is_fresh(3), world.digest(3)), (true, world.digest(0)));
-    world.settle();
-    assert_eq!(world.broken, Vec::<String>::new());
+    cluster.run(1500.0);
+    assert_eq!((cluster.is_up_to_date(3), cluster.digest(3)), (true, cluster.digest(0)));
+    cluster.settle();
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
