--- a/system/membership/src/leasing.rs
+++ b/system/membership/src/quota_grants.rs
@@ -1,21 +1,21 @@
 //! Units of tenants' quotas: asked for by way of a relay in each region, granted by whoever holds the tenant's count.
 
-use crate::{Millis, Out, Peer, RESTED, Round, SILENT, duties};
-use fennelscale_config::Fact;
+use crate::{Millis, Output, PEER_TIMEOUT, Peer, RECONNECT_DELAY, RegistryState, duties};
+use fennelscale_config::ParsedItem;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::Entry;
-use fennelscale_messages::news::{Down, Grant};
-use fennelscale_messages::round::Word;
+use fennelscale_messages::registry::RegistryMessage;
+use fennelscale_messages::session::{Grant, RegistryToProxy};
+use fennelscale_messages::store::Entry;
 use fennelscale_quota_lease::{Ask, Counts, Sent, Terms};
 use std::rc::Rc;
 
-impl Round {
+impl RegistryState {
     /// The relay of this region for a tenant: the registry with the highest draw among those of the region that are heard.
     pub(crate) fn near(&self, now: Millis, tenant: &str) -> Host {
         let draw = |host: &Host| {
             fennelscale_messages::mix(fennelscale_messages::hash(tenant.as_bytes()) ^ u64::from(host.0))
         };
-        let here = self.seats.seats.iter().filter(|seat| seat.region == self.zones.1).map(|seat| seat.host);
+        let here = self.seats.members.iter().filter(|seat| seat.region == self.zones.1).map(|seat| seat.host);
         let alive = here.filter(|host| *host == self.me || self.alive(*host, now));
         alive.max_by_key(draw).unwrap_or(self.me)
     }
@@ -49,8 +49,10 @@
         for sent in sent {
             match sent {
                 Sent::Down(proxy, grant) => match self.ways.get(&proxy) {
-                    Some(by) => self.out.push(Out::Send(*by, Word::Grant(proxy, grant))),
-                    None => self.out.push(Out::Down(proxy, Rc::new(Down::Grant(grant)))),
+                    Some(by) => {
+                        self.out.push(Output::SendToRegistry(*by, RegistryMessage::Grant(proxy, grant)))
+                    }
+                    None => self.out.push(Output::SendToProxy(proxy, Rc::new(RegistryToProxy::Grant(grant)))),
                 },
                 Sent::Up(tenant, units, next, demand) => self.ask_holder(now, tenant, units, next, demand),
             }
@@ -64,7 +66,10 @@
                 let grant = self.count(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
                 self.relay_grant(now, grant);
             }
-            Some(host) => self.out.push(Out::Send(host, Word::Ask { from, tenant, units, next, demand })),
+            Some(host) => self.out.push(Output::SendToRegistry(
+                host,
+                RegistryMessage::RequestUnits { from, tenant, units, next_window: next, demand },
+            )),
             None => {
                 let terms = self.terms.get(&tenant).copied().unwrap_or_default();
                 self.relay_grant(now, closed(&tenant, next, terms));
@@ -74,10 +79,10 @@
 
     /// Who is thought to hold a duty.
     pub(crate) fn holder(&self, now: Millis, bit: u64) -> Option<Host> {
-        if self.held(now) & bit != 0 {
+        if self.held_duties(now) & bit != 0 {
             return Some(self.me);
         }
-        let claims = |(_, peer): &(&Host, &Peer)| now - peer.heard < SILENT && peer.claims & bit != 0;
+        let claims = |(_, peer): &(&Host, &Peer)| now - peer.heard < PEER_TIMEOUT && peer.claims & bit != 0;
         self.peers.iter().filter(claims).map(|(host, _)| *host).next()
     }
 
@@ -86,7 +91,7 @@
         let (tenant, next) = (ask.tenant, ask.next);
         let bit = duties::bit_of(tenant);
         let terms = self.terms.get(tenant).copied().unwrap_or_default();
-        if self.held(now) & bit == 0 || terms.rate <= 0.0 {
+        if self.held_duties(now) & bit == 0 || terms.rate <= 0.0 {
             return closed(tenant, next, terms);
         }
         let since = self.duties.since(bit);
@@ -96,7 +101,7 @@
         }
         let counts = self.counted(now);
         // While a new holder rested all were on their own, and it is a while until they say that they no longer are.
-        let rested = now > since + Counts::REST as f64 * terms.window() + RESTED;
+        let rested = now > since + Counts::REST as f64 * terms.window() + RECONNECT_DELAY;
         let alone = if rested { self.members.alone_count(bit) } else { 0.0 };
         let grant = self.counts.ask(now, ask, terms, since, counts.parts + alone / counts.all);
         self.quota_edge(now, &grant);
@@ -106,10 +111,10 @@
     /// What a tenant may use follows from its item; nothing when it is dropped or has no limit.
     pub(crate) fn set_terms(&mut self, name: &str, entry: &Entry) {
         let Some(tenant) = name.strip_prefix("t:") else { return };
-        let fact = entry.body.as_deref().map(|body| fennelscale_config::fact(name, &entry.host, body));
+        let fact = entry.body.as_deref().map(|body| fennelscale_config::parse_item(name, &entry.host, body));
         match fact {
-            Some(Ok(Fact::Tenant(t))) if t.rate > 0.0 => {
-                self.terms.insert(tenant.to_owned(), Terms { rate: t.rate, burst: t.burst });
+            Some(Ok(ParsedItem::Tenant(t))) if t.rate_per_s > 0.0 => {
+                self.terms.insert(tenant.to_owned(), Terms { rate: t.rate_per_s, burst: t.burst });
             }
             _ => drop(self.terms.remove(tenant)),
         }
@@ -119,5 +124,5 @@
 /// Nobody grants now: the proxy is on its own until the window after next.
 fn closed(tenant: &str, next: bool, terms: Terms) -> Grant {
     let (tenant, ends) = (tenant.to_owned(), terms.window());
-    Grant { tenant, units: 0.0, window: 0, begins: 0.0, ends, next, closed: true }
+    Grant { tenant, units: 0.0, window: 0, begins_in: 0.0, ends_in: ends, next_window: next, closed: true }
 }
--- a/system/model-checker/src/cluster.rs
+++ b/system/model-checker/src/cluster.rs
@@ -9,9 +9,9 @@
 
 use crate::mutants::Mutant;
 use crate::properties::Violation;
-use fennelscale_config::content;
+use fennelscale_config::content_hash;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Named, Seat, Stamp, Told, Word};
+use fennelscale_messages::store::{Member, NamedEntry, Stamp, StoreMessage, StoreRequest, StoreResponse};
 use fennelscale_replication::{Item, Millis, Origin, Output, PersistedState, Replica, ReplicaConfig};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
@@ -72,7 +72,7 @@
 
 #[derive(Clone, Debug)]
 struct Node {
-    seat: Seat,
+    member: Member,
     disk: PersistedState,
     replica: Option<Replica>,
     incarnation: u64,
@@ -93,14 +93,14 @@
     /// The replica that receives it.
     pub at: usize,
     /// The request.
-    pub ask: Ask,
+    pub request: StoreRequest,
 }
 
 #[derive(Clone, Debug)]
 struct Call {
     scripted: ScriptedCall,
     submitted: bool,
-    response: Option<Told>,
+    response: Option<StoreResponse>,
     /// For a read: versions that were acknowledged before it was submitted.
     acknowledged_before: BTreeMap<String, u64>,
 }
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug)]
 pub struct Cluster {
     nodes: Vec<Node>,
-    connections: BTreeMap<(usize, u64, usize), VecDeque<Word>>,
+    connections: BTreeMap<(usize, u64, usize), VecDeque<StoreMessage>>,
     calls: Vec<Call>,
     contents: BTreeMap<(String, u64), Content>,
     remaining: Bounds,
@@ -151,9 +151,9 @@
 
 impl Cluster {
     /// A cluster of the given number of members, each in its own zone, at the first start.
-    pub fn new(seats: usize) -> Self {
+    pub fn new(members: usize) -> Self {
         let node = |n: usize| Node {
-            seat: Seat { host: Host(n as u32 + 1), zone: format!("z{n}"), region: format!("r{n}") },
+            member: Member { host: Host(n as u32 + 1), zone: format!("z{n}"), region: format!("r{n}") },
             disk: PersistedState::default(),
             replica: None,
             incarnation: 0,
@@ -161,7 +161,7 @@
             published: BTreeMap::new(),
         };
         let mut cluster = Self {
-            nodes: (0..seats).map(node).collect(),
+            nodes: (0..members).map(node).collect(),
             connections: BTreeMap::new(),
             calls: Vec::new(),
             contents: BTreeMap::new(),
@@ -173,14 +173,14 @@
             delivers_heartbeats: true,
             violated: None,
         };
-        (0..seats).for_each(|n| cluster.start(n, true));
+        (0..members).for_each(|n| cluster.start(n, true));
         cluster
     }
 
     /// A cluster of the given number of members, each in its own zone, after the bootstrap and the first
     /// calls.
-    pub fn bootstrapped(seats: usize, first: &[ScriptedCall], mutant: Option<Mutant>) -> Self {
-        let mut cluster = Self::new(seats);
+    pub fn bootstrapped(members: usize, first: &[ScriptedCall], mutant: Option<Mutant>) -> Self {
+        let mut cluster = Self::new(members);
         cluster.run(BOOTSTRAP_TIME);
         for scripted in first {
             cluster.calls.push(Call::new(scripted));
@@ -188,7 +188,7 @@
             cluster.run(1000.0);
             assert_eq!(
                 cluster.calls.last().and_then(|c| c.response.clone()),
-                Some(Told::Done),
+                Some(StoreResponse::Done),
                 "the first calls are accepted"
             );
         }
@@ -209,14 +209,14 @@
     /// for the given time.
     #[must_use]
     pub fn with_replacement(mut self, failed: usize, duration: Millis) -> Self {
-        let zone = self.nodes[failed].seat.zone.clone();
-        let region = self.nodes[failed].seat.region.clone();
+        let zone = self.nodes[failed].member.zone.clone();
+        let region = self.nodes[failed].member.region.clone();
         let clock = self.nodes[failed].clock;
         self.crash(failed);
-        let seat = Seat { host: Host(self.nodes.len() as u32 + 1), zone, region };
+        let member = Member { host: Host(self.nodes.len() as u32 + 1), zone, region };
         let disk = PersistedState::default();
         self.nodes.push(Node {
-            seat,
+            member,
             disk,
             replica: None,
             incarnation: 0,
@@ -241,18 +241,18 @@
     }
 
     /// Response to a call.
-    pub fn response(&self, call: usize) -> Option<&Told> {
+    pub fn response(&self, call: usize) -> Option<&StoreResponse> {
         self.calls.get(call).and_then(|call| call.response.as_ref())
     }
 
     fn start(&mut self, n: usize, bootstrap: bool) {
-        let seeds: Vec<Host> = self.nodes.iter().map(|node| node.seat.host).take(3).collect();
+        let seeds: Vec<Host> = self.nodes.iter().map(|node| node.member.host).take(3).collect();
         let mutant = self.mutant;
         let node = &mut self.nodes[n];
         node.incarnation += 1;
         node.published.clear();
         let config = ReplicaConfig {
-            local: node.seat.clone(),
+            local: node.member.clone(),
             seeds,
             bootstrap,
             fault_tolerance: (1, 0, 0),
@@ -292,7 +292,7 @@
         node.disk.apply(writes);
         for out in outputs {
             match out {
-                Output::Send(_, Word::Beat { .. }) if !self.delivers_heartbeats => {}
+                Output::Send(_, StoreMessage::Heartbeat { .. }) if !self.delivers_heartbeats => {}
                 Output::Send(to, message) => {
                     let (incarnation, to) = (self.nodes[n].incarnation, self.at(to));
                     // A machine that is down receives nothing.
@@ -312,8 +312,8 @@
         self.violated.get_or_insert(violation);
     }
 
-    fn on_published(&mut self, n: usize, (name, entry): Named) {
-        let hash = content(&entry.host, entry.body.as_deref());
+    fn on_published(&mut self, n: usize, (name, entry): NamedEntry) {
+        let hash = content_hash(&entry.host, entry.body.as_deref());
         let known = *self.contents.entry((name.clone(), entry.revision)).or_insert(hash);
         if known != hash {
             self.record_violation(Violation::TwoContents(name.clone(), entry.revision));
@@ -329,13 +329,13 @@
         }
     }
 
-    fn on_response(&mut self, id: usize, response: Told) {
+    fn on_response(&mut self, id: usize, response: StoreResponse) {
         let Some(call) = self.calls.get_mut(id) else { return };
         if call.response.is_some() {
             return self.record_violation(Violation::AnsweredTwice(id));
         }
         call.response = Some(response.clone());
-        if let Told::Items(items) = response {
+        if let StoreResponse::Items(items) = response {
             let read: BTreeMap<&str, u64> = items.iter().map(|(n, e)| (n.as_str(), e.revision)).collect();
             let old = call.acknowledged_before.iter().find(|(name, acknowledged_before)| {
                 read.get(name.as_str()).is_none_or(|r| r < *acknowledged_before)
@@ -350,8 +350,8 @@
     /// The highest acknowledged version of each entry.
     fn acknowledged(&self) -> BTreeMap<String, u64> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
-        for call in self.calls.iter().filter(|call| call.response == Some(Told::Done)) {
-            if let Ask::Change(changes) = &call.scripted.ask {
+        for call in self.calls.iter().filter(|call| call.response == Some(StoreResponse::Done)) {
+            if let StoreRequest::Change(changes) = &call.scripted.request {
                 for change in changes {
                     let known = all.entry(change.name.clone()).or_default();
                     *known = change.revision.max(*known);
@@ -364,16 +364,16 @@
     /// Number of disks that hold a version or a newer one, if that is too few for it to be durable.
     fn too_few_disks(&self, name: &str, revision: u64) -> Option<usize> {
         // The newest member list of any replica determines how many are needed.
-        let seats = self.nodes.iter().filter_map(|n| n.replica.as_ref()).map(Replica::members);
-        let seats = seats.max_by_key(|seats| seats.version)?;
-        let listed = |node: &&Node| seats.seats.iter().any(|seat| seat.host == node.seat.host);
+        let members = self.nodes.iter().filter_map(|n| n.replica.as_ref()).map(Replica::members);
+        let members = members.max_by_key(|members| members.version)?;
+        let listed = |node: &&Node| members.members.iter().any(|member| member.host == node.member.host);
         let holds = |node: &&Node| {
             let item: Option<&Item> = node.disk.items.get(name);
             let mut entries = item.into_iter().flat_map(|item| item.pending.iter().chain(&item.chosen));
             entries.any(|entry| entry.revision >= revision)
         };
         let disks = self.nodes.iter().filter(listed).filter(holds).count();
-        (disks + self.disks_lost < fennelscale_replication::quorum(seats, (1, 0, 0))).then_some(disks)
+        (disks + self.disks_lost < fennelscale_replication::quorum(members, (1, 0, 0))).then_some(disks)
     }
 
     /// Checks the properties that hold in every state.
@@ -389,13 +389,13 @@
         if terms.windows(2).any(|pair| pair[0] == pair[1]) {
             self.record_violation(Violation::TwoWriters);
         }
-        let mut lists: BTreeMap<u64, &[Seat]> = BTreeMap::new();
+        let mut lists: BTreeMap<u64, &[Member]> = BTreeMap::new();
         let replicas = self.nodes.iter().filter_map(|node| node.replica.as_ref());
-        let conflicting = replicas
-            .map(Replica::members)
-            .filter(|seats| !seats.seats.is_empty())
-            .find(|seats| *lists.entry(seats.version).or_insert(&seats.seats) != seats.seats.as_slice());
-        if let Some(version) = conflicting.map(|seats| seats.version) {
+        let conflicting =
+            replicas.map(Replica::members).filter(|members| !members.members.is_empty()).find(|members| {
+                *lists.entry(members.version).or_insert(&members.members) != members.members.as_slice()
+            });
+        if let Some(version) = conflicting.map(|members| members.version) {
             self.record_violation(Violation::TwoLists(version));
         }
         for (name, revision) in self.acknowledged() {
@@ -404,15 +404,15 @@
             }
         }
         for (id, call) in self.calls.iter().enumerate() {
-            let (Some(Told::Conflict(_) | Told::Invalid(_)), Ask::Change(changes)) =
-                (&call.response, &call.scripted.ask)
+            let (Some(StoreResponse::Conflict(_) | StoreResponse::Invalid(_)), StoreRequest::Change(changes)) =
+                (&call.response, &call.scripted.request)
             else {
                 continue;
             };
             for change in changes {
-                let hash = content(&change.host, change.body.as_deref());
-                let same = |other: &Call| match &other.scripted.ask {
-                    Ask::Change(all) => all.contains(change),
+                let hash = content_hash(&change.host, change.body.as_deref());
+                let same = |other: &Call| match &other.scripted.request {
+                    StoreRequest::Change(all) => all.contains(change),
                     _ => false,
                 };
                 // The same change may have been accepted in another call.
@@ -429,15 +429,15 @@
     fn call(&mut self, id: usize) {
         let acknowledged_before = self.acknowledged();
         let call = &mut self.calls[id];
-        let ScriptedCall { at, ask } = call.scripted.clone();
+        let ScriptedCall { at, request } = call.scripted.clone();
         call.submitted = true;
-        if ask == Ask::Read {
+        if request == StoreRequest::Read {
             call.acknowledged_before = acknowledged_before;
         }
-        if matches!(ask, Ask::Evacuate(..)) {
+        if matches!(request, StoreRequest::Evacuate(..)) {
             self.evacuations.push(id);
         }
-        self.apply_input(at, |replica, now| replica.submit(now, Origin::Registry(id as u64), ask));
+        self.apply_input(at, |replica, now| replica.submit(now, Origin::Registry(id as u64), request));
     }
 
     fn deliver(&mut self, from: usize, incarnation: u64, to: usize) {
@@ -447,36 +447,37 @@
             self.connections.remove(&(from, incarnation, to));
         }
         let Some(message) = message else { return };
-        let host = self.nodes[from].seat.host;
+        let host = self.nodes[from].member.host;
         if self.mutant == Some(Mutant::RejectionCountsAsAccepted)
             && let Some(stamp) = write_stamp(&message)
-            && self.nodes[to]
-                .replica
-                .as_ref()
-                .is_some_and(|replica| replica.acceptor().promised > stamp.epoch)
+            && self.nodes[to].replica.as_ref().is_some_and(|replica| replica.acceptor().promised > stamp.term)
         {
             let back = (to, self.nodes[to].incarnation, from);
-            return self.connections.entry(back).or_default().push_back(Word::Accepted(stamp));
+            return self.connections.entry(back).or_default().push_back(StoreMessage::Accepted(stamp));
         }
         if self.mutant == Some(Mutant::RejectionCountsAsPromise)
-            && let Word::Refused(_) = message
-            && let Some(epoch) = self.nodes[to].replica.as_ref().map(|replica| replica.acceptor().promised)
+            && let StoreMessage::Rejected(_) = message
+            && let Some(term) = self.nodes[to].replica.as_ref().map(|replica| replica.acceptor().promised)
         {
             let (chosen, pending) = (Vec::new(), Vec::new());
-            let promise = Word::Promise { epoch, joined: epoch, chosen, more: false, pending };
+            let promise = StoreMessage::Promise { term, joined: term, chosen, more: false, pending };
             return self.apply_input(to, |replica, now| replica.receive(now, host, promise));
         }
         if self.mutant == Some(Mutant::ReadsLocalCopy)
-            && let Word::Passed(id, Told::Fresh(_)) = message
+            && let StoreMessage::ForwardResponse(id, StoreResponse::Fresh(_)) = message
         {
             // Any copy is new enough for this position.
             return self.apply_input(to, |replica, now| {
-                replica.receive(now, host, Word::Passed(id, Told::Fresh(Stamp::default())));
+                replica.receive(
+                    now,
+                    host,
+                    StoreMessage::ForwardResponse(id, StoreResponse::Fresh(Stamp::default())),
+                );
             });
         }
         let messages = match self.mutant {
             Some(mutant) => {
-                let all: Vec<Host> = self.nodes.iter().map(|node| node.seat.host).collect();
+                let all: Vec<Host> = self.nodes.iter().map(|node| node.member.host).collect();
                 mutant.mutate_message(host, &all, message)
             }
             None => vec![(host, message)],
@@ -604,17 +605,17 @@
         for at in 0..cluster.nodes.len() {
             // A machine that was replaced cannot answer.
             let node = &cluster.nodes[at];
-            let replaced_it = |other: &Node| other.is_voting() && other.seat.zone == node.seat.zone;
+            let replaced_it = |other: &Node| other.is_voting() && other.member.zone == node.member.zone;
             if !node.is_voting() && cluster.nodes.iter().any(replaced_it) {
                 continue;
             }
             // A reader whose outcome is unknown tries again.
             let read = (0..READ_ATTEMPTS).any(|_| {
                 let id = cluster.calls.len();
-                cluster.calls.push(Call::new(&ScriptedCall { at, ask: Ask::Read }));
+                cluster.calls.push(Call::new(&ScriptedCall { at, request: StoreRequest::Read }));
                 cluster.call(id);
                 cluster.run(1500.0);
-                matches!(cluster.response(id), Some(Told::Items(_)))
+                matches!(cluster.response(id), Some(StoreResponse::Items(_)))
             });
             if !read {
                 cluster.record_violation(Violation::NeverSettles(at));
@@ -643,17 +644,18 @@
                 format!("  {n}: down, disk {}\n", if node.disk.acceptor.is_some() { "kept" } else { "empty" })
             }
             Some(replica) => {
-                let seats: Vec<u32> = replica.members().seats.iter().map(|seat| seat.host.0).collect();
+                let members: Vec<u32> =
+                    replica.members().members.iter().map(|member| member.host.0).collect();
                 let role = match (replica.is_leader(), replica.is_voting()) {
                     (true, _) => "writes",
                     (false, true) => "votes",
                     (false, false) => "does not vote",
                 };
                 let (acceptor, version) = (replica.acceptor(), replica.members().version);
-                let (round, joined) = (acceptor.promised.round, acceptor.joined.round);
+                let (round, joined) = (acceptor.promised.number, acceptor.joined.number);
                 format!(
-                    "  {n}: {role}, promised {round} by {}, joined {joined}, seats {version} {seats:?}\n",
-                    acceptor.promised.seat.0
+                    "  {n}: {role}, promised {round} by {}, joined {joined}, members {version} {members:?}\n",
+                    acceptor.promised.leader.0
                 )
             }
         };
@@ -663,7 +665,9 @@
     /// Checks that the last of several evacuation orders of a zone is in force, if it was acknowledged.
     fn check_last_evacuation(&mut self) {
         let Some(last) = self.evacuations.last().map(|id| &self.calls[*id]) else { return };
-        let (Ask::Evacuate(zone, on, _), Some(Told::Done)) = (&last.scripted.ask, &last.response) else {
+        let (StoreRequest::Evacuate(zone, on, _), Some(StoreResponse::Done)) =
+            (&last.scripted.request, &last.response)
+        else {
             return;
         };
         let name = format!("e:{zone}");
@@ -678,10 +682,10 @@
 }
 
 /// Stamp of the write that a message carries.
-fn write_stamp(message: &Word) -> Option<Stamp> {
+fn write_stamp(message: &StoreMessage) -> Option<Stamp> {
     match message {
-        Word::Begin { epoch, .. } => Some(Stamp { epoch: *epoch, turn: 0 }),
-        Word::Accept { stamp, .. } => Some(*stamp),
+        StoreMessage::BeginTerm { term, .. } => Some(Stamp { term: *term, sequence: 0 }),
+        StoreMessage::Accept { stamp, .. } => Some(*stamp),
         _ => None,
     }
 }
--- a/system/model-checker/src/mutants.rs
+++ b/system/model-checker/src/mutants.rs
@@ -2,7 +2,7 @@
 
 use crate::scenarios::Scenario;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, CallId, Chunk, Word};
+use fennelscale_messages::store::{CallId, SnapshotChunk, StoreMessage, StoreRequest};
 use fennelscale_replication::{AcceptorState, DiskWrites, MEMBERS_KEY, PersistedState};
 
 /// A deliberate fault.
@@ -166,8 +166,8 @@
                 }
             }
             Self::MembersFromLiveMachines => {
-                let seats = persisted.items.get_mut(MEMBERS_KEY).and_then(|item| item.chosen.as_mut());
-                if let Some(body) = seats.and_then(|entry| entry.body.as_mut()) {
+                let members = persisted.items.get_mut(MEMBERS_KEY).and_then(|item| item.chosen.as_mut());
+                if let Some(body) = members.and_then(|entry| entry.body.as_mut()) {
                     let lines: Vec<&str> = body.lines().collect();
                     *body = lines[..lines.len().min(1)].join("\n");
                 }
@@ -182,52 +182,56 @@
         if self != Self::VotesAfterDiskLoss {
             return PersistedState::default();
         }
-        let seats = persisted.items.get(MEMBERS_KEY).map(|item| (MEMBERS_KEY.to_owned(), item.clone()));
+        let members = persisted.items.get(MEMBERS_KEY).map(|item| (MEMBERS_KEY.to_owned(), item.clone()));
         PersistedState {
             acceptor: Some(AcceptorState::default()),
-            items: seats.into_iter().collect(),
+            items: members.into_iter().collect(),
             ..PersistedState::default()
         }
     }
 
     /// What becomes of a message on arrival, and which members it seems to come from.
-    pub(crate) fn mutate_message(self, from: Host, all: &[Host], message: Word) -> Vec<(Host, Word)> {
-        let from_all = |message: &Word| all.iter().map(|host| (*host, message.clone())).collect();
+    pub(crate) fn mutate_message(
+        self, from: Host, all: &[Host], message: StoreMessage,
+    ) -> Vec<(Host, StoreMessage)> {
+        let from_all = |message: &StoreMessage| all.iter().map(|host| (*host, message.clone())).collect();
         let message = match (self, message) {
-            (Self::RecoversFromOneMember, message @ Word::Learned { .. })
-            | (Self::AcceptedCountsForAll, message @ Word::Accepted(_)) => return from_all(&message),
-            (Self::PromiseWithoutPending, Word::Promise { epoch, joined, chosen, more, .. }) => {
-                Word::Promise { epoch, joined, chosen, more, pending: Vec::new() }
+            (Self::RecoversFromOneMember, message @ StoreMessage::RecoveryState { .. })
+            | (Self::AcceptedCountsForAll, message @ StoreMessage::Accepted(_)) => return from_all(&message),
+            (Self::PromiseWithoutPending, StoreMessage::Promise { term, joined, chosen, more, .. }) => {
+                StoreMessage::Promise { term, joined, chosen, more, pending: Vec::new() }
             }
-            (Self::PromiseWithoutChosen, Word::Promise { epoch, joined, more, pending, .. }) => {
-                Word::Promise { epoch, joined, chosen: Vec::new(), more, pending }
+            (Self::PromiseWithoutChosen, StoreMessage::Promise { term, joined, more, pending, .. }) => {
+                StoreMessage::Promise { term, joined, chosen: Vec::new(), more, pending }
             }
-            (Self::ChosenEarly, message @ Word::Accept { stamp, .. }) => {
-                return vec![(from, message), (from, Word::Chosen(stamp))];
+            (Self::ChosenEarly, message @ StoreMessage::Accept { stamp, .. }) => {
+                return vec![(from, message), (from, StoreMessage::Chosen(stamp))];
             }
-            (Self::PartialWrite, Word::Accept { stamp, mut entries, chosen }) => {
+            (Self::PartialWrite, StoreMessage::Accept { stamp, mut entries, chosen }) => {
                 entries.truncate(entries.len().div_ceil(2));
-                Word::Accept { stamp, entries, chosen }
+                StoreMessage::Accept { stamp, entries, chosen }
             }
-            (Self::EmptyFirstWrite, Word::Begin { epoch, digest, lacked, .. }) => {
-                Word::Begin { epoch, entries: Vec::new(), digest, lacked }
+            (Self::EmptyFirstWrite, StoreMessage::BeginTerm { term, digest, missing, .. }) => {
+                StoreMessage::BeginTerm { term, entries: Vec::new(), digest, missing }
             }
-            (Self::JoinsWhileBehind, Word::Begin { epoch, entries, digest, .. }) => {
-                Word::Begin { epoch, entries, digest, lacked: Some(Vec::new()) }
+            (Self::JoinsWhileBehind, StoreMessage::BeginTerm { term, entries, digest, .. }) => {
+                StoreMessage::BeginTerm { term, entries, digest, missing: Some(Vec::new()) }
             }
-            (Self::EmptyChunk, Word::Chunk(chunk)) => {
-                Word::Chunk(Chunk { entries: Vec::new(), next: None, ..chunk })
+            (Self::EmptyChunk, StoreMessage::Chunk(chunk)) => {
+                StoreMessage::Chunk(SnapshotChunk { entries: Vec::new(), next: None, ..chunk })
             }
-            (Self::RecoveryWithoutChosen, Word::Learned { promised, joined, more, pending, .. }) => {
-                Word::Learned { promised, joined, chosen: Vec::new(), more, pending }
-            }
-            (Self::ResponsesMixedUp, Word::Passed(id, response)) => {
-                let other = |number| Word::Passed(CallId { number, ..id }, response.clone());
+            (
+                Self::RecoveryWithoutChosen,
+                StoreMessage::RecoveryState { promised, joined, more, pending, .. },
+            ) => StoreMessage::RecoveryState { promised, joined, chosen: Vec::new(), more, pending },
+            (Self::ResponsesMixedUp, StoreMessage::ForwardResponse(id, response)) => {
+                let other = |number| StoreMessage::ForwardResponse(CallId { number, ..id }, response.clone());
                 return (1..=id.number).map(|number| (from, other(number))).collect();
             }
-            (Self::EvacuationWithoutVersion, Word::Pass(id, Ask::Evacuate(zone, on, _))) => {
-                Word::Pass(id, Ask::Evacuate(zone, on, None))
-            }
+            (
+                Self::EvacuationWithoutVersion,
+                StoreMessage::Forward(id, StoreRequest::Evacuate(zone, on, _)),
+            ) => StoreMessage::Forward(id, StoreRequest::Evacuate(zone, on, None)),
             (_, message) => message,
         };
         vec![(from, message)]
--- a/system/model-checker/src/scenarios.rs
+++ b/system/model-checker/src/scenarios.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{Bounds, Cluster, ScriptedCall};
 use crate::mutants::Mutant;
-use fennelscale_messages::depot::{Ask, Change};
+use fennelscale_messages::store::{Change, StoreRequest};
 
 /// A scenario.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
@@ -76,16 +76,16 @@
     Change { name: format!("r:{name}"), revision, host: "h".into(), body: Some(body) }
 }
 
-fn at(at: usize, ask: Ask) -> ScriptedCall {
-    ScriptedCall { at, ask }
+fn at(at: usize, request: StoreRequest) -> ScriptedCall {
+    ScriptedCall { at, request }
 }
 
 fn change(store: usize, changes: &[Change]) -> ScriptedCall {
-    at(store, Ask::Change(changes.to_vec()))
+    at(store, StoreRequest::Change(changes.to_vec()))
 }
 
 fn evacuate(store: usize, on: bool) -> ScriptedCall {
-    at(store, Ask::Evacuate("z".into(), on, None))
+    at(store, StoreRequest::Evacuate("z".into(), on, None))
 }
 
 /// Calls of two operators who send different contents under one version, calls that are invalid only in
@@ -95,8 +95,8 @@
         change(0, &[route("a", 5, "a", 2), route("e", 5, "e", 2)]),
         change(1, &[route("a", 5, "a", 3)]),
         change(2, &[route("a", 7, "a", 4), route("d", 2, "e", 1)]),
-        at(1, Ask::Read),
-        at(2, Ask::Read),
+        at(1, StoreRequest::Read),
+        at(2, StoreRequest::Read),
         evacuate(1, true),
     ]
 }
@@ -139,7 +139,7 @@
             body: Some(r#"{"healthCheckPath":"/health"}"#.into()),
         };
         let first = [change(0, &[service.clone(), route("a", 1, "a", 1)])];
-        let bootstrapped = |seats| Cluster::bootstrapped(seats, &first, mutant);
+        let bootstrapped = |members| Cluster::bootstrapped(members, &first, mutant);
         let none = Bounds::default();
         match self {
             Self::ConflictingChanges => bootstrapped(3).with_calls(
@@ -154,7 +154,7 @@
                 Bounds { clock_steps: 1, ..none },
             ),
             Self::ChangeAndRead => bootstrapped(3).with_calls(
-                &[change(0, &[route("a", 5, "a", 2)]), at(1, Ask::Read)],
+                &[change(0, &[route("a", 5, "a", 2)]), at(1, StoreRequest::Read)],
                 Bounds { clock_steps: 1, ..none },
             ),
             Self::Crash => bootstrapped(3).with_calls(
@@ -184,15 +184,19 @@
                 Bounds { clock_steps: 5, disconnects: 2, ..none },
             ),
             Self::DiskLossAndConflict => bootstrapped(3).with_calls(
-                &[change(0, &[route("a", 5, "a", 2)]), change(1, &[route("a", 5, "a", 3)]), at(2, Ask::Read)],
+                &[
+                    change(0, &[route("a", 5, "a", 2)]),
+                    change(1, &[route("a", 5, "a", 3)]),
+                    at(2, StoreRequest::Read),
+                ],
                 Bounds { clock_steps: 3, disk_losses: 1, learner_clock_steps: 3, ..none },
             ),
             Self::ReadAndDisconnect => bootstrapped(3).with_calls(
-                &[change(0, &[route("a", 5, "a", 2)]), at(1, Ask::Read)],
+                &[change(0, &[route("a", 5, "a", 2)]), at(1, StoreRequest::Read)],
                 Bounds { disconnects: 1, ..none },
             ),
             Self::Bootstrap => Cluster::new(3).with_calls(
-                &[change(1, std::slice::from_ref(&service)), at(2, Ask::Read)],
+                &[change(1, std::slice::from_ref(&service)), at(2, StoreRequest::Read)],
                 Bounds { clock_steps: 4, disconnects: 2, learner_clock_steps: 9, ..none },
             ),
             Self::Everything => bootstrapped(3)
@@ -204,7 +208,11 @@
             Self::FiveMembers => bootstrapped(5)
                 .with_calls(&operators(), Bounds { clock_steps: 6, crashes: 3, disconnects: 3, ..none }),
             Self::ReplacementOfFive => bootstrapped(5).with_replacement(1, 2400.0).with_calls(
-                &[change(0, &[route("a", 5, "a", 2)]), change(3, &[route("a", 5, "a", 3)]), at(4, Ask::Read)],
+                &[
+                    change(0, &[route("a", 5, "a", 2)]),
+                    change(3, &[route("a", 5, "a", 3)]),
+                    at(4, StoreRequest::Read),
+                ],
                 Bounds { clock_steps: 4, crashes: 1, disconnects: 1, learner_clock_steps: 3, ..none },
             ),
         }
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -1,12 +1,12 @@
 //! The proxy's host: joins news, lease cache, services and clients.
 
-use crate::beside;
-use crate::front::Front;
-use crate::held::{Held, Place, UPDATE};
+use crate::frontend::Front;
 use crate::metrics::{self, Metrics};
-use crate::services::Services;
+use crate::peer_sync;
+use crate::request_trace::Trail;
+use crate::routing_state::{ProxyLocation, RoutingState, UPDATE_INTERVAL};
+use crate::service_engines::Services;
 use crate::session;
-use crate::trail::Trail;
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::Tenant;
 use fennelscale_dataplane::front::door::Door;
@@ -16,7 +16,9 @@
 use fennelscale_host::{call, spawn};
 use fennelscale_maintenance::clock::Span;
 use fennelscale_messages::Host;
-use fennelscale_messages::news::{Beside, Down, Member, RegistryPlace, Up};
+use fennelscale_messages::session::{
+    ProxyInfo, ProxyMessage, ProxyToRegistry, RegistryInfo, RegistryToProxy,
+};
 use fennelscale_node_settings::{Port, Settings};
 use fennelscale_quota_lease::{Admission, Cache, Comer, Terms, Timely};
 use std::cell::{Cell, RefCell};
@@ -56,7 +58,7 @@
     pub settings: Settings,
     pub host: Host,
     life: u64,
-    pub held: RefCell<Held>,
+    pub held: RefCell<RoutingState>,
     pub services: Services,
     cache: RefCell<Cache>,
     /// Which tries come too late for their aim.
@@ -64,7 +66,7 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next: Cell<u64>,
     session: RefCell<Option<Writer>>,
-    registries: RefCell<Vec<RegistryPlace>>,
+    registries: RefCell<Vec<RegistryInfo>>,
     /// When the core's majority last stood behind what this proxy was told, by its own clock.
     contact: Cell<Option<f64>>,
     /// What sessions have brought of items.
@@ -92,7 +94,7 @@
     let missing = |field: &str| {
         miette::miette!(help = "the proxy runs on machines that have it", "settings field {field} is missing")
     };
-    let host = Host::of(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
+    let host = Host::from_ip(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
     let frontend = settings.listen.frontend.ok_or_else(|| missing("listenAddresses.frontend"))?;
     let readiness = settings.listen.readiness.ok_or_else(|| missing("listenAddresses.readiness"))?;
     let clients = start::listen(frontend).await?;
@@ -103,12 +105,12 @@
         None => None,
     };
     let budget = Budget::divide(settings.limits.descriptors.saturating_sub(OTHERS), 0, 0, 0);
-    let place = Place {
-        me: host,
+    let place = ProxyLocation {
+        host,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        zones: settings.zones.clone(),
-        lag: settings.cloud.lag.as_secs_f64() * 1000.0,
+        zone_regions: settings.zones.clone(),
+        max_list_age: settings.cloud.lag.as_secs_f64() * 1000.0,
     };
     let life = start::life();
     let retry = (settings.bounds.retry_ratio, settings.bounds.retry_slack);
@@ -121,7 +123,7 @@
         settings,
         host,
         life,
-        held: RefCell::new(Held::new(place)),
+        held: RefCell::new(RoutingState::new(place)),
         services,
         cache: RefCell::new(Cache::new(0.0, life)),
         timely: RefCell::default(),
@@ -141,11 +143,11 @@
         born,
     });
     spawn(session::keep(proxy.clone()));
-    beside::keep(proxy.clone(), besides);
+    peer_sync::run(proxy.clone(), besides);
     let of = proxy.clone();
     call::listen(readiness, move |asked| {
         let ready = of.is_ready();
-        async move { crate::front::readiness(&asked, ready) }
+        async move { crate::frontend::readiness(&asked, ready) }
     });
     if let Some(listener) = scrapes {
         let (of, metrics) = (proxy.clone(), Rc::new(Metrics::default()));
@@ -157,7 +159,7 @@
     let ticking = proxy.clone();
     spawn(async move {
         let (mut updated, mut reported) = (Instant::now(), Instant::now());
-        let update = Duration::from_secs_f64(UPDATE / 1000.0);
+        let update = Duration::from_secs_f64(UPDATE_INTERVAL / 1000.0);
         loop {
             sleep(TICK).await;
             ticking.tick();
@@ -167,7 +169,7 @@
                 reported = Instant::now();
                 ticking.services.report_unusual_sends();
             }
-            if updated.elapsed() >= update && ticking.held.borrow().changes(ticking.now()) {
+            if updated.elapsed() >= update && ticking.held.borrow().needs_update(ticking.now()) {
                 updated = Instant::now();
                 ticking.update();
             }
@@ -200,12 +202,12 @@
 
     pub fn is_ready(&self) -> bool {
         let held = self.held.borrow();
-        !self.leaving.get() && held.is_ready() && !held.is_out()
+        !self.leaving.get() && held.is_ready() && !held.is_drained()
     }
 
     /// Whether clients are to go elsewhere: it ends, or a work order has drained it.
     pub fn sends_away(&self) -> bool {
-        self.leaving.get() || self.held.borrow().is_out()
+        self.leaving.get() || self.held.borrow().is_drained()
     }
 
     /// The front side's door, to see whether clients are connected.
@@ -242,38 +244,41 @@
         let counts: Vec<Count> =
             counts.map(|(order, c, o)| (order, [c.named, c.failed, c.over], o.map(sums))).collect();
         // Also unchanged: another registry may have the session by now.
-        self.send(&Up::Met(counts));
+        self.send(&ProxyToRegistry::FailureCounts(counts));
     }
 
     /// Drained nodes where this proxy has nothing at work.
     fn quiet(&self) -> Vec<String> {
         let held = self.held.borrow();
-        if held.out().is_empty() {
+        if held.drained_nodes().is_empty() {
             return Vec::new();
         }
         let clients = self.door.borrow().as_ref().is_some_and(|door| !door.is_empty());
-        held.quiet(&self.services.working(), clients)
+        held.idle_nodes(&self.services.working(), clients)
     }
 
     /// Drains begin and end; registries hear where nothing is at work any more.
     fn keep_hours(&self) {
         let (was, settled) = {
             let mut held = self.held.borrow_mut();
-            if held.table.drains.is_empty() && held.out().is_empty() && self.quiet.borrow().is_empty() {
+            if held.table.drains.is_empty()
+                && held.drained_nodes().is_empty()
+                && self.quiet.borrow().is_empty()
+            {
                 return;
             }
-            (held.is_out(), held.settle(self.now()))
+            (held.is_drained(), held.update_drains(self.now()))
         };
         if settled {
-            tracing::info!(event = "drains", out = ?self.held.borrow().out());
+            tracing::info!(event = "drains", out = ?self.held.borrow().drained_nodes());
             self.update();
         }
         let quiet = self.quiet();
         if *self.quiet.borrow() != quiet {
             self.quiet.borrow_mut().clone_from(&quiet);
-            self.send(&Up::Quiet(quiet));
+            self.send(&ProxyToRegistry::IdleNodes(quiet));
         }
-        if was != self.held.borrow().is_out() {
+        if was != self.held.borrow().is_drained() {
             self.send(&self.beat());
         }
     }
@@ -289,15 +294,15 @@
     }
 
     /// This proxy, as others know it.
-    pub fn member(&self) -> Member {
-        Member {
+    pub fn member(&self) -> ProxyInfo {
+        ProxyInfo {
             host: self.host,
-            life: self.life,
+            incarnation: self.life,
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
             port: self.settings.listen.frontend.map_or(0, |at| at.port()),
             ready: self.is_ready(),
-            quiet: self.quiet.borrow().clone(),
+            idle_nodes: self.quiet.borrow().clone(),
         }
     }
 
@@ -330,25 +335,30 @@
     fn tell_parts(&self) {
         let known = self.copies.get();
         self.copies.set(CopyFigures { compared: known.compared + 1, ..known });
-        self.send(&Up::Have(self.held.borrow().digest()));
+        self.send(&ProxyToRegistry::Digest(self.held.borrow().digest()));
     }
 
     /// The first word of a session: one that holds a copy is sent only what it lacks.
-    pub fn greeting(&self) -> Up {
+    pub fn greeting(&self) -> ProxyToRegistry {
         let held = self.held.borrow();
-        if held.sum() == 0 {
+        if held.items_hash() == 0 {
             drop(held);
-            return Up::Hello(self.member());
+            return ProxyToRegistry::Hello(self.member());
         }
         let parts = held.digest();
         drop(held);
-        Up::Resume(self.member(), parts)
+        ProxyToRegistry::Resume(self.member(), parts)
     }
 
-    pub fn beat(&self) -> Up {
+    pub fn beat(&self) -> ProxyToRegistry {
         let held = self.held.borrow();
-        let (items, listing) = (held.sum(), held.listing.stamp);
-        Up::Beat { ready: self.is_ready(), items, listing, alone: self.cache.borrow().alone(self.now()) }
+        let (items, listing) = (held.items_hash(), held.backend_list.stamp);
+        ProxyToRegistry::Heartbeat {
+            ready: self.is_ready(),
+            items_hash: items,
+            list_stamp: listing,
+            self_granted: self.cache.borrow().alone(self.now()),
+        }
     }
 
     fn far(&self, zone: &str, region: &str) -> u8 {
@@ -365,10 +375,10 @@
     /// is cut off, or gone: it has nothing newer to tell.
     pub fn nearer(&self, than: Host, besides: impl Fn(Host) -> bool) -> bool {
         let known = self.registries.borrow();
-        let far = |place: &RegistryPlace| self.far(&place.zone, &place.region);
+        let far = |place: &RegistryInfo| self.far(&place.zone, &place.region);
         // One that is not on the list may be anywhere.
         let own = known.iter().find(|place| place.host == than).map_or(3, far);
-        known.iter().any(|place| place.heard && far(place) < own && !besides(place.host))
+        known.iter().any(|place| place.reachable && far(place) < own && !besides(place.host))
     }
 
     /// Registries to have a session with, the nearest first.
@@ -384,7 +394,7 @@
             .collect();
         all.sort_unstable();
         let mut hosts: Vec<Host> = all.into_iter().map(|(.., host)| host).collect();
-        for seed in self.seeds.borrow().iter().filter_map(|seed| Host::of(seed.ip())) {
+        for seed in self.seeds.borrow().iter().filter_map(|seed| Host::from_ip(seed.ip())) {
             if !hosts.contains(&seed) {
                 hosts.push(seed);
             }
@@ -400,7 +410,7 @@
     pub fn others(&self) -> Vec<Host> {
         let held = self.held.borrow();
         let mut others: Vec<(bool, Host)> = held
-            .members
+            .proxies
             .iter()
             .filter(|m| m.host != self.host)
             .map(|m| (m.region != self.settings.region, m.host))
@@ -409,43 +419,47 @@
         others.into_iter().map(|(_, host)| host).collect()
     }
 
-    pub fn have(&self) -> Beside {
+    pub fn have(&self) -> ProxyMessage {
         let held = self.held.borrow();
-        Beside::Have { items: held.digest(), listing: held.listing.stamp }
+        ProxyMessage::Digest { items: held.digest(), list_stamp: held.backend_list.stamp }
     }
 
-    pub fn news_for(&self, items: &[u64], listing: (u64, Host)) -> Beside {
+    pub fn news_for(&self, items: &[u64], listing: (u64, Host)) -> ProxyMessage {
         let held = self.held.borrow();
-        let newer = (held.listing.stamp > listing).then(|| held.listing.clone());
-        let members = (held.members.clone(), held.known_gateways());
-        Beside::News { entries: held.differing(items), listing: newer, members }
+        let newer = (held.backend_list.stamp > listing).then(|| held.backend_list.clone());
+        let members = (held.proxies.clone(), held.known_proxy_count());
+        ProxyMessage::Update {
+            entries: held.entries_in_differing_parts(items),
+            backend_list: newer,
+            proxies: members,
+        }
     }
 
     pub fn session(&self, writer: Option<Writer>) {
         *self.session.borrow_mut() = writer;
     }
 
-    fn send(&self, up: &Up) {
+    fn send(&self, up: &ProxyToRegistry) {
         if let Some(session) = self.session.borrow().as_ref() {
             session.send(up);
         }
     }
 
     /// News from the registry.
-    pub fn news(&self, word: Down) {
+    pub fn news(&self, word: RegistryToProxy) {
         match word {
-            Down::Items { whole, fresh, entries } => {
+            RegistryToProxy::Items { complete: whole, up_to_date: fresh, entries } => {
                 let (now, count) = (self.now(), entries.len());
                 let (news, was) = {
                     let mut held = self.held.borrow_mut();
                     let was = held.is_ready();
                     let news = held.merge(now, entries);
-                    held.fresh |= fresh;
+                    held.up_to_date |= fresh;
                     (news, was)
                 };
                 self.count_items(whole, count, news.len());
                 if news.iter().any(|name| name.starts_with(FAILURE)) {
-                    self.desk.borrow_mut().set(self.held.borrow().table.failures.values());
+                    self.desk.borrow_mut().set(self.held.borrow().table.failure_orders.values());
                 }
                 self.drop_limits(&news);
                 if !news.is_empty() {
@@ -454,37 +468,37 @@
                 }
                 self.tell_ready(was);
             }
-            Down::Listing(listing) => {
+            RegistryToProxy::BackendList(listing) => {
                 let was = self.held.borrow().is_ready();
                 let now = self.now();
-                if self.held.borrow_mut().list(now, listing) {
+                if self.held.borrow_mut().set_backend_list(now, listing) {
                     self.update();
                 }
                 self.tell_ready(was);
             }
-            Down::Members(members, gateways) => {
+            RegistryToProxy::Proxies(members, gateways) => {
                 {
                     let mut held = self.held.borrow_mut();
-                    held.tell_members(self.now(), members, gateways);
-                    self.cache.borrow_mut().gateways(held.gateways);
+                    held.set_proxies(self.now(), members, gateways);
+                    self.cache.borrow_mut().gateways(held.proxy_count);
                 }
                 self.update();
             }
-            Down::Registries(registries) => *self.registries.borrow_mut() = registries,
-            Down::Grant(grant) => {
+            RegistryToProxy::Registries(registries) => *self.registries.borrow_mut() = registries,
+            RegistryToProxy::Grant(grant) => {
                 let (mut out, mut told) = (Vec::new(), Vec::new());
                 self.cache.borrow_mut().grant(self.now(), grant, &mut out, &mut told);
                 self.carry_out(out, told);
             }
-            Down::Time(earliest, latest) => {
-                self.held.borrow_mut().tell_time(self.now(), Span { earliest, latest });
+            RegistryToProxy::Time(earliest, latest) => {
+                self.held.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
             }
-            Down::Recall(question, id) => {
+            RegistryToProxy::LookUpRequest(question, id) => {
                 let known = self.trail.borrow().recall(self.now(), id);
-                self.send(&Up::Recalled(question, known));
+                self.send(&ProxyToRegistry::RequestRecord(question, known));
             }
-            Down::Compare => self.tell_parts(),
-            Down::Beat { .. } => {}
+            RegistryToProxy::RequestDigest => self.tell_parts(),
+            RegistryToProxy::Heartbeat { .. } => {}
         }
     }
 
@@ -492,7 +506,7 @@
     fn drop_limits(&self, news: &[String]) {
         let mut told = Vec::new();
         for tenant in news.iter().filter_map(|name| name.strip_prefix("t:")) {
-            let limited = self.held.borrow().table.tenant_named(tenant).is_some_and(|t| t.rate > 0.0);
+            let limited = self.held.borrow().table.tenant_by_name(tenant).is_some_and(|t| t.rate_per_s > 0.0);
             if !limited {
                 self.cache.borrow_mut().forget(tenant, &mut told);
             }
@@ -517,7 +531,7 @@
         self.carry_out(out, told);
     }
 
-    fn carry_out(&self, out: Vec<Up>, told: Vec<(u64, Admission)>) {
+    fn carry_out(&self, out: Vec<ProxyToRegistry>, told: Vec<(u64, Admission)>) {
         out.iter().for_each(|up| self.send(up));
         for (request, admission) in told {
             if let Some(answer) = self.waiting.borrow_mut().remove(&request) {
@@ -529,7 +543,7 @@
     /// Takes a unit of a tenant's lease, waiting for a block no longer than `wait`. How long the client should stay away
     /// where there is none. One that is `late` for its aim goes last while units are scarce.
     pub async fn admit(&self, tenant: &Tenant, wait: Duration, late: bool) -> Result<(), f64> {
-        let terms = Terms { rate: tenant.rate, burst: tenant.burst };
+        let terms = Terms { rate: tenant.rate_per_s, burst: tenant.burst };
         if terms.rate <= 0.0 {
             return Ok(());
         }
--- a/system/registry/src/calls.rs
+++ b/system/registry/src/api.rs
@@ -4,13 +4,13 @@
 use crate::registry::Registry;
 use crate::requests::Request;
 use bytes::Bytes;
-use fennelscale_config::Fact;
+use fennelscale_config::ParsedItem;
 use fennelscale_host::call::{Asked, Call, Done, Json, Serves, handle};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_maintenance::order::Node;
 use fennelscale_maintenance::plan::Why;
-use fennelscale_membership::hours::{NodeState, OrderState};
-use fennelscale_messages::depot::{Ask, Change, Entry, Told};
+use fennelscale_membership::maintenance::{NodeStatus, OrderStatus};
+use fennelscale_messages::store::{Change, Entry, StoreRequest, StoreResponse};
 use http_body_util::Full;
 use hyper::{Method, Response};
 use std::rc::Rc;
@@ -61,7 +61,7 @@
             return None;
         }
         Some(method(asked, &[Method::PATCH, Method::GET]).and_then(|()| {
-            fennelscale_config::read_call(&asked.body).map(Self).map_err(|invalid| {
+            fennelscale_config::parse_call(&asked.body).map(Self).map_err(|invalid| {
                 tracing::debug!(event = "invalid-call", body = %String::from_utf8_lossy(&asked.body));
                 Failure::new(Kind::Invalid, invalid.0)
             })
@@ -103,7 +103,7 @@
     const FORM: &'static str = "POST /fennelscale/maintenance";
     fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
         (asked.path == MAINTENANCE && asked.method == Method::POST).then(|| {
-            let changes = fennelscale_config::read_call(&asked.body).map(Self);
+            let changes = fennelscale_config::parse_call(&asked.body).map(Self);
             changes.map_err(|invalid| Failure::new(Kind::Invalid, invalid.0))
         })
     }
@@ -137,17 +137,17 @@
     }
 }
 
-fn told(told: Told) -> Result<Option<Vec<fennelscale_messages::depot::Named>>, Failure> {
+fn told(told: StoreResponse) -> Result<Option<Vec<fennelscale_messages::store::NamedEntry>>, Failure> {
     match told {
-        Told::Done => Ok(None),
-        Told::Items(items) => Ok(Some(items)),
-        Told::Invalid(text) => Err(Failure::new(Kind::Invalid, text)),
-        Told::Conflict(text) => Err(Failure::new(Kind::Conflict, text)),
-        Told::Forgotten => {
+        StoreResponse::Done => Ok(None),
+        StoreResponse::Items(items) => Ok(Some(items)),
+        StoreResponse::Invalid(text) => Err(Failure::new(Kind::Invalid, text)),
+        StoreResponse::Conflict(text) => Err(Failure::new(Kind::Conflict, text)),
+        StoreResponse::Forgotten => {
             let text = "older than the versions that are remembered: without effect, and not known whether it was ever taken";
             Err(Failure::new(Kind::Unclear, text))
         }
-        Told::Fresh(_) | Told::Unclear => {
+        StoreResponse::Fresh(_) | StoreResponse::Unclear => {
             Err(Failure::new(Kind::Unclear, "no quorum of stores has answered"))
         }
     }
@@ -161,7 +161,7 @@
         }
         let mut changes = call.0;
         share_failures(self, &mut changes)?;
-        told(self.ask(Ask::Change(changes)).await)?;
+        told(self.ask(StoreRequest::Change(changes)).await)?;
         tracing::info!(event = "config-acknowledged", items);
         Ok(Done)
     }
@@ -181,7 +181,7 @@
     if named.is_empty() {
         return Vec::new();
     }
-    registry.round.borrow_mut().rehearse(registry.now(), &named)
+    registry.round.borrow_mut().check_orders(registry.now(), &named)
 }
 
 /// Sees that the failure orders of a call are within what the settings allow, and writes beside each which proxies share it. The
@@ -190,9 +190,11 @@
     for change in
         changes.iter_mut().filter(|change| change.name.starts_with(fennelscale_fault_injection::FAILURE))
     {
-        let fact =
-            change.body.as_deref().map(|body| fennelscale_config::fact(&change.name, &change.host, body));
-        let Some(Ok(Fact::Failure(order))) = fact else { continue };
+        let fact = change
+            .body
+            .as_deref()
+            .map(|body| fennelscale_config::parse_item(&change.name, &change.host, body));
+        let Some(Ok(ParsedItem::FailureOrder(order))) = fact else { continue };
         let invalid =
             |text: String| Failure::new(Kind::Invalid, format!("failure order {}: {text}", order.name));
         let settings = registry.settings.borrow().clone();
@@ -206,7 +208,7 @@
             return Err(invalid(text));
         }
         let lives: Vec<String> =
-            members.iter().map(|m| fennelscale_fault_injection::proxy(m.host, m.life)).collect();
+            members.iter().map(|m| fennelscale_fault_injection::proxy(m.host, m.incarnation)).collect();
         change.host = lives.join(" ");
     }
     Ok(())
@@ -214,7 +216,7 @@
 
 impl Serves<Failures> for Rc<Registry> {
     async fn serve(&self, _: Failures) -> Result<Json, Failure> {
-        let counts = self.round.borrow().failures();
+        let counts = self.round.borrow().failure_counts();
         let sums = |[served, refused, failed]: &[u64; 3]| {
             format!("{{\"served\":{served},\"refused\":{refused},\"failed\":{failed}}}")
         };
@@ -249,23 +251,23 @@
 
 impl Serves<Maintenance> for Rc<Registry> {
     async fn serve(&self, _: Maintenance) -> Result<Json, Failure> {
-        let (time, orders) = self.round.borrow_mut().maintenance(self.now());
+        let (time, orders) = self.round.borrow_mut().maintenance_status(self.now());
         let list = |texts: &[String]| texts.iter().map(|t| quoted(t)).collect::<Vec<_>>().join(",");
-        let node = |node: &NodeState| {
+        let node = |node: &NodeStatus| {
             format!(
                 "{{\"node\":{},\"phase\":\"{}\",\"since\":{},\"why\":{},\"waitsFor\":[{}]}}",
                 quoted(&node.node),
                 node.phase,
                 quoted(&node.since),
-                quoted(&node.why),
-                list(&node.waits_for)
+                quoted(&node.reason),
+                list(&node.waiting_for)
             )
         };
-        let order = |order: &OrderState| {
+        let order = |order: &OrderStatus| {
             format!(
                 "{{\"name\":{},\"state\":\"{}\",\"contract\":{},\"holder\":{},\"hours\":{},\"nodes\":[{}]}}",
                 quoted(&order.name),
-                order.wanted,
+                order.state,
                 quoted(&order.contract),
                 quoted(&order.holder),
                 quoted(&order.hours),
@@ -282,8 +284,8 @@
 
 impl Serves<GetConfig> for Rc<Registry> {
     async fn serve(&self, _: GetConfig) -> Result<Json, Failure> {
-        let items = told(self.ask(Ask::Read).await)?.unwrap_or_default();
-        Ok(Json(fennelscale_config::lay_out(items.iter().map(|(name, entry)| (name.as_str(), entry)))))
+        let items = told(self.ask(StoreRequest::Read).await)?.unwrap_or_default();
+        Ok(Json(fennelscale_config::render_items(items.iter().map(|(name, entry)| (name.as_str(), entry)))))
     }
 }
 
@@ -292,7 +294,7 @@
         if !self.settings.borrow().zones.contains_key(&zone) {
             return Err(Failure::new(Kind::NotFound, format!("there is no zone {zone}")));
         }
-        told(self.ask(Ask::Evacuate(zone.clone(), on, None)).await)?;
+        told(self.ask(StoreRequest::Evacuate(zone.clone(), on, None)).await)?;
         tracing::info!(event = "evacuation-acknowledged", zone, on);
         Ok(Done)
     }
@@ -322,7 +324,7 @@
         if members.is_empty() {
             return Err(Failure::new(Kind::NoRoom, "no proxy takes clients now"));
         }
-        let address = |m: &fennelscale_messages::news::Member| format!("\"{}:{}\"", m.host, m.port);
+        let address = |m: &fennelscale_messages::session::ProxyInfo| format!("\"{}:{}\"", m.host, m.port);
         let addresses: Vec<String> = members.iter().take(MOST).map(address).collect();
         let ttl = TTL.min(self.settings.borrow().bounds.ttl_most).as_millis();
         Ok(Json(format!("{{\"addresses\":[{}],\"ttl\":\"{ttl}ms\"}}", addresses.join(","))))
@@ -339,7 +341,7 @@
     {
         let what = asked.path.strip_prefix("/fennelscale/").unwrap_or(&asked.path);
         let cause = format!("{}: {}", failure.kind.row().1, failure.text);
-        registry.with(|round, now| round.refused(now, what, &cause));
+        registry.with(|round, now| round.on_call_refused(now, what, &cause));
     }
     Some(answer)
 }
--- a/system/replication/src/acceptor.rs
+++ b/system/replication/src/acceptor.rs
@@ -3,23 +3,23 @@
 use crate::position::AcceptedPrefix;
 use crate::{MEMBERS_KEY, Output, Replica, versions};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Epoch, Named, Stamp, Word};
+use fennelscale_messages::store::{Entry, NamedEntry, Stamp, StoreMessage, Term};
 
 impl Replica {
     fn mark_dirty(&mut self, name: &str) {
         self.dirty_items.insert(name.to_owned());
     }
 
-    pub(crate) fn promise(&mut self, epoch: Epoch) {
-        debug_assert!(epoch >= self.acceptor.promised, "a promise is never taken back");
-        self.highest_round = self.highest_round.max(epoch.round);
-        if self.acceptor.promised != epoch {
-            self.acceptor.promised = epoch;
+    pub(crate) fn promise(&mut self, term: Term) {
+        debug_assert!(term >= self.acceptor.promised, "a promise is never taken back");
+        self.highest_round = self.highest_round.max(term.number);
+        if self.acceptor.promised != term {
+            self.acceptor.promised = term;
             self.dirty_acceptor = true;
         }
     }
 
-    pub(crate) fn pending_entries(&self) -> Vec<Named> {
+    pub(crate) fn pending_entries(&self) -> Vec<NamedEntry> {
         let entry = |name: &String| Some((name.clone(), self.items[name].pending.clone()?));
         self.pending_names.iter().filter_map(entry).collect()
     }
@@ -36,53 +36,57 @@
         self.update_config(name);
     }
 
-    pub(crate) fn on_prepare(&mut self, from: Host, epoch: Epoch, since: Stamp) {
-        if !self.voting || !self.is_member(from) || epoch.seat != from {
+    pub(crate) fn on_prepare(&mut self, from: Host, term: Term, since: Stamp) {
+        if !self.voting || !self.is_member(from) || term.leader != from {
             return;
         }
-        if epoch <= self.acceptor.promised {
+        if term <= self.acceptor.promised {
             let promised = self.acceptor.promised;
-            return self.send(from, Word::Refused(promised));
+            return self.send(from, StoreMessage::Rejected(promised));
         }
-        self.step_down(epoch);
-        self.promise(epoch);
+        self.step_down(term);
+        self.promise(term);
         let (joined, tail, pending) =
             (self.acceptor.joined, self.entries_since(since), self.pending_entries());
         let more = tail.is_none();
-        self.send(from, Word::Promise { epoch, joined, chosen: tail.unwrap_or_default(), more, pending });
+        self.send(
+            from,
+            StoreMessage::Promise { term, joined, chosen: tail.unwrap_or_default(), more, pending },
+        );
     }
 
     /// Whether a write of this term may be accepted. The sender is told if a later term was promised.
-    fn may_accept(&mut self, from: Host, epoch: Epoch) -> bool {
-        if !self.voting || !self.is_member(from) || epoch.seat != from {
+    fn may_accept(&mut self, from: Host, term: Term) -> bool {
+        if !self.voting || !self.is_member(from) || term.leader != from {
             return false;
         }
-        if epoch < self.acceptor.promised {
+        if term < self.acceptor.promised {
             let promised = self.acceptor.promised;
-            self.send(from, Word::Refused(promised));
+            self.send(from, StoreMessage::Rejected(promised));
             return false;
         }
-        self.step_down(epoch);
+        self.step_down(term);
         true
     }
 
-    fn send_behind(&mut self, to: Host, epoch: Epoch) {
-        self.send(to, Word::Behind(epoch, self.progress.position));
+    fn send_behind(&mut self, to: Host, term: Term) {
+        self.send(to, StoreMessage::Behind(term, self.progress.position));
     }
 
     /// Handles the start of a term. The leader does not write again what it holds as chosen, so a member
     /// joins only once it holds that too. Later terms rely on this: what no member that joined holds was
     /// never chosen ([`Replica::recovered_entries`]).
     pub(crate) fn on_begin(
-        &mut self, from: Host, epoch: Epoch, entries: Vec<Named>, digest: u64, lacked: Option<Vec<Named>>,
+        &mut self, from: Host, term: Term, entries: Vec<NamedEntry>, digest: u64,
+        missing: Option<Vec<NamedEntry>>,
     ) {
-        if !self.may_accept(from, epoch) {
+        if !self.may_accept(from, term) {
             return;
         }
-        if self.acceptor.joined != epoch {
-            match lacked {
-                Some(lacked) => self.merge_chosen(lacked),
-                None if digest != self.digest => return self.send_behind(from, epoch),
+        if self.acceptor.joined != term {
+            match missing {
+                Some(missing) => self.merge_chosen(missing),
+                None if digest != self.digest => return self.send_behind(from, term),
                 None => {}
             }
         }
@@ -90,41 +94,41 @@
         if !self.voting {
             return;
         }
-        let stamp = Stamp { epoch, turn: 0 };
+        let stamp = Stamp { term, sequence: 0 };
         self.accept(stamp, entries);
-        self.send(from, Word::Accepted(stamp));
+        self.send(from, StoreMessage::Accepted(stamp));
     }
 
-    pub(crate) fn on_accept(&mut self, from: Host, stamp: Stamp, entries: Vec<Named>, chosen: u64) {
-        if !self.may_accept(from, stamp.epoch) {
+    pub(crate) fn on_accept(&mut self, from: Host, stamp: Stamp, entries: Vec<NamedEntry>, chosen: u64) {
+        if !self.may_accept(from, stamp.term) {
             return;
         }
-        if self.acceptor.joined != stamp.epoch {
-            return self.send_behind(from, stamp.epoch);
+        if self.acceptor.joined != stamp.term {
+            return self.send_behind(from, stamp.term);
         }
         // Mark earlier writes of this term as chosen first: this write may be the next version of an entry
         // that is still pending.
-        self.mark_chosen(stamp.epoch, chosen);
+        self.mark_chosen(stamp.term, chosen);
         self.accept(stamp, entries);
-        self.send(from, Word::Accepted(stamp));
+        self.send(from, StoreMessage::Accepted(stamp));
     }
 
     /// Accepts a write. The first write of a term contains everything of earlier terms that may have been
     /// chosen, so all other pending entries are discarded.
-    pub(crate) fn accept(&mut self, stamp: Stamp, entries: Vec<Named>) {
-        self.promise(stamp.epoch);
-        if stamp.turn == 0 && self.acceptor.joined != stamp.epoch {
-            self.acceptor.joined = stamp.epoch;
+    pub(crate) fn accept(&mut self, stamp: Stamp, entries: Vec<NamedEntry>) {
+        self.promise(stamp.term);
+        if stamp.sequence == 0 && self.acceptor.joined != stamp.term {
+            self.acceptor.joined = stamp.term;
             self.dirty_acceptor = true;
             self.accepted_prefix = AcceptedPrefix::default();
             let before = |name: &&String| {
-                self.items[*name].pending.as_ref().is_some_and(|p| p.stamp.epoch < stamp.epoch)
+                self.items[*name].pending.as_ref().is_some_and(|p| p.stamp.term < stamp.term)
             };
-            let void: Vec<String> = self.pending_names.iter().filter(before).cloned().collect();
-            void.iter().for_each(|name| self.set_pending(name, None));
+            let discarded: Vec<String> = self.pending_names.iter().filter(before).cloned().collect();
+            discarded.iter().for_each(|name| self.set_pending(name, None));
         }
-        if self.acceptor.joined == stamp.epoch {
-            self.accepted_prefix.record(stamp.turn);
+        if self.acceptor.joined == stamp.term {
+            self.accepted_prefix.record(stamp.sequence);
         }
         for (name, entry) in entries {
             let item = self.items.get(&name);
@@ -136,13 +140,13 @@
     }
 
     /// Marks the writes of a term below the given number as chosen.
-    pub(crate) fn mark_chosen(&mut self, epoch: Epoch, below: u64) {
-        if epoch != self.acceptor.joined {
+    pub(crate) fn mark_chosen(&mut self, term: Term, below: u64) {
+        if term != self.acceptor.joined {
             return;
         }
         let ready = |name: &&String| {
             let pending = self.items[*name].pending.as_ref();
-            pending.is_some_and(|p| p.stamp.epoch == epoch && p.stamp.turn < below)
+            pending.is_some_and(|p| p.stamp.term == term && p.stamp.sequence < below)
         };
         let names: Vec<String> = self.pending_names.iter().filter(ready).cloned().collect();
         for name in names {
@@ -152,7 +156,7 @@
         }
         let reached = below.min(self.accepted_prefix.end());
         if reached > 0 {
-            self.advance_position(Stamp { epoch, turn: reached });
+            self.advance_position(Stamp { term, sequence: reached });
         }
     }
 
@@ -176,8 +180,8 @@
         self.update_config(&name);
         if name == MEMBERS_KEY {
             self.load_members();
-            let seats = self.members.clone();
-            self.outputs.push(Output::Members(seats));
+            let members = self.members.clone();
+            self.outputs.push(Output::Members(members));
         } else {
             self.newly_chosen.push((name, versions::without_history(&entry)));
         }
--- a/system/replication/src/bootstrap.rs
+++ b/system/replication/src/bootstrap.rs
@@ -9,7 +9,7 @@
 
 use crate::membership::encode_members;
 use crate::{MEMBERS_KEY, Millis, Replica};
-use fennelscale_messages::depot::{Entry, Epoch, Seat, Stamp};
+use fennelscale_messages::store::{Entry, Member, Stamp, Term};
 
 /// Time that the initiator waits for the other machines: they all start together, and no calls are expected
 /// for the first seconds.
@@ -44,23 +44,23 @@
     }
 
     pub(crate) fn bootstrap_cluster(&mut self, now: Millis) {
-        let me = self.config.local.clone();
+        let local = self.config.local.clone();
         let (age, many) = (now - self.started_at, self.learners.len() + 1);
         let early = age < BOOTSTRAP_DELAY || many < BOOTSTRAP_MIN_MEMBERS && age < BOOTSTRAP_MAX_WAIT;
         if self.progress.bootstrap_role != BootstrapRole::Initiator || early {
             return;
         }
-        let mut seats: Vec<Seat> = self.learners.values().map(|learner| learner.seat.clone()).collect();
-        seats.push(me.clone());
-        seats.sort();
-        let stamp = Stamp { epoch: Epoch { round: 1, seat: me.host }, turn: 0 };
-        let entry = Entry { stamp, revision: 1, body: Some(encode_members(&seats)), ..Entry::default() };
-        self.log("founded", format!("seats={}", seats.len()));
+        let mut members: Vec<Member> = self.learners.values().map(|learner| learner.member.clone()).collect();
+        members.push(local.clone());
+        members.sort();
+        let stamp = Stamp { term: Term { number: 1, leader: local.host }, sequence: 0 };
+        let entry = Entry { stamp, revision: 1, body: Some(encode_members(&members)), ..Entry::default() };
+        self.log("founded", format!("seats={}", members.len()));
         self.voting = true;
-        self.acceptor.promised = self.acceptor.promised.max(stamp.epoch);
+        self.acceptor.promised = self.acceptor.promised.max(stamp.term);
         self.dirty_acceptor = true;
         self.merge_chosen(vec![(MEMBERS_KEY.to_owned(), entry)]);
-        self.advance_position(stamp.following());
+        self.advance_position(stamp.next());
         self.other_members().into_iter().for_each(|host| self.send_members(host));
     }
 
--- a/system/replication/src/calls.rs
+++ b/system/replication/src/calls.rs
@@ -3,9 +3,11 @@
 use crate::leader::Role;
 use crate::versions::{self, VersionStatus};
 use crate::{MEMBERS_KEY, Millis, Output, Replica};
-use fennelscale_config::Changes;
+use fennelscale_config::ItemChanges;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, CallId, Change, Entry, Named, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    CallId, Change, Entry, NamedEntry, Stamp, StoreMessage, StoreRequest, StoreResponse,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A forwarded call that is not answered is retried locally after this time: two round trips.
@@ -42,13 +44,13 @@
     /// The entries.
     Read,
     /// The change is not possible.
-    Rejected(Told),
+    Rejected(StoreResponse),
 }
 
 #[derive(Clone, Debug)]
 struct ForwardedCall {
     ticket: Ticket,
-    ask: Ask,
+    request: StoreRequest,
     /// Replica that the call was forwarded to; a response from any other is ignored.
     target: Host,
     deadline: Millis,
@@ -66,36 +68,36 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Calls {
-    queued: VecDeque<(Ticket, Ask)>,
+    queued: VecDeque<(Ticket, StoreRequest)>,
     forwarded: BTreeMap<CallId, ForwardedCall>,
     pending_reads: Vec<PendingRead>,
     last_id: CallId,
 }
 
 impl Calls {
-    pub(crate) fn new(life: u64) -> Self {
-        let last_id = CallId { life, number: 0 };
+    pub(crate) fn new(incarnation: u64) -> Self {
+        let last_id = CallId { incarnation, number: 0 };
         Self { queued: VecDeque::new(), forwarded: BTreeMap::new(), pending_reads: Vec::new(), last_id }
     }
 }
 
 impl Replica {
     /// Handles a call of the local registry or one forwarded by another replica.
-    pub fn submit(&mut self, now: Millis, origin: Origin, ask: Ask) {
-        let ask = match ask {
-            Ask::Evacuate(zone, on, None) => {
+    pub fn submit(&mut self, now: Millis, origin: Origin, request: StoreRequest) {
+        let request = match request {
+            StoreRequest::Evacuate(zone, on, None) => {
                 let seen = self.latest_entry(&format!("e:{zone}")).map_or(0, |entry| entry.revision);
-                Ask::Evacuate(zone, on, Some(seen))
+                StoreRequest::Evacuate(zone, on, Some(seen))
             }
-            ask => ask,
+            request => request,
         };
-        self.dispatch(now, Ticket { origin, received_at: now }, ask);
+        self.dispatch(now, Ticket { origin, received_at: now }, request);
     }
 
-    fn dispatch(&mut self, now: Millis, ticket: Ticket, ask: Ask) {
+    fn dispatch(&mut self, now: Millis, ticket: Ticket, request: StoreRequest) {
         match &self.role {
-            Role::Leader(_) => return self.decide(now, ticket, ask),
-            Role::Candidate(_) => return self.enqueue(now, ticket, ask),
+            Role::Leader(_) => return self.decide(now, ticket, request),
+            Role::Candidate(_) => return self.enqueue(now, ticket, request),
             Role::Follower => {}
         }
         if !Self::is_local(&ticket.origin) {
@@ -115,21 +117,26 @@
                 let id = self.calls.last_id;
                 self.calls.forwarded.insert(
                     id,
-                    ForwardedCall { ticket, ask: ask.clone(), target: to, deadline: now + FORWARD_TIMEOUT },
+                    ForwardedCall {
+                        ticket,
+                        request: request.clone(),
+                        target: to,
+                        deadline: now + FORWARD_TIMEOUT,
+                    },
                 );
-                self.send(to, Word::Pass(id, ask));
+                self.send(to, StoreMessage::Forward(id, request));
             }
             _ if self.voting => {
-                self.enqueue(now, ticket, ask);
+                self.enqueue(now, ticket, request);
                 self.start_election(now);
             }
             _ => self.answer_unknown(ticket),
         }
     }
 
-    pub(crate) fn enqueue(&mut self, _now: Millis, ticket: Ticket, ask: Ask) {
+    pub(crate) fn enqueue(&mut self, _now: Millis, ticket: Ticket, request: StoreRequest) {
         if self.calls.queued.len() < MAX_QUEUED_CALLS {
-            self.calls.queued.push_back((ticket, ask));
+            self.calls.queued.push_back((ticket, request));
         } else {
             self.answer_unknown(ticket);
         }
@@ -137,40 +144,42 @@
 
     /// Decides the queued calls once this replica is the leader.
     pub(crate) fn process_queue(&mut self, now: Millis) {
-        for (ticket, ask) in std::mem::take(&mut self.calls.queued) {
-            self.decide(now, ticket, ask);
+        for (ticket, request) in std::mem::take(&mut self.calls.queued) {
+            self.decide(now, ticket, request);
         }
     }
 
-    pub(crate) fn on_forward_answer(&mut self, now: Millis, from: Host, id: CallId, told: Told) {
-        if self.calls.forwarded.get(&id).is_none_or(|passed| passed.target != from) {
+    pub(crate) fn on_forward_answer(&mut self, now: Millis, from: Host, id: CallId, response: StoreResponse) {
+        if self.calls.forwarded.get(&id).is_none_or(|forwarded| forwarded.target != from) {
             return;
         }
-        let Some(passed) = self.calls.forwarded.remove(&id) else { return };
-        match told {
-            Told::Unclear => self.retry_locally(now, passed),
-            Told::Fresh(needs) if self.progress.position >= needs => self.answer_items(passed.ticket),
-            Told::Fresh(needs) => {
+        let Some(forwarded) = self.calls.forwarded.remove(&id) else { return };
+        match response {
+            StoreResponse::Unclear => self.retry_locally(now, forwarded),
+            StoreResponse::Fresh(required) if self.progress.position >= required => {
+                self.answer_items(forwarded.ticket)
+            }
+            StoreResponse::Fresh(required) => {
                 self.start_transfer(now, from);
                 self.calls.pending_reads.push(PendingRead {
-                    ticket: passed.ticket,
-                    required: needs,
+                    ticket: forwarded.ticket,
+                    required: required,
                     source: from,
                     deadline: now + READ_TIMEOUT,
                 });
             }
-            told => self.answer(passed.ticket, told),
+            response => self.answer(forwarded.ticket, response),
         }
     }
 
-    fn retry_locally(&mut self, now: Millis, passed: ForwardedCall) {
-        if !self.voting || now - passed.ticket.received_at > QUEUE_TIMEOUT {
-            return self.answer_unknown(passed.ticket);
+    fn retry_locally(&mut self, now: Millis, forwarded: ForwardedCall) {
+        if !self.voting || now - forwarded.ticket.received_at > QUEUE_TIMEOUT {
+            return self.answer_unknown(forwarded.ticket);
         }
         if matches!(self.role, Role::Leader(_)) {
-            return self.decide(now, passed.ticket, passed.ask);
+            return self.decide(now, forwarded.ticket, forwarded.request);
         }
-        self.enqueue(now, passed.ticket, passed.ask);
+        self.enqueue(now, forwarded.ticket, forwarded.request);
         self.start_election(now);
     }
 
@@ -199,8 +208,8 @@
         let late: Vec<CallId> =
             self.calls.forwarded.iter().filter(|(_, p)| now >= p.deadline).map(|(id, _)| *id).collect();
         for id in late {
-            if let Some(passed) = self.calls.forwarded.remove(&id) {
-                self.retry_locally(now, passed);
+            if let Some(forwarded) = self.calls.forwarded.remove(&id) {
+                self.retry_locally(now, forwarded);
             }
         }
         if !matches!(self.role, Role::Leader(_)) {
@@ -219,8 +228,8 @@
                     self.start_election(now);
                 } else {
                     // Another replica became leader in the meantime.
-                    for (ticket, ask) in std::mem::take(&mut self.calls.queued) {
-                        self.dispatch(now, ticket, ask);
+                    for (ticket, request) in std::mem::take(&mut self.calls.queued) {
+                        self.dispatch(now, ticket, request);
                     }
                 }
             }
@@ -230,15 +239,15 @@
 
     /// Entries that a call writes: the new version of each, or none if it is already in force. If one change
     /// is not possible, none of them is made.
-    pub(crate) fn entries_for(&self, changes: Vec<Change>) -> Result<Vec<Named>, Told> {
+    pub(crate) fn entries_for(&self, changes: Vec<Change>) -> Result<Vec<NamedEntry>, StoreResponse> {
         let mut entries = Vec::new();
-        let mut facts = Changes::new();
+        let mut facts = ItemChanges::new();
         for change in changes {
             let known = self.latest_entry(&change.name);
             match known.map_or(VersionStatus::Newer, |known| versions::status(known, &change)) {
                 VersionStatus::AlreadyApplied => continue,
                 VersionStatus::Conflicting => return Err(conflict(&change)),
-                VersionStatus::Expired => return Err(Told::Forgotten),
+                VersionStatus::Expired => return Err(StoreResponse::Forgotten),
                 VersionStatus::Skipped => {
                     entries.extend(
                         known.map(|known| {
@@ -252,12 +261,12 @@
             let history = known.map_or_else(Vec::new, |known| versions::history_after(&change.name, known));
             let host = self.host_for(&change);
             let Change { name, revision, body, .. } = change;
-            let fact = body.as_deref().map(|body| fennelscale_config::fact(&name, &host, body));
-            let fact = fact.transpose().map_err(|invalid| Told::Invalid(invalid.0))?;
+            let fact = body.as_deref().map(|body| fennelscale_config::parse_item(&name, &host, body));
+            let fact = fact.transpose().map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
             facts.insert(name.clone(), fact);
             entries.push((name, Entry { revision, host, body, history, ..Entry::default() }));
         }
-        self.latest_config.check(&facts).map_err(|invalid| Told::Invalid(invalid.0))?;
+        self.latest_config.check(&facts).map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
         Ok(entries)
     }
 
@@ -275,12 +284,12 @@
     /// Answers a caller once the write that the response depends on is chosen.
     pub(crate) fn reply(&mut self, ticket: Ticket, reply: Reply) {
         match (reply, &ticket.origin) {
-            (Reply::Done, _) => self.answer(ticket, Told::Done),
-            (Reply::Rejected(told), _) => self.answer(ticket, told),
+            (Reply::Done, _) => self.answer(ticket, StoreResponse::Done),
+            (Reply::Rejected(response), _) => self.answer(ticket, response),
             (Reply::Read, Origin::Registry(_)) => self.answer_items(ticket),
             (Reply::Read, Origin::Peer(..)) => {
                 let newest = self.chosen_end();
-                self.answer(ticket, Told::Fresh(newest));
+                self.answer(ticket, StoreResponse::Fresh(newest));
             }
         }
     }
@@ -290,22 +299,22 @@
             self.chosen_entries().filter(|(name, entry)| *name != MEMBERS_KEY && entry.body.is_some());
         let standing =
             standing.map(|(name, entry)| (name.clone(), versions::without_history(entry))).collect();
-        self.answer(ticket, Told::Items(standing));
+        self.answer(ticket, StoreResponse::Items(standing));
     }
 
     pub(crate) fn answer_unknown(&mut self, ticket: Ticket) {
-        self.answer(ticket, Told::Unclear);
+        self.answer(ticket, StoreResponse::Unclear);
     }
 
-    pub(crate) fn answer(&mut self, ticket: Ticket, told: Told) {
+    pub(crate) fn answer(&mut self, ticket: Ticket, response: StoreResponse) {
         match ticket.origin {
-            Origin::Registry(id) => self.outputs.push(Output::Answer(id, told)),
-            Origin::Peer(host, id) => self.send(host, Word::Passed(id, told)),
+            Origin::Registry(id) => self.outputs.push(Output::Answer(id, response)),
+            Origin::Peer(host, id) => self.send(host, StoreMessage::ForwardResponse(id, response)),
         }
     }
 }
 
-fn conflict(change: &Change) -> Told {
+fn conflict(change: &Change) -> StoreResponse {
     let Change { name, revision, .. } = change;
-    Told::Conflict(format!("{name}: version {revision:08x} was given to another content"))
+    StoreResponse::Conflict(format!("{name}: version {revision:08x} was given to another content"))
 }
--- a/system/replication/src/catch_up.rs
+++ b/system/replication/src/catch_up.rs
@@ -8,7 +8,7 @@
 
 use crate::{MEMBERS_KEY, Millis, Replica};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Chunk, Entry, Named, Stamp, Word};
+use fennelscale_messages::store::{Entry, NamedEntry, SnapshotChunk, Stamp, StoreMessage};
 use std::ops::Bound;
 
 /// Approximate size of a chunk; a longer entry is sent alone. Small compared to what any link carries in a
@@ -42,7 +42,7 @@
 
 impl Replica {
     /// Chosen entries with this stamp or a later one; none if they exceed one chunk.
-    pub(crate) fn entries_since(&self, since: Stamp) -> Option<Vec<Named>> {
+    pub(crate) fn entries_since(&self, since: Stamp) -> Option<Vec<NamedEntry>> {
         let (mut tail, mut bytes) = (Vec::new(), 0);
         for (_, name) in self.chosen_by_stamp.range((since, String::new())..) {
             let Some(entry) = self.items[name].chosen.as_ref() else { continue };
@@ -56,7 +56,7 @@
     }
 
     /// The next chunk of entries after a name, and the name to continue after if there are more.
-    fn next_chunk(&self, since: Stamp, after: &str) -> (Vec<Named>, Option<String>) {
+    fn next_chunk(&self, since: Stamp, after: &str) -> (Vec<NamedEntry>, Option<String>) {
         let names = self.items.range::<str, _>((Bound::Excluded(after), Bound::Unbounded));
         let (mut entries, mut bytes) = (Vec::new(), 0);
         let mut last: Option<&String> = None;
@@ -84,7 +84,7 @@
             None => self.next_chunk(since, &after),
         };
         let position = self.progress.position;
-        self.send(from, Word::Chunk(Chunk { since, after, entries, next, position }));
+        self.send(from, StoreMessage::Chunk(SnapshotChunk { since, after, entries, next, position }));
     }
 
     /// Starts to fetch missing entries from a replica, unless a transfer is in progress.
@@ -104,11 +104,11 @@
             source: from,
             requested_at: now,
         });
-        self.send(from, Word::Fetch { since, after: String::new() });
+        self.send(from, StoreMessage::Fetch { since, after: String::new() });
     }
 
-    pub(crate) fn on_chunk(&mut self, now: Millis, from: Host, chunk: Chunk) {
-        let Chunk { since, after, entries, next, position } = chunk;
+    pub(crate) fn on_chunk(&mut self, now: Millis, from: Host, chunk: SnapshotChunk) {
+        let SnapshotChunk { since, after, entries, next, position } = chunk;
         let Some(transfer) = &mut self.transfer else { return };
         if (transfer.source, transfer.since, &transfer.after) != (from, since, &after) {
             return;
@@ -118,7 +118,7 @@
         match next {
             Some(next) => {
                 (transfer.after, transfer.requested_at) = (next.clone(), now);
-                self.send(from, Word::Fetch { since, after: next });
+                self.send(from, StoreMessage::Fetch { since, after: next });
                 self.merge_chosen(entries);
             }
             None => {
@@ -143,14 +143,14 @@
         };
         (transfer.source, transfer.requested_at) = (next, now);
         let (since, after) = (transfer.since, transfer.after.clone());
-        self.send(next, Word::Fetch { since, after });
+        self.send(next, StoreMessage::Fetch { since, after });
     }
 
     /// Handles the position and digest in a voting peer's heartbeat: marks as chosen what the peer knows to
     /// be chosen, and fetches what is missing. Two copies with the same position and different contents are
     /// compared from the start; no known fault leads there.
     pub(crate) fn compare_with_peer(&mut self, now: Millis, from: Host, newest: Stamp, digest: u64) {
-        self.mark_chosen(newest.epoch, newest.turn);
+        self.mark_chosen(newest.term, newest.sequence);
         let (position, own_newest, own_digest) = (self.progress.position, self.chosen_end(), self.digest);
         let Some(peer) = self.peers.get_mut(&from) else { return };
         let same_place = newest == own_newest && position >= newest;
@@ -166,11 +166,11 @@
     }
 
     /// Merges entries that another replica holds as chosen.
-    pub(crate) fn merge_chosen(&mut self, entries: Vec<Named>) {
+    pub(crate) fn merge_chosen(&mut self, entries: Vec<NamedEntry>) {
         for (name, entry) in entries {
             let known = self.items.get(&name).and_then(|item| item.chosen.as_ref()).map(|c| c.stamp);
             if known.is_none_or(|known| known < entry.stamp) {
-                self.highest_round = self.highest_round.max(entry.stamp.epoch.round);
+                self.highest_round = self.highest_round.max(entry.stamp.term.number);
                 self.apply_chosen(name, entry);
             }
         }
@@ -179,7 +179,7 @@
     /// Sends the member list to another replica.
     pub(crate) fn send_members(&mut self, to: Host) {
         if let Some(entry) = self.items.get(MEMBERS_KEY).and_then(|item| item.chosen.clone()) {
-            self.send(to, Word::SeatList(entry));
+            self.send(to, StoreMessage::MemberList(entry));
         }
     }
 }
--- a/system/replication/src/leader.rs
+++ b/system/replication/src/leader.rs
@@ -7,7 +7,9 @@
 use crate::calls::{Origin, Reply, Ticket};
 use crate::{HEARTBEAT_INTERVAL, Millis, Output, Replica};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Entry, Epoch, Named, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    Entry, NamedEntry, Stamp, StoreMessage, StoreRequest, StoreResponse, Term,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A candidate gives up after this time, for instance when no quorum is reachable.
@@ -33,18 +35,18 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Campaign {
-    epoch: Epoch,
+    term: Term,
     started_at: Millis,
-    joined: Epoch,
+    joined: Term,
     promised_by: BTreeSet<Host>,
     pending: BTreeMap<String, Entry>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Leadership {
-    pub(crate) epoch: Epoch,
+    pub(crate) term: Term,
     /// First write of the term, kept for members that missed it.
-    initial_entries: Vec<Named>,
+    initial_entries: Vec<NamedEntry>,
     next_write: u64,
     /// Writes below this number are chosen.
     chosen_below: u64,
@@ -55,7 +57,7 @@
 
 #[derive(Clone, Debug)]
 struct InFlightWrite {
-    entries: Vec<Named>,
+    entries: Vec<NamedEntry>,
     accepted_by: BTreeSet<Host>,
     /// Replies to send once the write is chosen.
     replies: Vec<(Ticket, Reply)>,
@@ -70,35 +72,34 @@
             return;
         }
         let local = self.config.local.host;
-        let epoch = Epoch { round: self.highest_round.max(self.acceptor.promised.round) + 1, seat: local };
-        self.promise(epoch);
+        let term = Term { number: self.highest_round.max(self.acceptor.promised.number) + 1, leader: local };
+        self.promise(term);
         self.last_contact.clear();
         let pending = self.pending_entries().into_iter().collect();
         let (joined, promised_by) = (self.acceptor.joined, BTreeSet::from([local]));
-        self.role = Role::Candidate(Campaign { epoch, started_at: now, joined, promised_by, pending });
+        self.role = Role::Candidate(Campaign { term, started_at: now, joined, promised_by, pending });
         let position = self.progress.position;
         for host in self.other_members() {
-            self.send(host, Word::Prepare(epoch, position));
+            self.send(host, StoreMessage::Prepare(term, position));
         }
         self.check_promises(now);
     }
 
     /// Ends the election when a member holds more chosen entries than a promise can carry: this replica
     /// catches up first and then tries again.
-    pub(crate) fn abandon_election(&mut self, now: Millis, from: Host, epoch: Epoch) {
-        if matches!(&self.role, Role::Candidate(campaign) if campaign.epoch == epoch) {
-            self.log("writer-behind", format!("round={} peer={from}", epoch.round));
+    pub(crate) fn abandon_election(&mut self, now: Millis, from: Host, term: Term) {
+        if matches!(&self.role, Role::Candidate(campaign) if campaign.term == term) {
+            self.log("writer-behind", format!("round={} peer={from}", term.number));
             self.role = Role::Follower;
             self.start_transfer(now, from);
         }
     }
 
     pub(crate) fn on_promise(
-        &mut self, now: Millis, from: Host, epoch: Epoch, joined: Epoch, chosen: Vec<Named>,
-        pending: Vec<Named>,
+        &mut self, now: Millis, from: Host, term: Term, joined: Term, chosen: Vec<NamedEntry>,
+        pending: Vec<NamedEntry>,
     ) {
-        if !self.is_member(from)
-            || !matches!(&self.role, Role::Candidate(campaign) if campaign.epoch == epoch)
+        if !self.is_member(from) || !matches!(&self.role, Role::Candidate(campaign) if campaign.term == term)
         {
             return;
         }
@@ -120,16 +121,16 @@
         if campaign.promised_by.len() < quorum {
             return;
         }
-        let (epoch, initial_entries) = (campaign.epoch, self.recovered_entries(campaign));
+        let (term, initial_entries) = (campaign.term, self.recovered_entries(campaign));
         self.role = Role::Leader(Leadership {
-            epoch,
+            term,
             initial_entries: initial_entries.clone(),
             next_write: 0,
             chosen_below: 0,
             in_flight: BTreeMap::new(),
             membership_change: None,
         });
-        self.log("writer", format!("round={} found={}", epoch.round, initial_entries.len()));
+        self.log("writer", format!("round={} found={}", term.number, initial_entries.len()));
         self.propose(now, initial_entries, Vec::new());
         self.process_queue(now);
     }
@@ -138,13 +139,13 @@
     /// promised. A value from before the newest term that any of them joined, which is neither chosen there
     /// nor in that term's first write, cannot have been chosen: by the quorum that its leader asked, a member
     /// that joins a term holds everything chosen before it ([`Replica::on_begin`]).
-    fn recovered_entries(&self, campaign: &Campaign) -> Vec<Named> {
-        let stamp = Stamp { epoch: campaign.epoch, turn: 0 };
+    fn recovered_entries(&self, campaign: &Campaign) -> Vec<NamedEntry> {
+        let stamp = Stamp { term: campaign.term, sequence: 0 };
         let newer = |name: &str, entry: &Entry| {
             let chosen = self.items.get(name).and_then(|item| item.chosen.as_ref());
             chosen.is_none_or(|c| c.stamp < entry.stamp)
         };
-        let recovered = campaign.pending.iter().filter(|(_, entry)| entry.stamp.epoch >= campaign.joined);
+        let recovered = campaign.pending.iter().filter(|(_, entry)| entry.stamp.term >= campaign.joined);
         let recovered = recovered.filter(|(name, entry)| newer(name, entry));
         recovered.map(|(name, entry)| (name.clone(), Entry { stamp, ..entry.clone() })).collect()
     }
@@ -152,14 +153,16 @@
     /// Proposes entries to all members and sets their stamps; callers are answered once the write is chosen.
     /// An empty write checks contact with a quorum: once it is chosen, no other replica can have started a
     /// term before it was sent.
-    pub(crate) fn propose(&mut self, now: Millis, mut entries: Vec<Named>, replies: Vec<(Ticket, Reply)>) {
+    pub(crate) fn propose(
+        &mut self, now: Millis, mut entries: Vec<NamedEntry>, replies: Vec<(Ticket, Reply)>,
+    ) {
         let local = self.config.local.host;
         let Role::Leader(leadership) = &mut self.role else { return };
-        let stamp = Stamp { epoch: leadership.epoch, turn: leadership.next_write };
+        let stamp = Stamp { term: leadership.term, sequence: leadership.next_write };
         leadership.next_write += 1;
         entries.iter_mut().for_each(|(_, entry)| entry.stamp = stamp);
         if entries.iter().any(|(name, _)| name == crate::MEMBERS_KEY) {
-            leadership.membership_change = Some(stamp.turn);
+            leadership.membership_change = Some(stamp.sequence);
         }
         let accepted_by = BTreeSet::from([local]);
         let write = InFlightWrite {
@@ -169,21 +172,21 @@
             proposed_at: now,
             last_sent: now,
         };
-        leadership.in_flight.insert(stamp.turn, write);
+        leadership.in_flight.insert(stamp.sequence, write);
         let chosen = leadership.chosen_below;
         self.accept(stamp, entries.clone());
-        let word = self.message_for_write(stamp, entries, chosen);
+        let message = self.message_for_write(stamp, entries, chosen);
         for host in self.other_members() {
-            self.send(host, word.clone());
+            self.send(host, message.clone());
         }
         self.advance_chosen(now);
     }
 
     /// The message that carries a write.
-    fn message_for_write(&self, stamp: Stamp, entries: Vec<Named>, chosen: u64) -> Word {
-        match stamp.turn {
-            0 => Word::Begin { epoch: stamp.epoch, entries, digest: self.digest, lacked: None },
-            _ => Word::Accept { stamp, entries, chosen },
+    fn message_for_write(&self, stamp: Stamp, entries: Vec<NamedEntry>, chosen: u64) -> StoreMessage {
+        match stamp.sequence {
+            0 => StoreMessage::BeginTerm { term: stamp.term, entries, digest: self.digest, missing: None },
+            _ => StoreMessage::Accept { stamp, entries, chosen },
         }
     }
 
@@ -198,8 +201,8 @@
             return;
         }
         let Role::Leader(leadership) = &mut self.role else { return };
-        if leadership.epoch == stamp.epoch
-            && let Some(write) = leadership.in_flight.get_mut(&stamp.turn)
+        if leadership.term == stamp.term
+            && let Some(write) = leadership.in_flight.get_mut(&stamp.sequence)
         {
             write.accepted_by.insert(from);
             self.advance_chosen(now);
@@ -210,31 +213,31 @@
     fn advance_chosen(&mut self, now: Millis) {
         loop {
             let quorum = self.quorum();
-            let seats: BTreeSet<Host> = self.members.seats.iter().map(|seat| seat.host).collect();
+            let members: BTreeSet<Host> = self.members.members.iter().map(|member| member.host).collect();
             let Role::Leader(leadership) = &mut self.role else { return };
             let Some(first) = leadership.in_flight.first_entry() else { return };
-            if first.get().accepted_by.intersection(&seats).count() < quorum {
+            if first.get().accepted_by.intersection(&members).count() < quorum {
                 return;
             }
             let (number, write) = first.remove_entry();
             leadership.chosen_below = number + 1;
-            let stamp = Stamp { epoch: leadership.epoch, turn: number };
+            let stamp = Stamp { term: leadership.term, sequence: number };
             let members_changed = leadership.membership_change.take_if(|at| *at == number).is_some();
             let others = self.other_members();
-            self.mark_chosen(stamp.epoch, number + 1);
+            self.mark_chosen(stamp.term, number + 1);
             if !write.entries.is_empty() {
                 for host in others {
-                    self.send(host, Word::Chosen(stamp));
+                    self.send(host, StoreMessage::Chosen(stamp));
                 }
             }
             for (ticket, reply) in write.replies {
                 self.reply(ticket, reply);
             }
             if members_changed {
-                let seats = self.members.seats.len();
-                self.log("seats", format!("version={} seats={seats}", self.members.version));
+                let members = self.members.members.len();
+                self.log("seats", format!("version={} seats={members}", self.members.version));
                 if !self.is_member(self.config.local.host) {
-                    self.step_down(Epoch { round: u64::MAX, seat: Host(0) });
+                    self.step_down(Term { number: u64::MAX, leader: Host(0) });
                     return;
                 }
             }
@@ -242,22 +245,22 @@
         }
     }
 
-    pub(crate) fn on_refused(&mut self, epoch: Epoch) {
-        self.highest_round = self.highest_round.max(epoch.round);
-        self.step_down(epoch);
+    pub(crate) fn on_refused(&mut self, term: Term) {
+        self.highest_round = self.highest_round.max(term.number);
+        self.step_down(term);
     }
 
     /// Steps down for a leader or candidate of a higher term. Writes in flight may or may not be chosen.
-    pub(crate) fn step_down(&mut self, epoch: Epoch) {
+    pub(crate) fn step_down(&mut self, term: Term) {
         let mine = match &self.role {
             Role::Follower => return,
-            Role::Candidate(campaign) => campaign.epoch,
-            Role::Leader(leadership) => leadership.epoch,
+            Role::Candidate(campaign) => campaign.term,
+            Role::Leader(leadership) => leadership.term,
         };
-        if epoch <= mine {
+        if term <= mine {
             return;
         }
-        self.end_term(&format!("by={}", epoch.seat));
+        self.end_term(&format!("by={}", term.leader));
     }
 
     /// Ends the term or the candidacy. Writes in flight may or may not be chosen, so their callers are told
@@ -265,7 +268,7 @@
     fn end_term(&mut self, why: &str) {
         self.last_contact.clear();
         if let Role::Leader(leadership) = std::mem::replace(&mut self.role, Role::Follower) {
-            self.log("writer-ended", format!("round={} {why}", leadership.epoch.round));
+            self.log("writer-ended", format!("round={} {why}", leadership.term.number));
             for (ticket, _) in leadership.in_flight.into_values().flat_map(|write| write.replies) {
                 self.answer_unknown(ticket);
             }
@@ -289,22 +292,22 @@
     /// A member lacks the first write of the term or earlier chosen entries: it gets both and all writes in
     /// flight. If it lacks more than one message can carry, it is told to fetch the entries in chunks; it
     /// reports that it is behind once more when it has caught up.
-    pub(crate) fn on_behind(&mut self, from: Host, epoch: Epoch, since: Stamp) {
+    pub(crate) fn on_behind(&mut self, from: Host, term: Term, since: Stamp) {
         let Role::Leader(leadership) = &self.role else { return };
-        if leadership.epoch != epoch {
+        if leadership.term != term {
             return;
         }
-        let Some(lacked) = self.entries_since(since) else {
-            return self.send(from, Word::CatchUp);
+        let Some(missing) = self.entries_since(since) else {
+            return self.send(from, StoreMessage::CatchUp);
         };
         let (entries, chosen) = (leadership.initial_entries.clone(), leadership.chosen_below);
-        let begin = Word::Begin { epoch, entries, digest: self.digest, lacked: Some(lacked) };
+        let begin = StoreMessage::BeginTerm { term, entries, digest: self.digest, missing: Some(missing) };
         let rest = leadership.in_flight.iter().filter(|(number, _)| **number > 0);
         let rest = rest.map(|(number, write)| {
-            self.message_for_write(Stamp { epoch, turn: *number }, write.entries.clone(), chosen)
+            self.message_for_write(Stamp { term, sequence: *number }, write.entries.clone(), chosen)
         });
-        let words: Vec<Word> = std::iter::once(begin).chain(rest).collect();
-        self.outputs.extend(words.into_iter().map(|word| Output::Send(from, word)));
+        let messages: Vec<StoreMessage> = std::iter::once(begin).chain(rest).collect();
+        self.outputs.extend(messages.into_iter().map(|message| Output::Send(from, message)));
     }
 
     pub(crate) fn leader_tick(&mut self, now: Millis) {
@@ -320,19 +323,23 @@
                 }
             }
             Role::Leader(leadership) => {
-                let (epoch, chosen) = (leadership.epoch, leadership.chosen_below);
+                let (term, chosen) = (leadership.term, leadership.chosen_below);
                 let mut resend = Vec::new();
                 for (number, write) in
                     leadership.in_flight.iter_mut().filter(|(_, f)| now - f.last_sent > RESEND_INTERVAL)
                 {
                     write.last_sent = now;
                     let missing = others.iter().filter(|host| !write.accepted_by.contains(host)).copied();
-                    resend.push((Stamp { epoch, turn: *number }, write.entries.clone(), missing.collect()));
+                    resend.push((
+                        Stamp { term, sequence: *number },
+                        write.entries.clone(),
+                        missing.collect(),
+                    ));
                 }
                 for (stamp, entries, missing) in resend {
-                    let (word, missing): (Word, Vec<Host>) =
+                    let (message, missing): (StoreMessage, Vec<Host>) =
                         (self.message_for_write(stamp, entries, chosen), missing);
-                    missing.into_iter().for_each(|host| self.send(host, word.clone()));
+                    missing.into_iter().for_each(|host| self.send(host, message.clone()));
                 }
             }
         }
@@ -340,34 +347,34 @@
 
     /// The presumed leader, if it was heard from recently and is not about to leave.
     pub(crate) fn known_leader(&self, now: Millis) -> Option<Host> {
-        let seat = self.acceptor.promised.seat;
-        let peer = self.peers.get(&seat)?;
-        let counts = self.acceptor.promised.round > 0 && self.is_member(seat) && !peer.leaving;
-        (counts && now - peer.last_heartbeat < 2.5 * HEARTBEAT_INTERVAL).then_some(seat)
+        let member = self.acceptor.promised.leader;
+        let peer = self.peers.get(&member)?;
+        let counts = self.acceptor.promised.number > 0 && self.is_member(member) && !peer.leaving;
+        (counts && now - peer.last_heartbeat < 2.5 * HEARTBEAT_INTERVAL).then_some(member)
     }
 
     /// Decides what a call writes, based on the latest entries of the leader.
-    pub(crate) fn decide(&mut self, now: Millis, ticket: Ticket, ask: Ask) {
+    pub(crate) fn decide(&mut self, now: Millis, ticket: Ticket, request: StoreRequest) {
         let changing_members = matches!(&self.role, Role::Leader(h) if h.membership_change.is_some());
-        if changing_members || self.has_write_in_flight(&ask) {
-            return self.enqueue(now, ticket, ask);
+        if changing_members || self.has_write_in_flight(&request) {
+            return self.enqueue(now, ticket, request);
         }
-        match ask {
-            Ask::Read => self.confirm_leadership(now, ticket, Reply::Read),
-            Ask::Note(name, text) => {
+        match request {
+            StoreRequest::Read => self.confirm_leadership(now, ticket, Reply::Read),
+            StoreRequest::Note(name, text) => {
                 let name = format!("m:{name}");
                 let revision = self.latest_entry(&name).map_or(0, |entry| entry.revision) + 1;
                 let entry = Entry { revision, body: Some(text), ..Entry::default() };
                 self.propose(now, vec![(name, entry)], vec![(ticket, Reply::Done)]);
             }
-            Ask::Step(seen, records) => {
+            StoreRequest::MaintenanceStep(seen, records) => {
                 let all =
                     self.items.keys().filter_map(|name| Some((name.as_str(), self.latest_entry(name)?)));
                 if fennelscale_maintenance::seen(all) != seen {
                     // An entry that the decision depended on has changed since: this check is the fence
                     // against outdated decisions.
-                    let told = Told::Conflict("decided from an older view".into());
-                    return self.confirm_leadership(now, ticket, Reply::Rejected(told));
+                    let response = StoreResponse::Conflict("decided from an older view".into());
+                    return self.confirm_leadership(now, ticket, Reply::Rejected(response));
                 }
                 let entry = |(name, body): (String, Option<String>)| {
                     let revision = self.latest_entry(&name).map_or(0, |entry| entry.revision) + 1;
@@ -376,7 +383,7 @@
                 let entries = records.into_iter().map(entry).collect();
                 self.propose(now, entries, vec![(ticket, Reply::Done)]);
             }
-            Ask::Evacuate(zone, on, seen) => {
+            StoreRequest::Evacuate(zone, on, seen) => {
                 let name = format!("e:{zone}");
                 let known = self.latest_entry(&name);
                 let (stands, revision) = known.map_or((false, 0), |e| (e.body.is_some(), e.revision));
@@ -391,10 +398,10 @@
                 let entry = Entry { revision: revision + 1, body, ..Entry::default() };
                 self.propose(now, vec![(name, entry)], vec![(ticket, Reply::Done)]);
             }
-            Ask::Change(changes) => match self.entries_for(changes) {
+            StoreRequest::Change(changes) => match self.entries_for(changes) {
                 Ok(entries) if entries.is_empty() => self.confirm_leadership(now, ticket, Reply::Done),
                 Ok(entries) => self.propose(now, entries, vec![(ticket, Reply::Done)]),
-                Err(told) => self.confirm_leadership(now, ticket, Reply::Rejected(told)),
+                Err(response) => self.confirm_leadership(now, ticket, Reply::Rejected(response)),
             },
         }
     }
@@ -402,14 +409,14 @@
     /// Whether a call writes an entry whose last write is in flight. Each entry has room for one pending
     /// version: a second one would hide the first, which may have been acknowledged in an earlier term, from
     /// a reader in between.
-    fn has_write_in_flight(&self, ask: &Ask) -> bool {
+    fn has_write_in_flight(&self, request: &StoreRequest) -> bool {
         let in_flight = |name: &str| self.items.get(name).is_some_and(|item| item.pending.is_some());
-        match ask {
-            Ask::Read => false,
-            Ask::Note(name, _) => in_flight(&format!("m:{name}")),
-            Ask::Step(_, records) => records.iter().any(|(name, _)| in_flight(name)),
-            Ask::Evacuate(zone, ..) => in_flight(&format!("e:{zone}")),
-            Ask::Change(changes) => changes.iter().any(|change| in_flight(&change.name)),
+        match request {
+            StoreRequest::Read => false,
+            StoreRequest::Note(name, _) => in_flight(&format!("m:{name}")),
+            StoreRequest::MaintenanceStep(_, records) => records.iter().any(|(name, _)| in_flight(name)),
+            StoreRequest::Evacuate(zone, ..) => in_flight(&format!("e:{zone}")),
+            StoreRequest::Change(changes) => changes.iter().any(|change| in_flight(&change.name)),
         }
     }
 
--- a/system/replication/src/lib.rs
+++ b/system/replication/src/lib.rs
@@ -47,9 +47,11 @@
 
 pub use calls::Origin;
 
-use fennelscale_config::Standing;
+use fennelscale_config::ConfigIndex;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    Entry, Member, MemberList, NamedEntry, Stamp, StoreMessage, StoreResponse, Term,
+};
 use leader::Role;
 pub use leader::{ACCEPT_TIMEOUT, QUORUM_CONTACT_TIMEOUT};
 use std::collections::{BTreeMap, BTreeSet};
@@ -84,9 +86,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub struct AcceptorState {
     /// Highest promised term; writes of earlier terms are rejected.
-    pub promised: Epoch,
+    pub promised: Term,
     /// Latest term whose first write was accepted.
-    pub joined: Epoch,
+    pub joined: Term,
 }
 
 /// Contents of the disk at startup.
@@ -125,13 +127,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Sends a message to another replica.
-    Send(Host, Word),
+    Send(Host, StoreMessage),
     /// Answers a call of the local registry.
-    Answer(u64, Told),
+    Answer(u64, StoreResponse),
     /// Reports newly chosen entries to the registry.
-    Chosen(Vec<Named>),
+    Chosen(Vec<NamedEntry>),
     /// Reports the member list to the registry.
-    Members(Seats),
+    Members(MemberList),
     /// Reports with each heartbeat whether this copy is as new as a quorum's.
     UpToDate(bool),
     /// Writes a log line: the event and its details.
@@ -142,7 +144,7 @@
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
     /// This machine.
-    pub local: Seat,
+    pub local: Member,
     /// Configured addresses of machines to contact first, in order.
     pub seeds: Vec<Host>,
     /// Whether the whole cluster starts for the first time.
@@ -172,7 +174,7 @@
     acceptor: AcceptorState,
     items: BTreeMap<String, Item>,
     /// Configuration view of the latest version of each entry.
-    latest_config: Standing,
+    latest_config: ConfigIndex,
     /// Hash of all chosen entries.
     digest: u64,
     /// Chosen entries by stamp.
@@ -182,7 +184,7 @@
     progress: Progress,
     accepted_prefix: position::AcceptedPrefix,
     transfer: Option<catch_up::Transfer>,
-    members: Seats,
+    members: MemberList,
     /// Whether this member votes: it remembers every promise that it gave.
     voting: bool,
     leaving: bool,
@@ -214,17 +216,17 @@
     dirty_items: BTreeSet<String>,
     dirty_acceptor: bool,
     dirty_progress: bool,
-    newly_chosen: Vec<Named>,
+    newly_chosen: Vec<NamedEntry>,
     outputs: Vec<Output>,
 }
 
 /// Number of members that a write needs. Two quorums share two members if that many remain after the
 /// tolerated losses; otherwise a bare majority is enough, since no more would be left.
-pub fn quorum(seats: &Seats, (machines, zones, regions): (usize, usize, usize)) -> usize {
-    let n = seats.seats.len();
-    let largest = |of: fn(&Seat) -> &str, count: usize| {
+pub fn quorum(members: &MemberList, (machines, zones, regions): (usize, usize, usize)) -> usize {
+    let n = members.members.len();
+    let largest = |of: fn(&Member) -> &str, count: usize| {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
-        seats.seats.iter().for_each(|seat| *sizes.entry(of(seat)).or_default() += 1);
+        members.members.iter().for_each(|member| *sizes.entry(of(member)).or_default() += 1);
         let mut sizes: Vec<usize> = sizes.into_values().collect();
         sizes.sort_unstable_by(|a, b| b.cmp(a));
         sizes.into_iter().take(count).sum::<usize>()
@@ -243,14 +245,14 @@
         let mut replica = Self {
             acceptor: acceptor.unwrap_or_default(),
             items,
-            latest_config: Standing::default(),
+            latest_config: ConfigIndex::default(),
             digest: 0,
             chosen_by_stamp: BTreeSet::new(),
             pending_names: BTreeSet::new(),
             progress,
             accepted_prefix: position::AcceptedPrefix::default(),
             transfer: None,
-            members: Seats::default(),
+            members: MemberList::default(),
             voting: false,
             leaving: false,
             role: Role::Follower,
@@ -277,7 +279,7 @@
             outputs: Vec::new(),
             config,
         };
-        replica.highest_round = replica.acceptor.promised.round;
+        replica.highest_round = replica.acceptor.promised.number;
         replica.rebuild_indexes();
         replica.accepted_prefix =
             position::AcceptedPrefix::at_start(replica.progress.position, replica.acceptor.joined);
@@ -330,7 +332,7 @@
     }
 
     /// All chosen entries except the member list, for a registry that connects.
-    pub fn published_entries(&self) -> Vec<Named> {
+    pub fn published_entries(&self) -> Vec<NamedEntry> {
         let chosen = self.chosen_entries().filter(|(name, _)| *name != MEMBERS_KEY);
         chosen.map(|(name, entry)| (name.clone(), versions::without_history(entry))).collect()
     }
@@ -341,7 +343,7 @@
     }
 
     /// Current member list.
-    pub fn members(&self) -> &Seats {
+    pub fn members(&self) -> &MemberList {
         &self.members
     }
 
@@ -371,7 +373,7 @@
     }
 
     fn is_member(&self, host: Host) -> bool {
-        self.members.seats.iter().any(|seat| seat.host == host)
+        self.members.members.iter().any(|member| member.host == host)
     }
 
     fn quorum(&self) -> usize {
@@ -379,12 +381,12 @@
     }
 
     fn other_members(&self) -> Vec<Host> {
-        let me = self.config.local.host;
-        self.members.seats.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
+        let local = self.config.local.host;
+        self.members.members.iter().map(|member| member.host).filter(|host| *host != local).collect()
     }
 
-    fn send(&mut self, to: Host, word: Word) {
-        self.outputs.push(Output::Send(to, word));
+    fn send(&mut self, to: Host, message: StoreMessage) {
+        self.outputs.push(Output::Send(to, message));
     }
 
     fn log(&mut self, event: &'static str, what: String) {
@@ -399,7 +401,7 @@
 
     fn update_config(&mut self, name: &str) {
         let entry = self.latest_entry(name).and_then(|e| Some((e.host.clone(), e.body.clone()?)));
-        let fact = entry.and_then(|(host, body)| fennelscale_config::fact(name, &host, &body).ok());
+        let fact = entry.and_then(|(host, body)| fennelscale_config::parse_item(name, &host, &body).ok());
         self.latest_config.set(name, fact);
     }
 
@@ -418,10 +420,10 @@
             now + if self.up_to_date { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
         self.resolve_stuck_write(now);
         if self.voting {
-            let beat = Word::Beat {
-                seats: self.members.version,
+            let beat = StoreMessage::Heartbeat {
+                members_version: self.members.version,
                 promised: self.acceptor.promised,
-                votes: true,
+                voting: true,
                 leaving: self.leaving,
                 unconfirmed: self.unconfirmed,
                 newest: self.chosen_end(),
@@ -448,7 +450,7 @@
         let heard =
             self.other_members().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
         let enough = heard + usize::from(self.voting) >= self.quorum();
-        self.up_to_date = !self.members.seats.is_empty() && enough && !self.unconfirmed;
+        self.up_to_date = !self.members.members.is_empty() && enough && !self.unconfirmed;
         // Repeated with each heartbeat: the registry relies on it only for a short time, since a hung replica
         // cannot withdraw it.
         self.outputs.push(Output::UpToDate(self.up_to_date));
@@ -456,7 +458,8 @@
 
     /// Position in the member list; staggers elections that members start by themselves.
     pub(crate) fn member_index(&self) -> f64 {
-        self.members.seats.iter().position(|seat| seat.host == self.config.local.host).unwrap_or(0) as f64
+        self.members.members.iter().position(|member| member.host == self.config.local.host).unwrap_or(0)
+            as f64
     }
 
     /// A leader may fail after it acknowledged a write and before it reported the write as chosen. The next
@@ -482,21 +485,29 @@
     }
 
     /// Handles a message from another replica.
-    pub fn receive(&mut self, now: Millis, from: Host, word: Word) {
+    pub fn receive(&mut self, now: Millis, from: Host, message: StoreMessage) {
         // Only the leader and candidates use the time of last contact.
         if !matches!(self.role, Role::Follower) && self.is_member(from) {
             self.last_contact.insert(from, now);
         }
-        match word {
-            Word::Announce { seat, position } => self.on_announce(now, from, seat, position),
-            Word::Beat { seats, promised, votes, leaving, unconfirmed, newest, digest } => {
-                self.highest_round = self.highest_round.max(promised.round);
+        match message {
+            StoreMessage::Announce { member, position } => self.on_announce(now, from, member, position),
+            StoreMessage::Heartbeat {
+                members_version: members,
+                promised,
+                voting: votes,
+                leaving,
+                unconfirmed,
+                newest,
+                digest,
+            } => {
+                self.highest_round = self.highest_round.max(promised.number);
                 let peer = self.peers.entry(from).or_default();
                 (peer.last_heartbeat, peer.voting, peer.leaving) = (now, votes, leaving);
                 (peer.unconfirmed, peer.chosen_end) = (unconfirmed, newest);
-                if seats > self.members.version {
+                if members > self.members.version {
                     self.announce_to(from);
-                } else if seats < self.members.version {
+                } else if members < self.members.version {
                     // It may have been replaced while it was away, in which case no other replica sends it
                     // anything.
                     self.send_members(from);
@@ -505,33 +516,33 @@
                     self.compare_with_peer(now, from, newest, digest);
                 }
             }
-            Word::Prepare(epoch, since) => self.on_prepare(from, epoch, since),
-            Word::Promise { epoch, joined, chosen, more, pending } => {
+            StoreMessage::Prepare(term, since) => self.on_prepare(from, term, since),
+            StoreMessage::Promise { term, joined, chosen, more, pending } => {
                 if more {
-                    self.abandon_election(now, from, epoch);
+                    self.abandon_election(now, from, term);
                 } else {
-                    self.on_promise(now, from, epoch, joined, chosen, pending);
+                    self.on_promise(now, from, term, joined, chosen, pending);
                 }
             }
-            Word::Begin { epoch, entries, digest, lacked } => {
-                self.on_begin(from, epoch, entries, digest, lacked);
+            StoreMessage::BeginTerm { term, entries, digest, missing } => {
+                self.on_begin(from, term, entries, digest, missing);
             }
-            Word::Accept { stamp, entries, chosen } => self.on_accept(from, stamp, entries, chosen),
-            Word::Accepted(stamp) => self.on_accepted(now, from, stamp),
-            Word::Refused(epoch) => self.on_refused(epoch),
-            Word::Behind(epoch, since) => self.on_behind(from, epoch, since),
-            Word::Chosen(stamp) => self.mark_chosen(stamp.epoch, stamp.turn + 1),
-            Word::SeatList(entry) => self.merge_chosen(vec![(MEMBERS_KEY.to_owned(), entry)]),
-            Word::CatchUp => self.start_transfer(now, from),
-            Word::Fetch { since, after } => self.on_fetch(from, since, after),
-            Word::Chunk(chunk) => self.on_chunk(now, from, chunk),
-            Word::Learn(since) => self.on_recovery_request(from, since),
-            Word::Learned { more: true, .. } => self.start_transfer(now, from),
-            Word::Learned { promised, joined, chosen, more: false, pending } => {
+            StoreMessage::Accept { stamp, entries, chosen } => self.on_accept(from, stamp, entries, chosen),
+            StoreMessage::Accepted(stamp) => self.on_accepted(now, from, stamp),
+            StoreMessage::Rejected(term) => self.on_refused(term),
+            StoreMessage::Behind(term, since) => self.on_behind(from, term, since),
+            StoreMessage::Chosen(stamp) => self.mark_chosen(stamp.term, stamp.sequence + 1),
+            StoreMessage::MemberList(entry) => self.merge_chosen(vec![(MEMBERS_KEY.to_owned(), entry)]),
+            StoreMessage::CatchUp => self.start_transfer(now, from),
+            StoreMessage::Fetch { since, after } => self.on_fetch(from, since, after),
+            StoreMessage::Chunk(chunk) => self.on_chunk(now, from, chunk),
+            StoreMessage::Recover(since) => self.on_recovery_request(from, since),
+            StoreMessage::RecoveryState { more: true, .. } => self.start_transfer(now, from),
+            StoreMessage::RecoveryState { promised, joined, chosen, more: false, pending } => {
                 self.on_recovery_response(from, promised, joined, chosen, pending);
             }
-            Word::Pass(id, ask) => self.submit(now, Origin::Peer(from, id), ask),
-            Word::Passed(id, told) => self.on_forward_answer(now, from, id, told),
+            StoreMessage::Forward(id, request) => self.submit(now, Origin::Peer(from, id), request),
+            StoreMessage::ForwardResponse(id, response) => self.on_forward_answer(now, from, id, response),
         }
     }
 }
--- a/system/replication/src/membership.rs
+++ b/system/replication/src/membership.rs
@@ -17,7 +17,7 @@
 use crate::leader::Role;
 use crate::{HEARTBEAT_INTERVAL, MEMBERS_KEY, Millis, PEER_TIMEOUT, Replica};
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Entry, Epoch, Named, Seat, Seats, Stamp, Word};
+use fennelscale_messages::store::{Entry, Member, MemberList, NamedEntry, Stamp, StoreMessage, Term};
 
 /// A member that was silent for this long may be replaced by a learner in its zone. Longer than a kill and a
 /// restart; an old machine that comes back later is a learner.
@@ -32,7 +32,7 @@
 /// A machine that is not a member and would like to be.
 #[derive(Clone, Debug)]
 pub(crate) struct Learner {
-    pub(crate) seat: Seat,
+    pub(crate) member: Member,
     /// Its copy is complete up to this stamp.
     pub(crate) position: Stamp,
     pub(crate) last_heard: Millis,
@@ -40,16 +40,16 @@
 
 /// Encodes the member list as the body of an entry. Zone names are chosen by the operator; newlines separate
 /// the members, since no zone name contains one.
-pub(crate) fn encode_members(seats: &[Seat]) -> String {
-    let line = |seat: &Seat| format!("{}\t{}\t{}", seat.host.0, seat.zone, seat.region);
-    seats.iter().map(line).collect::<Vec<_>>().join("\n")
+pub(crate) fn encode_members(members: &[Member]) -> String {
+    let line = |member: &Member| format!("{}\t{}\t{}", member.host.0, member.zone, member.region);
+    members.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-fn decode_members(text: &str) -> Option<Vec<Seat>> {
+fn decode_members(text: &str) -> Option<Vec<Member>> {
     let line = |line: &str| {
         let mut parts = line.split('\t');
         let host = Host(parts.next()?.parse().ok()?);
-        Some(Seat { host, zone: parts.next()?.to_owned(), region: parts.next()?.to_owned() })
+        Some(Member { host, zone: parts.next()?.to_owned(), region: parts.next()?.to_owned() })
     };
     text.lines().map(line).collect()
 }
@@ -59,49 +59,49 @@
     pub(crate) fn load_members(&mut self) {
         let entry = self.items.get(MEMBERS_KEY).and_then(|item| item.chosen.as_ref());
         let Some(entry) = entry else { return };
-        let seats = entry.body.as_deref().and_then(decode_members).unwrap_or_default();
-        self.members = Seats { version: entry.revision, seats };
+        let members = entry.body.as_deref().and_then(decode_members).unwrap_or_default();
+        self.members = MemberList { version: entry.revision, members };
         self.members_changed_at = self.last_tick;
-        let me = self.config.local.host;
-        if self.voting && !self.is_member(me) {
+        let local = self.config.local.host;
+        if self.voting && !self.is_member(local) {
             self.voting = false;
             self.log("seat-lost", format!("version={}", self.members.version));
         }
-        let listed: Vec<Host> = self.members.seats.iter().map(|seat| seat.host).collect();
+        let listed: Vec<Host> = self.members.members.iter().map(|member| member.host).collect();
         self.learners.retain(|host, _| !listed.contains(host));
         self.peers.retain(|host, _| listed.contains(host));
     }
 
-    pub(crate) fn on_announce(&mut self, now: Millis, from: Host, seat: Seat, position: Stamp) {
-        let learner = Learner { seat: seat.clone(), position, last_heard: now };
-        if self.members.seats.is_empty() {
+    pub(crate) fn on_announce(&mut self, now: Millis, from: Host, member: Member, position: Stamp) {
+        let learner = Learner { member: member.clone(), position, last_heard: now };
+        if self.members.members.is_empty() {
             self.learners.insert(from, learner);
             return;
         }
         self.send_members(from);
-        if !self.is_member(seat.host) {
+        if !self.is_member(member.host) {
             // The announcement may have been relayed by another member; the leader has to receive it.
-            let direct = seat.host == from;
-            self.learners.insert(seat.host, learner);
+            let direct = member.host == from;
+            self.learners.insert(member.host, learner);
             if direct && let Some(writer) = self.known_leader(now) {
-                self.send(writer, Word::Announce { seat, position });
+                self.send(writer, StoreMessage::Announce { member, position });
             }
         }
     }
 
     pub(crate) fn announce_to(&mut self, host: Host) {
-        let (seat, position) = (self.config.local.clone(), self.progress.position);
-        self.send(host, Word::Announce { seat, position });
+        let (member, position) = (self.config.local.clone(), self.progress.position);
+        self.send(host, StoreMessage::Announce { member, position });
     }
 
     pub(crate) fn membership_tick(&mut self, now: Millis) {
         self.last_tick = now;
-        if self.members.seats.is_empty() || !self.is_member(self.config.local.host) {
+        if self.members.members.is_empty() || !self.is_member(self.config.local.host) {
             self.announce(now);
         } else if !self.voting && !self.join_initial_members() {
             self.request_recovery(now);
         }
-        if self.members.seats.is_empty() {
+        if self.members.members.is_empty() {
             self.bootstrap_cluster(now);
         } else if self.voting {
             self.change_members(now);
@@ -137,7 +137,7 @@
         self.next_announcement = now + HEARTBEAT_INTERVAL;
         let position = self.progress.position;
         for host in self.other_members() {
-            self.send(host, Word::Learn(position));
+            self.send(host, StoreMessage::Recover(position));
             // The list may have changed again before recovery finished; then this machine is a learner once
             // more.
             self.announce_to(host);
@@ -150,19 +150,23 @@
         }
         let (tail, pending) = (self.entries_since(since), self.pending_entries());
         let (promised, joined, more) = (self.acceptor.promised, self.acceptor.joined, tail.is_none());
-        self.send(from, Word::Learned { promised, joined, chosen: tail.unwrap_or_default(), more, pending });
+        self.send(
+            from,
+            StoreMessage::RecoveryState { promised, joined, chosen: tail.unwrap_or_default(), more, pending },
+        );
     }
 
     /// Handles a response to a recovery request: a member that lost its promises recovers the state of a
     /// quorum of the others before it votes again.
     pub(crate) fn on_recovery_response(
-        &mut self, from: Host, promised: Epoch, joined: Epoch, chosen: Vec<Named>, pending: Vec<Named>,
+        &mut self, from: Host, promised: Term, joined: Term, chosen: Vec<NamedEntry>,
+        pending: Vec<NamedEntry>,
     ) {
         if self.voting || !self.is_member(from) || !self.is_member(self.config.local.host) {
             return;
         }
         self.merge_chosen(chosen);
-        self.highest_round = self.highest_round.max(promised.round);
+        self.highest_round = self.highest_round.max(promised.number);
         self.acceptor.promised = self.acceptor.promised.max(promised);
         self.acceptor.joined = self.acceptor.joined.max(joined);
         for (name, entry) in pending {
@@ -181,8 +185,8 @@
     fn finish_recovery(&mut self) {
         // Writes of terms before the newest one that any member joined, which are not in that term's first
         // write, are void.
-        for (name, lesson) in std::mem::take(&mut self.recovered_pending) {
-            let Some(entry) = lesson.pending.filter(|p| p.stamp.epoch >= self.acceptor.joined) else {
+        for (name, recovered) in std::mem::take(&mut self.recovered_pending) {
+            let Some(entry) = recovered.pending.filter(|p| p.stamp.term >= self.acceptor.joined) else {
                 continue;
             };
             let chosen = self.items.get(&name).and_then(|item| item.chosen.as_ref());
@@ -201,14 +205,14 @@
     }
 
     /// Whether a member may be replaced: it was silent for long, or is about to leave.
-    fn is_replaceable(&self, now: Millis, seat: &Seat) -> bool {
-        if seat.host == self.config.local.host {
+    fn is_replaceable(&self, now: Millis, member: &Member) -> bool {
+        if member.host == self.config.local.host {
             return self.leaving;
         }
         // A member that was never heard from may have joined only a moment ago.
         let new = || now - self.started_at.max(self.members_changed_at) > 2.0 * MEMBER_FAILURE_TIMEOUT;
         self.peers
-            .get(&seat.host)
+            .get(&member.host)
             .map_or_else(new, |p| p.leaving || now - p.last_heartbeat > MEMBER_FAILURE_TIMEOUT)
     }
 
@@ -226,25 +230,28 @@
     }
 
     /// The member list after the next change; none if no change is needed or possible now.
-    fn next_members(&self, now: Millis) -> Option<Vec<Seat>> {
-        let seats = &self.members.seats;
-        let ready = || self.learners.values().filter(|c| self.has_caught_up(c)).map(|c| &c.seat);
-        let place = |new: &Seat| seats.iter().position(|s| s.zone == new.zone && self.is_replaceable(now, s));
-        let lonely = |new: &&Seat| !seats.iter().any(|s| s.zone == new.zone);
+    fn next_members(&self, now: Millis) -> Option<Vec<Member>> {
+        let members = &self.members.members;
+        let ready = || self.learners.values().filter(|c| self.has_caught_up(c)).map(|c| &c.member);
+        let place =
+            |new: &Member| members.iter().position(|s| s.zone == new.zone && self.is_replaceable(now, s));
+        let lonely = |new: &&Member| !members.iter().any(|s| s.zone == new.zone);
         let swap = ready().find_map(|new| Some((new, Some(place(new)?))));
         let (new, place) = swap.or_else(|| ready().find(lonely).map(|new| (new, None)))?;
-        let mut list = seats.clone();
+        let mut list = members.clone();
         match place {
             Some(place) => list[place] = new.clone(),
             None => list.push(new.clone()),
         }
         list.sort();
-        let learns = |seat: &&Seat| !self.is_active_voter(now, seat.host) && !self.is_replaceable(now, seat);
-        if seats.iter().any(|seat| learns(&seat)) {
+        let learns =
+            |member: &&Member| !self.is_active_voter(now, member.host) && !self.is_replaceable(now, member);
+        if members.iter().any(|member| learns(&member)) {
             return None;
         }
-        let stay = list.iter().filter(|seat| self.is_active_voter(now, seat.host)).count();
-        let needed = crate::quorum(&Seats { version: 0, seats: list.clone() }, self.config.fault_tolerance);
+        let stay = list.iter().filter(|member| self.is_active_voter(now, member.host)).count();
+        let needed =
+            crate::quorum(&MemberList { version: 0, members: list.clone() }, self.config.fault_tolerance);
         (stay >= needed).then_some(list)
     }
 
@@ -282,13 +289,14 @@
 
     /// The reason why a leaving member should wait, if there is one; it continues to vote until then.
     pub fn leave_blocker(&self, now: Millis) -> Option<&'static str> {
-        let me = &self.config.local;
+        let local = &self.config.local;
         let others = self.other_members().into_iter().filter(|host| self.is_active_voter(now, *host)).count();
-        if !self.is_member(me.host) {
+        if !self.is_member(local.host) {
             return None;
         }
-        let successor =
-            |learner: &Learner| learner.seat.zone == me.zone && now - learner.last_heard < LEARNER_TIMEOUT;
+        let successor = |learner: &Learner| {
+            learner.member.zone == local.zone && now - learner.last_heard < LEARNER_TIMEOUT
+        };
         if self.learners.values().any(successor) {
             return Some("its seat is not handed over");
         }
--- a/system/replication/src/position.rs
+++ b/system/replication/src/position.rs
@@ -14,7 +14,7 @@
 
 use crate::Replica;
 use crate::bootstrap::BootstrapRole;
-use fennelscale_messages::depot::{Epoch, Stamp};
+use fennelscale_messages::store::{Stamp, Term};
 use std::collections::BTreeSet;
 
 /// State that is persisted besides entries and promises.
@@ -42,8 +42,8 @@
 impl AcceptedPrefix {
     /// State after a restart: complete up to the replica's position, and past the first write of the joined
     /// term.
-    pub(crate) fn at_start(position: Stamp, joined: Epoch) -> Self {
-        let known = if position.epoch == joined { position.turn } else { 0 };
+    pub(crate) fn at_start(position: Stamp, joined: Term) -> Self {
+        let known = if position.term == joined { position.sequence } else { 0 };
         Self { next: known.max(1), out_of_order: BTreeSet::new() }
     }
 
@@ -69,7 +69,7 @@
 impl Replica {
     /// Stamp after the newest entry that is held as chosen.
     pub(crate) fn chosen_end(&self) -> Stamp {
-        self.chosen_by_stamp.last().map_or_else(Stamp::default, |(stamp, _)| stamp.following())
+        self.chosen_by_stamp.last().map_or_else(Stamp::default, |(stamp, _)| stamp.next())
     }
 
     /// The stamp up to which this copy is complete.
--- a/system/replication/src/versions.rs
+++ b/system/replication/src/versions.rs
@@ -10,7 +10,7 @@
 //! - Both hold for the last [`HISTORY_LIMIT`] versions of each entry. An older version cannot be told apart
 //!   from another content: its outcome is unknown and it has no effect.
 
-use fennelscale_messages::depot::{Change, Entry, VersionRecord};
+use fennelscale_messages::store::{Change, Entry, RevisionRecord};
 
 /// Number of earlier versions remembered for each entry. An operator gives up on a call within seconds, and
 /// no entry has so many versions in that time. Costs 16 bytes for each version of an entry.
@@ -36,12 +36,12 @@
 /// it, which are chosen by the registry and not by the sender.
 pub fn content_hash(name: &str, host: &str, body: Option<&str>) -> u64 {
     let host = if name.starts_with(fennelscale_fault_injection::FAILURE) { "" } else { host };
-    fennelscale_config::content(host, body)
+    fennelscale_config::content_hash(host, body)
 }
 
-fn current_record(name: &str, entry: &Entry) -> VersionRecord {
+fn current_record(name: &str, entry: &Entry) -> RevisionRecord {
     let content = content_hash(name, &entry.host, entry.body.as_deref());
-    VersionRecord { revision: entry.revision, content }
+    RevisionRecord { revision: entry.revision, content_hash: content }
 }
 
 /// Determines how a change relates to the current entry.
@@ -53,7 +53,7 @@
     }
     let records = || known.history.iter().chain(std::iter::once(&own));
     if let Some(record) = records().find(|record| record.revision == change.revision) {
-        return if record.content == content {
+        return if record.content_hash == content {
             VersionStatus::AlreadyApplied
         } else {
             VersionStatus::Conflicting
@@ -65,7 +65,7 @@
 }
 
 /// History of the entry that replaces this one.
-pub fn history_after(name: &str, known: &Entry) -> Vec<VersionRecord> {
+pub fn history_after(name: &str, known: &Entry) -> Vec<RevisionRecord> {
     let mut history = known.history.clone();
     history.push(current_record(name, known));
     truncate_history(&mut history);
@@ -75,7 +75,7 @@
 /// The same entry with a skipped version recorded for a content.
 pub fn with_skipped_version(known: &Entry, change: &Change) -> Entry {
     let content = content_hash(&change.name, &change.host, change.body.as_deref());
-    let record = VersionRecord { revision: change.revision, content };
+    let record = RevisionRecord { revision: change.revision, content_hash: content };
     let mut entry = known.clone();
     let at = entry.history.partition_point(|other| other.revision < record.revision);
     entry.history.insert(at, record);
@@ -89,6 +89,6 @@
     Entry { stamp: *stamp, revision: *revision, host: host.clone(), body: body.clone(), history: Vec::new() }
 }
 
-fn truncate_history(history: &mut Vec<VersionRecord>) {
+fn truncate_history(history: &mut Vec<RevisionRecord>) {
     history.drain(..history.len().saturating_sub(HISTORY_LIMIT));
 }
--- a/system/replication/tests/cluster/mod.rs
+++ b/system/replication/tests/cluster/mod.rs
@@ -4,8 +4,8 @@
 //! and the published entries.
 
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Change, Seat, Told, Word};
 use fennelscale_messages::mix;
+use fennelscale_messages::store::{Change, Member, StoreMessage, StoreRequest, StoreResponse};
 use fennelscale_replication::{AcceptorState, Item, Origin, Output, PersistedState, Replica, ReplicaConfig};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
 }
 
 struct Node {
-    seat: Seat,
+    member: Member,
     disk: PersistedState,
     replica: Option<Replica>,
     incarnation: u64,
@@ -41,8 +41,8 @@
 }
 
 struct Call {
-    ask: Ask,
-    told: Option<Told>,
+    request: StoreRequest,
+    response: Option<StoreResponse>,
     began: f64,
 }
 
@@ -58,7 +58,7 @@
 
 /// A message in flight: receiver, sender, the message, and the incarnations of sender and receiver when it
 /// was sent.
-type Sent = (usize, usize, Word, u64, u64);
+type Sent = (usize, usize, StoreMessage, u64, u64);
 
 pub struct Cluster {
     pub now: f64,
@@ -80,28 +80,28 @@
     longest_message: usize,
 }
 
-fn seat(n: usize, zone: usize) -> Seat {
-    Seat { host: Host(n as u32 + 1), zone: format!("z{zone}"), region: format!("r{}", zone % 3) }
+fn member(n: usize, zone: usize) -> Member {
+    Member { host: Host(n as u32 + 1), zone: format!("z{zone}"), region: format!("r{}", zone % 3) }
 }
 
 fn node(n: usize, zone: usize) -> Node {
     let (disk, published) = (PersistedState::default(), BTreeMap::new());
-    Node { seat: seat(n, zone), disk, replica: None, incarnation: 0, published, failed: false }
+    Node { member: member(n, zone), disk, replica: None, incarnation: 0, published, failed: false }
 }
 
 impl Cluster {
-    pub fn new(seed: u64, seats: usize, mutant: Mutant) -> Self {
-        let mut cluster = Self::not_bootstrapped(seed, seats, mutant);
+    pub fn new(seed: u64, members: usize, mutant: Mutant) -> Self {
+        let mut cluster = Self::not_bootstrapped(seed, members, mutant);
         cluster.run(4000.0);
         cluster
     }
 
     /// All replicas have just started for the first time.
-    pub fn not_bootstrapped(seed: u64, seats: usize, mutant: Mutant) -> Self {
+    pub fn not_bootstrapped(seed: u64, members: usize, mutant: Mutant) -> Self {
         let mut cluster = Self {
             now: 0.0,
             random: Random::new(seed),
-            nodes: (0..seats).map(|n| node(n, n)).collect(),
+            nodes: (0..members).map(|n| node(n, n)).collect(),
             in_flight: BTreeMap::new(),
             order: 0,
             last: BTreeMap::new(),
@@ -112,10 +112,10 @@
             violations: Vec::new(),
             acknowledged: 0,
             mutant,
-            seeds: (0..3.min(seats)).map(|n| seat(n, n).host).collect(),
+            seeds: (0..3.min(members)).map(|n| member(n, n).host).collect(),
             longest_message: 0,
         };
-        (0..seats).for_each(|n| cluster.start(n, true));
+        (0..members).for_each(|n| cluster.start(n, true));
         cluster
     }
 
@@ -130,7 +130,7 @@
     pub fn start(&mut self, n: usize, bootstrap: bool) {
         let now = self.now;
         // The operator's list when the settings are written.
-        let listed = self.nodes.iter().filter(|node| !node.failed).map(|node| node.seat.host);
+        let listed = self.nodes.iter().filter(|node| !node.failed).map(|node| node.member.host);
         let seeds = if bootstrap { self.seeds.clone() } else { listed.take(3).collect() };
         let node = &mut self.nodes[n];
         if node.replica.is_some() || node.failed {
@@ -139,7 +139,7 @@
         node.incarnation += 1;
         node.published.clear();
         let place = ReplicaConfig {
-            local: node.seat.clone(),
+            local: node.member.clone(),
             seeds,
             bootstrap,
             fault_tolerance: (1, 1, 1),
@@ -156,14 +156,14 @@
         self.crash(n);
         let forgets = self.mutant != Mutant::VotesAfterDiskLoss;
         let node = &mut self.nodes[n];
-        let (acceptor, seats) =
+        let (acceptor, members) =
             (node.disk.acceptor, node.disk.items.remove(fennelscale_replication::MEMBERS_KEY));
         node.disk = PersistedState::default();
         if !forgets {
             node.disk.acceptor = acceptor.map(|_| AcceptorState::default());
             node.disk
                 .items
-                .extend(seats.map(|seats| (fennelscale_replication::MEMBERS_KEY.to_owned(), seats)));
+                .extend(members.map(|members| (fennelscale_replication::MEMBERS_KEY.to_owned(), members)));
         }
     }
 
@@ -173,7 +173,7 @@
             return;
         }
         let fresh = self.nodes.len();
-        let zone = self.nodes[n].seat.zone[1..].parse().unwrap();
+        let zone = self.nodes[n].member.zone[1..].parse().unwrap();
         self.nodes.push(node(fresh, zone));
         if planned {
             self.start(fresh, false);
@@ -203,7 +203,7 @@
     }
 
     fn at(&self, host: Host) -> Option<usize> {
-        self.nodes.iter().position(|node| node.seat.host == host)
+        self.nodes.iter().position(|node| node.member.host == host)
     }
 
     fn apply_input(&mut self, n: usize, input: impl FnOnce(&mut Replica, f64)) {
@@ -221,15 +221,19 @@
 
     fn carry_out(&mut self, n: usize, out: Output) {
         match out {
-            Output::Send(to, word) => {
+            Output::Send(to, message) => {
                 let Some(to) = self.at(to) else { return };
                 if matches!(
-                    word,
-                    Word::Chunk(_) | Word::Learned { .. } | Word::Promise { .. } | Word::Begin { .. }
+                    message,
+                    StoreMessage::Chunk(_)
+                        | StoreMessage::RecoveryState { .. }
+                        | StoreMessage::Promise { .. }
+                        | StoreMessage::BeginTerm { .. }
                 ) {
-                    self.longest_message = self.longest_message.max(fennelscale_messages::frame(&word).len());
+                    self.longest_message =
+                        self.longest_message.max(fennelscale_messages::encode_frame(&message).len());
                 }
-                let near = self.nodes[n].seat.region == self.nodes[to].seat.region;
+                let near = self.nodes[n].member.region == self.nodes[to].member.region;
                 let delay = if near { 1.0 } else { 55.0 } * (1.0 + 0.5 * self.random.fraction());
                 // Messages on one connection arrive in order.
                 let due = (self.now + delay).max(self.last.get(&(n, to)).copied().unwrap_or(0.0));
@@ -238,16 +242,16 @@
                 let incarnations = (self.nodes[n].incarnation, self.nodes[to].incarnation);
                 self.in_flight.insert(
                     ((due * 1000.0) as u64, self.order),
-                    (to, n, word, incarnations.0, incarnations.1),
+                    (to, n, message, incarnations.0, incarnations.1),
                 );
             }
             Output::Chosen(entries) => entries.into_iter().for_each(|entry| self.on_published(n, entry)),
-            Output::Answer(id, told) => self.on_response(id, told),
+            Output::Answer(id, response) => self.on_response(id, response),
             Output::Members(_) | Output::UpToDate(_) | Output::Log(..) => {}
         }
     }
 
-    fn on_published(&mut self, n: usize, (name, entry): fennelscale_messages::depot::Named) {
+    fn on_published(&mut self, n: usize, (name, entry): fennelscale_messages::store::NamedEntry) {
         let content = entry.body.clone().map(|body| format!("{}{body}", entry.host));
         let known = self.contents.entry((name.clone(), entry.revision)).or_insert_with(|| content.clone());
         if *known != content {
@@ -263,8 +267,9 @@
         };
         // The same change may have been accepted in another call.
         let another = self.calls.values().any(|call| {
-            let rejected = matches!(call.told, Some(Told::Conflict(_) | Told::Invalid(_)));
-            let Ask::Change(changes) = &call.ask else { return false };
+            let rejected =
+                matches!(call.response, Some(StoreResponse::Conflict(_) | StoreResponse::Invalid(_)));
+            let StoreRequest::Change(changes) = &call.request else { return false };
             let same = |c: &Change| c.name == name && c.revision == entry.revision && c.body == entry.body;
             !rejected && changes.iter().any(same)
         });
@@ -273,13 +278,15 @@
         }
     }
 
-    fn on_response(&mut self, id: u64, told: Told) {
+    fn on_response(&mut self, id: u64, response: StoreResponse) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if call.told.is_some() {
+        if call.response.is_some() {
             self.violations.push(format!("call {id} was answered twice"));
         }
-        if let (Told::Conflict(_) | Told::Invalid(_), Ask::Change(changes)) = (&told, &call.ask) {
+        if let (StoreResponse::Conflict(_) | StoreResponse::Invalid(_), StoreRequest::Change(changes)) =
+            (&response, &call.request)
+        {
             for c in changes {
                 let current = self.contents.contains_key(&(c.name.clone(), c.revision));
                 // What was in force before the rejection does not stem from this call.
@@ -288,8 +295,8 @@
                 }
             }
         }
-        self.acknowledged += usize::from(told == Told::Done);
-        call.told = Some(told);
+        self.acknowledged += usize::from(response == StoreResponse::Done);
+        call.response = Some(response);
     }
 
     pub fn is_leader(&self, n: usize) -> bool {
@@ -302,14 +309,14 @@
 
     /// Members according to one replica's list.
     pub fn members(&self, n: usize) -> Vec<usize> {
-        let seats = self.nodes[n].replica.iter().flat_map(|replica| &replica.members().seats);
-        seats.filter_map(|seat| self.at(seat.host)).collect()
+        let members = self.nodes[n].replica.iter().flat_map(|replica| &replica.members().members);
+        members.filter_map(|member| self.at(member.host)).collect()
     }
 
     /// Starts an empty machine in the zone of another, where it waits to become a member. Returns its number.
     pub fn add_machine(&mut self, zone_of: usize) -> usize {
         let fresh = self.nodes.len();
-        let zone = self.nodes[zone_of].seat.zone[1..].parse().unwrap();
+        let zone = self.nodes[zone_of].member.zone[1..].parse().unwrap();
         self.nodes.push(node(fresh, zone));
         self.start(fresh, false);
         fresh
@@ -347,15 +354,15 @@
     }
 
     /// Delivers a message to a replica and returns its replies to the sender.
-    pub fn deliver(&mut self, to: usize, from: usize, word: Word) -> Vec<Word> {
-        let (now, host) = (self.now, self.nodes[from].seat.host);
+    pub fn deliver(&mut self, to: usize, from: usize, message: StoreMessage) -> Vec<StoreMessage> {
+        let (now, host) = (self.now, self.nodes[from].member.host);
         let Some(replica) = self.nodes[to].replica.as_mut() else { return Vec::new() };
-        replica.receive(now, host, word);
+        replica.receive(now, host, message);
         let answers = replica.take_outputs().into_iter();
         answers
-            .filter_map(
-                |out| if let Output::Send(to, word) = out { (to == host).then_some(word) } else { None },
-            )
+            .filter_map(|out| {
+                if let Output::Send(to, message) = out { (to == host).then_some(message) } else { None }
+            })
             .collect()
     }
 
@@ -383,19 +390,19 @@
         chosen.fold(0, |digest, (name, entry)| digest ^ fennelscale_config::entry_hash((name, entry)))
     }
 
-    pub fn position(&self, n: usize) -> fennelscale_messages::depot::Stamp {
+    pub fn position(&self, n: usize) -> fennelscale_messages::store::Stamp {
         self.nodes[n].replica.as_ref().map(Replica::position).unwrap_or_default()
     }
 
-    pub fn call(&mut self, n: usize, ask: Ask) -> u64 {
+    pub fn call(&mut self, n: usize, request: StoreRequest) -> u64 {
         let id = self.calls.len() as u64 + 1;
-        self.calls.insert(id, Call { ask: ask.clone(), told: None, began: self.now });
-        self.apply_input(n, |replica, now| replica.submit(now, Origin::Registry(id), ask));
+        self.calls.insert(id, Call { request: request.clone(), response: None, began: self.now });
+        self.apply_input(n, |replica, now| replica.submit(now, Origin::Registry(id), request));
         id
     }
 
-    pub fn told(&self, id: u64) -> Option<Told> {
-        self.calls.get(&id).and_then(|call| call.told.clone())
+    pub fn response(&self, id: u64) -> Option<StoreResponse> {
+        self.calls.get(&id).and_then(|call| call.response.clone())
     }
 
     pub fn run(&mut self, span: f64) {
@@ -408,14 +415,14 @@
                 if due > next_tick {
                     break;
                 }
-                let (to, from, word, from_incarnation, to_incarnation) = entry.remove();
+                let (to, from, message, from_incarnation, to_incarnation) = entry.remove();
                 self.now = self.now.max(due);
                 // A connection ends with either process, and messages that meet a cut are lost.
                 let connected = self.nodes[to].incarnation == to_incarnation
                     && self.nodes[from].incarnation == from_incarnation;
                 if connected && !self.cuts.contains(&(from, to)) {
-                    let host = self.nodes[from].seat.host;
-                    self.apply_input(to, |replica, now| replica.receive(now, host, word));
+                    let host = self.nodes[from].member.host;
+                    self.apply_input(to, |replica, now| replica.receive(now, host, message));
                 }
             }
             self.now = next_tick;
@@ -437,23 +444,23 @@
         let live: Vec<usize> = (0..self.len()).filter(|n| !self.nodes[*n].failed).collect();
         for n in live {
             let read = (0..6).find_map(|_| {
-                let id = self.call(n, Ask::Read);
+                let id = self.call(n, StoreRequest::Read);
                 self.run(1500.0);
-                if let Some(Told::Items(items)) = self.told(id) { Some(items) } else { None }
+                if let Some(StoreResponse::Items(items)) = self.response(id) { Some(items) } else { None }
             });
             match read {
                 Some(items) => self.compare(n, &items.into_iter().collect()),
                 None => {
                     let state = |node: &Node| {
                         let replica = node.replica.as_ref()?;
-                        let seats: Vec<u32> = replica.members().seats.iter().map(|s| s.host.0).collect();
+                        let members: Vec<u32> = replica.members().members.iter().map(|s| s.host.0).collect();
                         Some((
-                            node.seat.host.0,
+                            node.member.host.0,
                             node.failed,
                             replica.is_voting(),
                             replica.is_leader(),
                             replica.acceptor(),
-                            seats,
+                            members,
                         ))
                     };
                     let states: Vec<_> = self.nodes.iter().map(state).collect();
@@ -463,11 +470,12 @@
         }
     }
 
-    fn compare(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::depot::Entry>) {
-        let changes =
-            |call: &Call| if let Ask::Change(changes) = &call.ask { changes.clone() } else { Vec::new() };
+    fn compare(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::store::Entry>) {
+        let changes = |call: &Call| {
+            if let StoreRequest::Change(changes) = &call.request { changes.clone() } else { Vec::new() }
+        };
         let mut broken = Vec::new();
-        for call in self.calls.values().filter(|call| call.told == Some(Told::Done)) {
+        for call in self.calls.values().filter(|call| call.response == Some(StoreResponse::Done)) {
             for change in changes(call) {
                 let current = items.get(&change.name);
                 // A newer version that removed the entry may be in force.
@@ -489,9 +497,10 @@
                     ));
                 }
             }
-            if let Ask::Evacuate(zone, on, _) = &call.ask {
-                let later =
-                    |o: &Call| matches!(&o.ask, Ask::Evacuate(z, ..) if z == zone) && o.began > call.began;
+            if let StoreRequest::Evacuate(zone, on, _) = &call.request {
+                let later = |o: &Call| {
+                    matches!(&o.request, StoreRequest::Evacuate(z, ..) if z == zone) && o.began > call.began
+                };
                 if !self.calls.values().any(later) {
                     let in_force = self.nodes[n].replica.as_ref().and_then(|b| b.item(&format!("e:{zone}")));
                     let in_force = in_force.and_then(|i| i.chosen.as_ref()).is_some_and(|e| e.body.is_some());
@@ -522,7 +531,7 @@
 
 /// Has the cluster accept a first call.
 pub fn accept_first_call(cluster: &mut Cluster) {
-    let id = cluster.call(1, Ask::Change(vec![service(), change(0, 1, 0, 0)]));
+    let id = cluster.call(1, StoreRequest::Change(vec![service(), change(0, 1, 0, 0)]));
     cluster.run(1500.0);
-    assert_eq!(cluster.told(id), Some(Told::Done), "the first call is accepted");
+    assert_eq!(cluster.response(id), Some(StoreResponse::Done), "the first call is accepted");
 }
--- a/system/replication/tests/control_safety.rs
+++ b/system/replication/tests/control_safety.rs
@@ -4,7 +4,7 @@
 mod cluster;
 
 use cluster::{Cluster, Mutant, accept_first_call, change};
-use fennelscale_messages::depot::{Ask, Change, Told};
+use fennelscale_messages::store::{Change, StoreRequest, StoreResponse};
 use fennelscale_replication::CHUNK_BYTES;
 use fennelscale_replication::versions::HISTORY_LIMIT;
 
@@ -15,10 +15,10 @@
 }
 
 /// Submits a change and waits for its response.
-fn told(cluster: &mut Cluster, at: usize, change: Change) -> Option<Told> {
-    let id = cluster.call(at, Ask::Change(vec![change]));
+fn response(cluster: &mut Cluster, at: usize, change: Change) -> Option<StoreResponse> {
+    let id = cluster.call(at, StoreRequest::Change(vec![change]));
     cluster.run(4000.0);
-    cluster.told(id)
+    cluster.response(id)
 }
 
 /// A leader that was cut off and a majority that has moved on: route 1 has since freed its path for other
@@ -27,7 +27,7 @@
     let mut cluster = Cluster::new(seed, MEMBERS, Mutant::None);
     accept_first_call(&mut cluster);
     let leader = cluster.leader().unwrap();
-    assert_eq!(told(&mut cluster, leader, change(1, 1, 1, 1)), Some(Told::Done));
+    assert_eq!(response(&mut cluster, leader, change(1, 1, 1, 1)), Some(StoreResponse::Done));
     cluster.isolate(leader);
     let other = (leader + 1) % MEMBERS;
     cluster.run(1000.0);
@@ -40,16 +40,20 @@
         let (mut cluster, leader, other) = disconnected_leader(seed);
         let at_cut = [
             // Would be rejected by outdated state: the path is free by now.
-            cluster.call(leader, Ask::Change(vec![change(2, 1, 1, 2)])),
+            cluster.call(leader, StoreRequest::Change(vec![change(2, 1, 1, 2)])),
             // Would be confirmed by outdated state: the version may belong to another content by now.
-            cluster.call(leader, Ask::Change(vec![change(1, 1, 1, 1)])),
-            cluster.call(leader, Ask::Read),
-            cluster.call(leader, Ask::Change(vec![change(1, 1, 1, 9)])),
+            cluster.call(leader, StoreRequest::Change(vec![change(1, 1, 1, 1)])),
+            cluster.call(leader, StoreRequest::Read),
+            cluster.call(leader, StoreRequest::Change(vec![change(1, 1, 1, 9)])),
         ];
-        assert_eq!(told(&mut cluster, other, removal(1, 2)), Some(Told::Done), "seed {seed}");
-        assert_eq!(told(&mut cluster, other, change(2, 1, 1, 2)), Some(Told::Done), "seed {seed}");
-        let answers = at_cut.map(|id| cluster.told(id));
-        assert_eq!(answers, [const { Some(Told::Unclear) }; 4], "seed {seed}");
+        assert_eq!(response(&mut cluster, other, removal(1, 2)), Some(StoreResponse::Done), "seed {seed}");
+        assert_eq!(
+            response(&mut cluster, other, change(2, 1, 1, 2)),
+            Some(StoreResponse::Done),
+            "seed {seed}"
+        );
+        let answers = at_cut.map(|id| cluster.response(id));
+        assert_eq!(answers, [const { Some(StoreResponse::Unclear) }; 4], "seed {seed}");
         assert!(!cluster.is_leader(leader), "seed {seed}: without contact its term has ended");
         cluster.settle();
         assert_eq!(cluster.violations, Vec::<String>::new());
@@ -63,11 +67,11 @@
     let leader = cluster.leader().unwrap();
     // It hears from all others and none of them hears from it.
     (0..MEMBERS).filter(|n| *n != leader).for_each(|n| cluster.cut(leader, n, true));
-    let id = cluster.call(leader, Ask::Change(vec![change(1, 5, 1, 1)]));
+    let id = cluster.call(leader, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     cluster.run(fennelscale_replication::ACCEPT_TIMEOUT + 300.0);
     assert!(!cluster.is_leader(leader));
     cluster.run(3000.0);
-    assert_eq!(cluster.told(id), Some(Told::Unclear));
+    assert_eq!(cluster.response(id), Some(StoreResponse::Unclear));
     cluster.heal();
     cluster.settle();
     assert_eq!(cluster.violations, Vec::<String>::new());
@@ -82,12 +86,12 @@
         accept_first_call(&mut cluster);
         let leader = cluster.leader().unwrap();
         cluster.isolate(leader);
-        let void = cluster.call(leader, Ask::Change(vec![change(1, 5, 1, 1)]));
-        let rejected = cluster.call(leader, Ask::Change(vec![change(2, 5, 1, 1)]));
+        let void = cluster.call(leader, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
+        let rejected = cluster.call(leader, StoreRequest::Change(vec![change(2, 5, 1, 1)]));
         cluster.run(200.0);
-        assert_eq!([cluster.told(void), cluster.told(rejected)], [None, None], "seed {seed}");
+        assert_eq!([cluster.response(void), cluster.response(rejected)], [None, None], "seed {seed}");
         cluster.run(8000.0);
-        assert_eq!(cluster.told(rejected), Some(Told::Unclear), "seed {seed}");
+        assert_eq!(cluster.response(rejected), Some(StoreResponse::Unclear), "seed {seed}");
         cluster.settle();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
@@ -98,23 +102,23 @@
     let mut cluster = Cluster::new(7, MEMBERS, Mutant::None);
     accept_first_call(&mut cluster);
     for revision in [5, 6] {
-        assert_eq!(told(&mut cluster, 0, change(1, revision, 1, revision)), Some(Told::Done));
+        assert_eq!(response(&mut cluster, 0, change(1, revision, 1, revision)), Some(StoreResponse::Done));
     }
-    assert!(matches!(told(&mut cluster, 2, change(1, 5, 3, 3)), Some(Told::Conflict(_))));
+    assert!(matches!(response(&mut cluster, 2, change(1, 5, 3, 3)), Some(StoreResponse::Conflict(_))));
     assert_eq!(
-        told(&mut cluster, 3, change(1, 5, 1, 5)),
-        Some(Told::Done),
+        response(&mut cluster, 3, change(1, 5, 1, 5)),
+        Some(StoreResponse::Done),
         "the repeated change is confirmed"
     );
     // Also after the entry is removed, and after further versions.
-    assert_eq!(told(&mut cluster, 1, removal(1, 9)), Some(Told::Done));
-    assert!(matches!(told(&mut cluster, 4, change(1, 6, 1, 7)), Some(Told::Conflict(_))));
-    assert_eq!(told(&mut cluster, 5, change(1, 6, 1, 6)), Some(Told::Done));
-    assert_eq!(told(&mut cluster, 5, removal(1, 9)), Some(Told::Done));
+    assert_eq!(response(&mut cluster, 1, removal(1, 9)), Some(StoreResponse::Done));
+    assert!(matches!(response(&mut cluster, 4, change(1, 6, 1, 7)), Some(StoreResponse::Conflict(_))));
+    assert_eq!(response(&mut cluster, 5, change(1, 6, 1, 6)), Some(StoreResponse::Done));
+    assert_eq!(response(&mut cluster, 5, removal(1, 9)), Some(StoreResponse::Done));
     // A skipped version belongs to the first content confirmed under it, and has no effect.
-    assert_eq!(told(&mut cluster, 2, change(1, 7, 1, 1)), Some(Told::Done));
-    assert!(matches!(told(&mut cluster, 3, change(1, 7, 1, 2)), Some(Told::Conflict(_))));
-    assert_eq!(told(&mut cluster, 4, change(1, 7, 1, 1)), Some(Told::Done));
+    assert_eq!(response(&mut cluster, 2, change(1, 7, 1, 1)), Some(StoreResponse::Done));
+    assert!(matches!(response(&mut cluster, 3, change(1, 7, 1, 2)), Some(StoreResponse::Conflict(_))));
+    assert_eq!(response(&mut cluster, 4, change(1, 7, 1, 1)), Some(StoreResponse::Done));
     let entry = cluster.item(0, "r:1").and_then(|item| item.chosen).unwrap();
     assert_eq!((entry.revision, entry.body), (9, None));
     cluster.settle();
@@ -126,17 +130,17 @@
     let mut cluster = Cluster::new(3, MEMBERS, Mutant::None);
     accept_first_call(&mut cluster);
     for revision in [5, 6] {
-        assert_eq!(told(&mut cluster, 0, change(1, revision, 1, revision)), Some(Told::Done));
+        assert_eq!(response(&mut cluster, 0, change(1, revision, 1, revision)), Some(StoreResponse::Done));
     }
     // One version belongs to another content; the other change would be new.
-    let id = cluster.call(2, Ask::Change(vec![change(1, 5, 1, 9), change(2, 1, 2, 1)]));
+    let id = cluster.call(2, StoreRequest::Change(vec![change(1, 5, 1, 9), change(2, 1, 2, 1)]));
     cluster.run(2000.0);
-    assert!(matches!(cluster.told(id), Some(Told::Conflict(_))));
+    assert!(matches!(cluster.response(id), Some(StoreResponse::Conflict(_))));
     assert_eq!(cluster.item(0, "r:2"), None);
     // One change was applied before, the other is new and comes into force.
-    let id = cluster.call(2, Ask::Change(vec![change(1, 5, 1, 5), change(2, 1, 2, 1)]));
+    let id = cluster.call(2, StoreRequest::Change(vec![change(1, 5, 1, 5), change(2, 1, 2, 1)]));
     cluster.run(2000.0);
-    assert_eq!(cluster.told(id), Some(Told::Done));
+    assert_eq!(cluster.response(id), Some(StoreResponse::Done));
     assert!(cluster.item(0, "r:2").is_some());
 }
 
@@ -151,7 +155,7 @@
         let mut ids = Vec::new();
         for n in 0..10 {
             let at = cluster.random.below(MEMBERS);
-            ids.push(cluster.call(at, Ask::Change(vec![order.clone()])));
+            ids.push(cluster.call(at, StoreRequest::Change(vec![order.clone()])));
             let span = cluster.random.fraction() * 300.0;
             cluster.run(span);
             if n == 3 {
@@ -161,14 +165,15 @@
             }
             if n > 5 {
                 let at = cluster.random.below(MEMBERS);
-                cluster.call(at, Ask::Change(vec![change(1, 10 + n, 1, n)]));
+                cluster.call(at, StoreRequest::Change(vec![change(1, 10 + n, 1, n)]));
             }
         }
         cluster.run(4000.0);
-        let rejected =
-            ids.iter().filter(|id| !matches!(cluster.told(**id), None | Some(Told::Done | Told::Unclear)));
+        let rejected = ids.iter().filter(|id| {
+            !matches!(cluster.response(**id), None | Some(StoreResponse::Done | StoreResponse::Unclear))
+        });
         assert_eq!(rejected.count(), 0, "seed {seed}");
-        assert_eq!(told(&mut cluster, 3, order), Some(Told::Done), "seed {seed}");
+        assert_eq!(response(&mut cluster, 3, order), Some(StoreResponse::Done), "seed {seed}");
         cluster.settle();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
@@ -180,13 +185,13 @@
     accept_first_call(&mut cluster);
     let last = 2 + HISTORY_LIMIT as u64;
     for revision in 1..=last + 1 {
-        let id = cluster.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
+        let id = cluster.call(0, StoreRequest::Change(vec![change(1, revision, 1, revision)]));
         cluster.run(400.0);
-        assert_eq!(cluster.told(id), Some(Told::Done), "version {revision}");
+        assert_eq!(cluster.response(id), Some(StoreResponse::Done), "version {revision}");
     }
-    assert_eq!(told(&mut cluster, 2, change(1, 2, 1, 2)), Some(Told::Forgotten));
-    assert_eq!(told(&mut cluster, 2, change(1, 3, 1, 3)), Some(Told::Done));
-    assert!(matches!(told(&mut cluster, 2, change(1, 3, 1, 4)), Some(Told::Conflict(_))));
+    assert_eq!(response(&mut cluster, 2, change(1, 2, 1, 2)), Some(StoreResponse::Forgotten));
+    assert_eq!(response(&mut cluster, 2, change(1, 3, 1, 3)), Some(StoreResponse::Done));
+    assert!(matches!(response(&mut cluster, 2, change(1, 3, 1, 4)), Some(StoreResponse::Conflict(_))));
     let entry = cluster.item(0, "r:1").and_then(|item| item.chosen).unwrap();
     assert_eq!((entry.revision, entry.history.len()), (last + 1, HISTORY_LIMIT));
 }
@@ -210,7 +215,7 @@
         assert_eq!([6, 7].map(|n| cluster.is_voting(n)), [Some(true); 2], "gap {gap}");
         // Two more failures at once, as many as the list tolerates, and writes still succeed.
         [2, 5].into_iter().for_each(|n| cluster.crash(n));
-        assert_eq!(told(&mut cluster, 3, change(1, 9, 1, 9)), Some(Told::Done), "gap {gap}");
+        assert_eq!(response(&mut cluster, 3, change(1, 9, 1, 9)), Some(StoreResponse::Done), "gap {gap}");
         cluster.settle();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
@@ -296,9 +301,9 @@
     accept_first_call(&mut cluster);
     for first in (10..4010).step_by(400) {
         let items = (first..first + 400).map(|n| change(n, 1, n, 1)).collect();
-        let id = cluster.call(0, Ask::Change(items));
+        let id = cluster.call(0, StoreRequest::Change(items));
         cluster.run(2500.0);
-        assert_eq!(cluster.told(id), Some(Told::Done));
+        assert_eq!(cluster.response(id), Some(StoreResponse::Done));
     }
     cluster.run(3000.0);
     // One machine lost its disk, one is replaced by an empty machine, and one of the sources of their
@@ -340,7 +345,7 @@
         for revision in 1..=400 {
             let id = cluster.call(
                 0,
-                Ask::Change(vec![change(
+                StoreRequest::Change(vec![change(
                     revision as usize % 7 + 1,
                     revision,
                     revision as usize % 7 + 1,
@@ -351,20 +356,20 @@
             last = id;
         }
         cluster.run(1500.0);
-        assert_eq!(cluster.told(last), Some(Told::Done));
+        assert_eq!(cluster.response(last), Some(StoreResponse::Done));
         cluster.lose_disk(4);
         [0, 1, 2, 3].into_iter().for_each(|n| cluster.crash(n));
         cluster.heal();
         cluster.start(4, false);
         for n in [4, 5] {
-            let read = cluster.call(n, Ask::Read);
-            let order = cluster.call(n, Ask::Change(vec![change(1, 1000, 1, 1)]));
+            let read = cluster.call(n, StoreRequest::Read);
+            let order = cluster.call(n, StoreRequest::Change(vec![change(1, 1000, 1, 1)]));
             cluster.run(6000.0);
             let clear = [read, order]
-                .map(|id| cluster.told(id))
+                .map(|id| cluster.response(id))
                 .into_iter()
                 .flatten()
-                .find(|told| *told != Told::Unclear);
+                .find(|response| *response != StoreResponse::Unclear);
             assert_eq!(
                 (clear, cluster.is_up_to_date(n), cluster.is_leader(n)),
                 (None, false, false),
@@ -393,7 +398,7 @@
     let mut outdated = [0; MEMBERS];
     for revision in 1..=600 {
         let name = revision as usize % 5 + 1;
-        cluster.call(0, Ask::Change(vec![change(name, revision, name, revision)]));
+        cluster.call(0, StoreRequest::Change(vec![change(name, revision, name, revision)]));
         cluster.run(100.0);
         (0..MEMBERS).for_each(|n| outdated[n] += usize::from(!cluster.is_up_to_date(n)));
     }
@@ -406,7 +411,7 @@
     let mut cluster = Cluster::new(12, MEMBERS, Mutant::None);
     accept_first_call(&mut cluster);
     for revision in 1..=50 {
-        cluster.call(0, Ask::Change(vec![change(1, revision, 1, revision)]));
+        cluster.call(0, StoreRequest::Change(vec![change(1, revision, 1, revision)]));
         cluster.run(600.0);
         let before = cluster.position(3);
         cluster.crash_losing_messages(3);
--- a/system/replication/tests/schedules.rs
+++ b/system/replication/tests/schedules.rs
@@ -5,7 +5,9 @@
 mod cluster;
 
 use cluster::{Cluster, Mutant, accept_first_call, change};
-use fennelscale_messages::depot::{Ask, Change, Epoch, Seat, Seats, Stamp, Told, Word};
+use fennelscale_messages::store::{
+    Change, Member, MemberList, Stamp, StoreMessage, StoreRequest, StoreResponse, Term,
+};
 use proptest::prelude::*;
 
 /// Runs a minute of calls and faults, then restores everything and reads on all replicas.
@@ -30,17 +32,17 @@
                     let drop = Change { body: None, host: String::new(), ..change(name, revision, 0, 0) };
                     changes = vec![drop];
                 }
-                cluster.call(n, Ask::Change(changes.clone()));
+                cluster.call(n, StoreRequest::Change(changes.clone()));
                 if cluster.random.fraction() < 0.3 && cluster.is_up(other) {
                     // Another operator at the same moment, with the same version and another content, or with
                     // the same change.
                     let mark = if cluster.random.fraction() < 0.5 { mark } else { mark + 1 };
-                    cluster.call(other, Ask::Change(vec![change(name, revision, prefix, mark)]));
+                    cluster.call(other, StoreRequest::Change(vec![change(name, revision, prefix, mark)]));
                 }
             }
             6 if cluster.is_up(n) => {
                 let on = cluster.random.fraction() < 0.5;
-                cluster.call(n, Ask::Evacuate("z1".into(), on, None));
+                cluster.call(n, StoreRequest::Evacuate("z1".into(), on, None));
                 cluster.run(1500.0);
             }
             7 => {
@@ -109,17 +111,17 @@
     let mut cluster = Cluster::new(5, 6, mutant);
     accept_first_call(&mut cluster);
     [2, 5].into_iter().for_each(|n| cluster.crash(n));
-    let id = cluster.call(1, Ask::Change(vec![change(1, 5, 1, 1)]));
+    let id = cluster.call(1, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     cluster.run(2000.0);
-    assert_eq!(cluster.told(id), Some(Told::Done));
+    assert_eq!(cluster.response(id), Some(StoreResponse::Done));
     [0, 3].into_iter().for_each(|n| cluster.lose_disk(n));
     [1, 4].into_iter().for_each(|n| cluster.crash(n));
     [0, 2, 3, 5].into_iter().for_each(|n| cluster.start(n, false));
     cluster.run(4000.0);
     for n in [0, 2, 3, 5] {
-        let id = cluster.call(n, Ask::Read);
+        let id = cluster.call(n, StoreRequest::Read);
         cluster.run(3000.0);
-        if let Some(Told::Items(items)) = cluster.told(id)
+        if let Some(StoreResponse::Items(items)) = cluster.response(id)
             && !items.iter().any(|(name, _)| name == "r:1")
         {
             cluster.violations.push(format!("{n} reads outdated entries"));
@@ -148,17 +150,18 @@
     for seed in 0..30 {
         let mut cluster = Cluster::new(seed, 6, Mutant::None);
         accept_first_call(&mut cluster);
-        let one = cluster.call(2, Ask::Change(vec![change(1, 5, 1, 1)]));
-        let other = cluster.call(4, Ask::Change(vec![change(1, 5, 1, 2)]));
+        let one = cluster.call(2, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
+        let other = cluster.call(4, StoreRequest::Change(vec![change(1, 5, 1, 2)]));
         cluster.run(3000.0);
-        let told = [cluster.told(one), cluster.told(other)];
-        let done = told.iter().filter(|told| **told == Some(Told::Done)).count();
-        let lost = told.iter().filter(|told| matches!(told, Some(Told::Conflict(_)))).count();
-        assert_eq!((done, lost), (1, 1), "{told:?}");
+        let response = [cluster.response(one), cluster.response(other)];
+        let done = response.iter().filter(|response| **response == Some(StoreResponse::Done)).count();
+        let lost =
+            response.iter().filter(|response| matches!(response, Some(StoreResponse::Conflict(_)))).count();
+        assert_eq!((done, lost), (1, 1), "{response:?}");
         // A late change with a skipped version is acknowledged and has no effect.
-        let again = cluster.call(0, Ask::Change(vec![change(1, 3, 1, 9)]));
+        let again = cluster.call(0, StoreRequest::Change(vec![change(1, 3, 1, 9)]));
         cluster.run(1000.0);
-        assert_eq!(cluster.told(again), Some(Told::Done));
+        assert_eq!(cluster.response(again), Some(StoreResponse::Done));
         cluster.settle();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
@@ -175,9 +178,9 @@
     let mut cluster = Cluster::new(1, 6, Mutant::None);
     accept_first_call(&mut cluster);
     let mut tell = |at: usize, change: Change| {
-        let id = cluster.call(at, Ask::Change(vec![change]));
+        let id = cluster.call(at, StoreRequest::Change(vec![change]));
         cluster.run(3000.0);
-        assert_eq!(cluster.told(id), Some(Told::Done));
+        assert_eq!(cluster.response(id), Some(StoreResponse::Done));
         cluster.item(at, "f:o").and_then(|item| item.chosen).map(|entry| (entry.revision, entry.host))
     };
     assert_eq!(tell(1, order(1, "a/1 b/2")), Some((1, "a/1 b/2".into())));
@@ -194,12 +197,16 @@
     for seed in 0..30 {
         let mut cluster = Cluster::new(seed, 6, Mutant::None);
         accept_first_call(&mut cluster);
-        let one = cluster.call(1, Ask::Change(vec![change(1, 5, 3, 1)]));
-        let other = cluster.call(5, Ask::Change(vec![change(2, 5, 3, 1), change(3, 5, 4, 1)]));
+        let one = cluster.call(1, StoreRequest::Change(vec![change(1, 5, 3, 1)]));
+        let other = cluster.call(5, StoreRequest::Change(vec![change(2, 5, 3, 1), change(3, 5, 4, 1)]));
         cluster.run(3000.0);
-        let told = [cluster.told(one), cluster.told(other)];
-        assert_eq!(told.iter().filter(|told| **told == Some(Told::Done)).count(), 1, "{told:?}");
-        assert!(told.iter().any(|told| matches!(told, Some(Told::Invalid(_)))));
+        let response = [cluster.response(one), cluster.response(other)];
+        assert_eq!(
+            response.iter().filter(|response| **response == Some(StoreResponse::Done)).count(),
+            1,
+            "{response:?}"
+        );
+        assert!(response.iter().any(|response| matches!(response, Some(StoreResponse::Invalid(_)))));
         cluster.settle();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
@@ -214,19 +221,19 @@
         // The other member of the region would hear of it within a moment; all others are one inter-region
         // delay away.
         cluster.crash((leader + 3) % 6);
-        let id = cluster.call(leader, Ask::Change(vec![change(1, 5, 1, 1)]));
-        while cluster.told(id).is_none() {
+        let id = cluster.call(leader, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
+        while cluster.response(id).is_none() {
             cluster.run(1.0);
         }
-        assert_eq!(cluster.told(id), Some(Told::Done));
+        assert_eq!(cluster.response(id), Some(StoreResponse::Done));
         // No other member has heard that the write is chosen.
         cluster.crash_losing_messages(leader);
         cluster.run(3000.0);
         let reader = (leader + 1) % 6;
-        let read = cluster.call(reader, Ask::Read);
+        let read = cluster.call(reader, StoreRequest::Read);
         cluster.run(3000.0);
         assert!(
-            matches!(cluster.told(read), Some(Told::Items(items)) if items.iter().any(|(name, _)| name == "r:1")),
+            matches!(cluster.response(read), Some(StoreResponse::Items(items)) if items.iter().any(|(name, _)| name == "r:1")),
             "seed {seed}"
         );
     }
@@ -247,11 +254,11 @@
         let others: Vec<usize> = far.chain([neighbour]).collect();
         // Two members are down: the write is on the disks of the leader and three others.
         others[..2].iter().for_each(|n| cluster.crash(*n));
-        let id = cluster.call(leader, Ask::Change(vec![change(1, 5, 1, 1)]));
-        while cluster.told(id).is_none() {
+        let id = cluster.call(leader, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
+        while cluster.response(id).is_none() {
             cluster.run(1.0);
         }
-        assert_eq!(cluster.told(id), Some(Told::Done));
+        assert_eq!(cluster.response(id), Some(StoreResponse::Done));
         let before = cluster.acceptor(leader).map(|acceptor| acceptor.joined);
         // The leader loses power at once together with the messages that it sent, and restarts along with the
         // two and one that accepted the write.
@@ -259,7 +266,7 @@
         others[3..].iter().for_each(|n| cluster.crash(*n));
         others[..2].iter().for_each(|n| cluster.start(*n, false));
         cluster.start(leader, false);
-        cluster.call(leader, Ask::Change(vec![change(2, 5, 2, 1)]));
+        cluster.call(leader, StoreRequest::Change(vec![change(2, 5, 2, 1)]));
         // Its next term begins, all members that are up join it, and then the leader is down for longer; one
         // that accepted the write is back.
         let here = &others[..3];
@@ -274,12 +281,14 @@
         cluster.crash_losing_messages(leader);
         cluster.start(others[3], false);
         cluster.run(3000.0);
-        let newer = cluster.call(others[0], Ask::Change(vec![change(3, 5, 3, 1)]));
+        let newer = cluster.call(others[0], StoreRequest::Change(vec![change(3, 5, 3, 1)]));
         cluster.run(3000.0);
-        assert_eq!(cluster.told(newer), Some(Told::Done), "seed {seed}");
-        let read = cluster.call(others[1], Ask::Read);
+        assert_eq!(cluster.response(newer), Some(StoreResponse::Done), "seed {seed}");
+        let read = cluster.call(others[1], StoreRequest::Read);
         cluster.run(3000.0);
-        let Some(Told::Items(items)) = cluster.told(read) else { panic!("seed {seed}: nothing read") };
+        let Some(StoreResponse::Items(items)) = cluster.response(read) else {
+            panic!("seed {seed}: nothing read")
+        };
         assert!(items.iter().any(|(name, _)| name == "r:1"), "seed {seed}: an acknowledged change is lost");
         cluster.settle();
         assert_eq!(cluster.violations, Vec::<String>::new(), "seed {seed}");
@@ -294,14 +303,17 @@
     accept_first_call(&mut cluster);
     let leader = cluster.leader().unwrap();
     let calls = [(5, 1), (6, 2)].map(|(revision, mark)| {
-        let read = cluster.call(leader, Ask::Read);
-        (cluster.call(leader, Ask::Change(vec![change(1, revision, 1, mark)])), read)
+        let read = cluster.call(leader, StoreRequest::Read);
+        (cluster.call(leader, StoreRequest::Change(vec![change(1, revision, 1, mark)])), read)
     });
     // While the first write is in flight the second one waits, so the pending version is the first.
     let taken = cluster.item(leader, "r:1").and_then(|item| item.pending).map(|entry| entry.revision);
     assert_eq!(taken, Some(5));
     cluster.run(1000.0);
-    assert_eq!(calls.map(|(change, _)| cluster.told(change)), [Some(Told::Done), Some(Told::Done)]);
+    assert_eq!(
+        calls.map(|(change, _)| cluster.response(change)),
+        [Some(StoreResponse::Done), Some(StoreResponse::Done)]
+    );
     assert_eq!(cluster.item(leader, "r:1").and_then(|item| item.chosen).map(|entry| entry.revision), Some(6));
     cluster.settle();
     assert_eq!(cluster.violations, Vec::<String>::new());
@@ -319,15 +331,15 @@
     cluster.run(1500.0);
     assert_eq!(cluster.is_voting(4), Some(false));
     // It does not know the leader, so it answers at once that the outcome is unknown.
-    let id = cluster.call(4, Ask::Read);
-    assert_eq!(cluster.told(id), Some(Told::Unclear));
+    let id = cluster.call(4, StoreRequest::Read);
+    assert_eq!(cluster.response(id), Some(StoreResponse::Unclear));
 }
 
 #[test]
 fn a_delayed_order_does_not_undo_the_next_one() {
     let mut cluster = Cluster::new(2, 6, Mutant::None);
     accept_first_call(&mut cluster);
-    let evacuate = |on| Ask::Evacuate("z1".into(), on, None);
+    let evacuate = |on| StoreRequest::Evacuate("z1".into(), on, None);
     let first = cluster.call(1, evacuate(true));
     cluster.run(1000.0);
     (0..5).for_each(|n| cluster.cut(5, n, false));
@@ -336,7 +348,10 @@
     cluster.run(900.0);
     let again = cluster.call(1, evacuate(true));
     cluster.run(600.0);
-    assert_eq!([cluster.told(first), cluster.told(again)], [Some(Told::Done), Some(Told::Done)]);
+    assert_eq!(
+        [cluster.response(first), cluster.response(again)],
+        [Some(StoreResponse::Done), Some(StoreResponse::Done)]
+    );
     cluster.heal();
     cluster.run(3000.0);
     cluster.settle();
@@ -348,19 +363,19 @@
     let mut cluster = Cluster::new(2, 6, Mutant::None);
     accept_first_call(&mut cluster);
     let acceptor = cluster.acceptor(2).unwrap();
-    let epoch = Epoch { round: acceptor.promised.round + 5, seat: fennelscale_messages::Host(5) };
-    let accept = Word::Accept { stamp: Stamp { epoch, turn: 1 }, entries: Vec::new(), chosen: 0 };
+    let term = Term { number: acceptor.promised.number + 5, leader: fennelscale_messages::Host(5) };
+    let accept = StoreMessage::Accept { stamp: Stamp { term, sequence: 1 }, entries: Vec::new(), chosen: 0 };
     let (own, position) = (cluster.digest(2), cluster.position(2));
-    assert_eq!(cluster.deliver(2, 4, accept.clone()), [Word::Behind(epoch, position)]);
+    assert_eq!(cluster.deliver(2, 4, accept.clone()), [StoreMessage::Behind(term, position)]);
     // Nor does it join the term while it may lack an entry that the leader holds as chosen.
-    let begin = |digest: u64, lacked| Word::Begin { epoch, entries: Vec::new(), digest, lacked };
-    assert_eq!(cluster.deliver(2, 4, begin(own ^ 1, None)), [Word::Behind(epoch, position)]);
+    let begin = |digest: u64, missing| StoreMessage::BeginTerm { term, entries: Vec::new(), digest, missing };
+    assert_eq!(cluster.deliver(2, 4, begin(own ^ 1, None)), [StoreMessage::Behind(term, position)]);
     assert_eq!(cluster.acceptor(2).unwrap().joined, acceptor.joined);
     assert_eq!(
         cluster.deliver(2, 4, begin(own ^ 1, Some(Vec::new()))),
-        [Word::Accepted(Stamp { epoch, turn: 0 })]
+        [StoreMessage::Accepted(Stamp { term, sequence: 0 })]
     );
-    assert_eq!(cluster.deliver(2, 4, accept), [Word::Accepted(Stamp { epoch, turn: 1 })]);
+    assert_eq!(cluster.deliver(2, 4, accept), [StoreMessage::Accepted(Stamp { term, sequence: 1 })]);
 }
 
 #[test]
@@ -369,14 +384,14 @@
     accept_first_call(&mut cluster);
     [0, 3].into_iter().for_each(|n| cluster.crash(n));
     cluster.run(2000.0);
-    let id = cluster.call(1, Ask::Change(vec![change(1, 5, 1, 1)]));
+    let id = cluster.call(1, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     cluster.run(2500.0);
-    assert_eq!(cluster.told(id), Some(Told::Done), "four of six are a quorum");
+    assert_eq!(cluster.response(id), Some(StoreResponse::Done), "four of six are a quorum");
     cluster.crash(1);
     cluster.run(2000.0);
-    let id = cluster.call(2, Ask::Change(vec![change(1, 6, 1, 1)]));
+    let id = cluster.call(2, StoreRequest::Change(vec![change(1, 6, 1, 1)]));
     cluster.run(4000.0);
-    assert!(!matches!(cluster.told(id), Some(Told::Done)), "three of six are none");
+    assert!(!matches!(cluster.response(id), Some(StoreResponse::Done)), "three of six are none");
 }
 
 #[test]
@@ -388,14 +403,14 @@
     (0..6).filter(|n| *n != 2).for_each(|n| cluster.cut(2, n, false));
     cluster.start(2, false);
     cluster.run(3000.0);
-    let id = cluster.call(2, Ask::Read);
+    let id = cluster.call(2, StoreRequest::Read);
     cluster.run(2500.0);
-    assert!(!matches!(cluster.told(id), Some(Told::Items(_))));
+    assert!(!matches!(cluster.response(id), Some(StoreResponse::Items(_))));
     cluster.heal();
     cluster.run(3000.0);
-    let id = cluster.call(2, Ask::Read);
+    let id = cluster.call(2, StoreRequest::Read);
     cluster.run(2500.0);
-    assert!(matches!(cluster.told(id), Some(Told::Items(items)) if items.len() == 2));
+    assert!(matches!(cluster.response(id), Some(StoreResponse::Items(items)) if items.len() == 2));
 }
 
 #[test]
@@ -409,29 +424,29 @@
     // Both new members vote: with another region down, a write still succeeds.
     [2, 5].into_iter().for_each(|n| cluster.crash(n));
     cluster.run(2000.0);
-    let id = cluster.call(6, Ask::Change(vec![change(1, 5, 1, 1)]));
+    let id = cluster.call(6, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     cluster.run(3000.0);
-    assert_eq!(cluster.told(id), Some(Told::Done));
+    assert_eq!(cluster.response(id), Some(StoreResponse::Done));
     cluster.settle();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-fn seats(zones: &[(&str, &str)]) -> Seats {
-    let seat = |(at, (zone, region)): (usize, &(&str, &str))| Seat {
+fn members(zones: &[(&str, &str)]) -> MemberList {
+    let member = |(at, (zone, region)): (usize, &(&str, &str))| Member {
         host: fennelscale_messages::Host(at as u32),
         zone: (*zone).into(),
         region: (*region).into(),
     };
-    Seats { version: 1, seats: zones.iter().enumerate().map(seat).collect() }
+    MemberList { version: 1, members: zones.iter().enumerate().map(member).collect() }
 }
 
 #[test]
 fn quorums_share_two_members_where_the_losses_leave_that_many() {
     let six = [("a", "x"), ("b", "y"), ("c", "z"), ("d", "x"), ("e", "y"), ("f", "z")];
-    assert_eq!(fennelscale_replication::quorum(&seats(&six), (1, 1, 1)), 4);
-    assert_eq!(fennelscale_replication::quorum(&seats(&six[..3]), (1, 1, 1)), 2);
-    assert_eq!(fennelscale_replication::quorum(&seats(&six[..5]), (1, 1, 0)), 4);
-    assert_eq!(fennelscale_replication::quorum(&seats(&six[..1]), (1, 1, 1)), 1);
+    assert_eq!(fennelscale_replication::quorum(&members(&six), (1, 1, 1)), 4);
+    assert_eq!(fennelscale_replication::quorum(&members(&six[..3]), (1, 1, 1)), 2);
+    assert_eq!(fennelscale_replication::quorum(&members(&six[..5]), (1, 1, 0)), 4);
+    assert_eq!(fennelscale_replication::quorum(&members(&six[..1]), (1, 1, 1)), 1);
 }
 
 proptest! {
@@ -440,16 +455,16 @@
     fn two_quorums_always_share_a_member(zones in proptest::collection::vec(0..5usize, 1..12), losses in 0..3usize) {
         let names = ["a", "b", "c", "d", "e"];
         let list: Vec<_> = zones.iter().map(|z| (names[*z], names[*z % 3])).collect();
-        let q = fennelscale_replication::quorum(&seats(&list), (losses, losses, losses));
+        let q = fennelscale_replication::quorum(&members(&list), (losses, losses, losses));
         prop_assert!(2 * q > list.len() && q <= list.len());
     }
 }
 
 /// Hash of everything that maintenance decisions depend on, as a reader sees it, and the maintenance records.
 fn seen(cluster: &mut Cluster, reader: usize) -> (u64, Vec<(String, Option<String>)>) {
-    let id = cluster.call(reader, Ask::Read);
+    let id = cluster.call(reader, StoreRequest::Read);
     cluster.run(3000.0);
-    let Some(Told::Items(items)) = cluster.told(id) else { panic!("no answer to a reader") };
+    let Some(StoreResponse::Items(items)) = cluster.response(id) else { panic!("no answer to a reader") };
     let seen = fennelscale_maintenance::seen(items.iter().map(|(name, entry)| (name.as_str(), entry)));
     let records = items.into_iter().filter(|(name, _)| name.starts_with("n:"));
     (seen, records.map(|(name, entry)| (name, entry.body)).collect())
@@ -463,22 +478,28 @@
         accept_first_call(&mut cluster);
         let (view, none) = seen(&mut cluster, 3);
         assert!(none.is_empty());
-        let steps =
-            [(2, "two"), (4, "four")].map(|(n, by)| (cluster.call(n, Ask::Step(view, record(by))), by));
+        let steps = [(2, "two"), (4, "four")]
+            .map(|(n, by)| (cluster.call(n, StoreRequest::MaintenanceStep(view, record(by))), by));
         cluster.run(3000.0);
-        let told = steps.map(|(id, by)| (cluster.told(id), by));
-        let done: Vec<&str> =
-            told.iter().filter(|(told, _)| *told == Some(Told::Done)).map(|(_, by)| *by).collect();
-        let rejected = told.iter().filter(|(told, _)| matches!(told, Some(Told::Conflict(_)))).count();
-        assert_eq!((done.len(), rejected), (1, 1), "seed {seed}: {told:?}");
+        let response = steps.map(|(id, by)| (cluster.response(id), by));
+        let done: Vec<&str> = response
+            .iter()
+            .filter(|(response, _)| *response == Some(StoreResponse::Done))
+            .map(|(_, by)| *by)
+            .collect();
+        let rejected = response
+            .iter()
+            .filter(|(response, _)| matches!(response, Some(StoreResponse::Conflict(_))))
+            .count();
+        assert_eq!((done.len(), rejected), (1, 1), "seed {seed}: {response:?}");
         // The record stays after all members have crashed, and a step that was delayed until then finds
         // another state.
         (0..6).for_each(|n| cluster.crash(n));
         (0..6).for_each(|n| cluster.start(n, false));
         cluster.run(4000.0);
-        let late = cluster.call(1, Ask::Step(view, record("late")));
+        let late = cluster.call(1, StoreRequest::MaintenanceStep(view, record("late")));
         cluster.run(2000.0);
-        assert!(matches!(cluster.told(late), Some(Told::Conflict(_))), "seed {seed}");
+        assert!(matches!(cluster.response(late), Some(StoreResponse::Conflict(_))), "seed {seed}");
         let (_, records) = seen(&mut cluster, 5);
         assert_eq!(records, record(done[0]), "seed {seed}");
         cluster.settle();
