--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -1,9 +1,9 @@
 //! A core machine: a store and a registry that share a disk and an address.
 
 use crate::Millis;
-use fennelscale_membership::Round;
+use fennelscale_membership::RegistryState;
 use fennelscale_messages::Host;
-use fennelscale_messages::depot::{Ask, Seat, Told, Word};
+use fennelscale_messages::store::{Member, StoreMessage, StoreRequest, StoreResponse};
 use fennelscale_replication::{Origin, Output, PersistedState, Replica, ReplicaConfig};
 
 /// A store reads its disk and has dialled its registry after this, in ms.
@@ -11,16 +11,16 @@
 
 /// What a store sends, and what its registry's callers hear.
 pub(crate) enum Does {
-    Send(Host, Word),
-    Answer(u64, Told),
+    Send(Host, StoreMessage),
+    Answer(u64, StoreResponse),
 }
 
 /// One core machine.
 pub(crate) struct Core {
-    pub(crate) seat: Seat,
+    pub(crate) seat: Member,
     disk: PersistedState,
     pub(crate) book: Option<Replica>,
-    pub(crate) round: Option<Round>,
+    pub(crate) round: Option<RegistryState>,
     /// Counts starts of either process: lines of an earlier life are closed.
     pub(crate) lives: u64,
     next: u64,
@@ -31,7 +31,7 @@
 impl Core {
     pub(crate) fn new(n: usize, zones: usize, regions: usize) -> Self {
         let zone = n % zones;
-        let seat = Seat {
+        let seat = Member {
             host: Host(n as u32 + 1),
             zone: format!("z{zone}"),
             region: format!("r{}", zone % regions),
@@ -41,10 +41,10 @@
 
     /// An empty machine at another address in the zone of one that is gone.
     pub(crate) fn in_place_of(gone: &Self, n: usize) -> Self {
-        Self::empty(Seat { host: Host(n as u32 + 1), ..gone.seat.clone() })
+        Self::empty(Member { host: Host(n as u32 + 1), ..gone.seat.clone() })
     }
 
-    fn empty(seat: Seat) -> Self {
+    fn empty(seat: Member) -> Self {
         Self {
             seat,
             disk: PersistedState::default(),
@@ -70,7 +70,8 @@
             incarnation: life,
         };
         let book = Replica::new(place, self.disk.clone(), now);
-        let round = Round::new(self.seat.host, life, &self.seat.zone, &self.seat.region, bootstrap, now);
+        let round =
+            RegistryState::new(self.seat.host, life, &self.seat.zone, &self.seat.region, bootstrap, now);
         self.joins = Some(now + JOINS);
         (self.book, self.round) = (Some(book), Some(round));
     }
@@ -92,9 +93,9 @@
         }
         let (Some(book), Some(round)) = (&self.book, self.round.as_mut()) else { return };
         self.joins = None;
-        round.seats(now, book.members().clone());
-        round.items(now, true, book.published_entries());
-        round.fresh(now, book.is_up_to_date());
+        round.on_seats(now, book.members().clone());
+        round.on_items(now, true, book.published_entries());
+        round.on_store_freshness(now, book.is_up_to_date());
     }
 
     /// Gives the store an input; what it writes is on the disk before anything of it is sent.
@@ -112,9 +113,9 @@
                 Output::Send(to, word) => does.push(Does::Send(to, word)),
                 Output::Answer(id, told) => does.push(Does::Answer(id, told)),
                 Output::Chosen(_) | Output::Members(_) | Output::UpToDate(_) if !joined => {}
-                Output::Chosen(entries) => round.items(now, false, entries),
-                Output::Members(seats) => round.seats(now, seats),
-                Output::UpToDate(fresh) => round.fresh(now, fresh),
+                Output::Chosen(entries) => round.on_items(now, false, entries),
+                Output::Members(seats) => round.on_seats(now, seats),
+                Output::UpToDate(fresh) => round.on_store_freshness(now, fresh),
                 Output::Log(..) => {}
             }
         }
@@ -122,7 +123,7 @@
     }
 
     /// Has the store decide on a call; its number.
-    pub(crate) fn ask(&mut self, now: Millis, ask: Ask) -> (u64, Vec<Does>) {
+    pub(crate) fn ask(&mut self, now: Millis, ask: StoreRequest) -> (u64, Vec<Does>) {
         self.next += 1;
         let id = self.lives << 32 | self.next;
         (id, self.store(now, |book, now| book.submit(now, Origin::Registry(id), ask)))
