--- a/system/replication/src/acceptor.rs
+++ b/system/replication/src/acceptor.rs
@@ -12,7 +12,7 @@
 
     pub(crate) fn promise(&mut self, term: Term) {
         debug_assert!(term >= self.acceptor.promised, "a promise is never taken back");
-        self.highest_round = self.highest_round.max(term.number);
+        self.highest_term_number = self.highest_term_number.max(term.number);
         if self.acceptor.promised != term {
             self.acceptor.promised = term;
             self.dirty_acceptor = true;
--- a/system/replication/src/bootstrap.rs
+++ b/system/replication/src/bootstrap.rs
@@ -45,8 +45,8 @@
 
     pub(crate) fn bootstrap_cluster(&mut self, now: Millis) {
         let local = self.config.local.clone();
-        let (age, many) = (now - self.started_at, self.learners.len() + 1);
-        let early = age < BOOTSTRAP_DELAY || many < BOOTSTRAP_MIN_MEMBERS && age < BOOTSTRAP_MAX_WAIT;
+        let (uptime, count) = (now - self.started_at, self.learners.len() + 1);
+        let early = uptime < BOOTSTRAP_DELAY || count < BOOTSTRAP_MIN_MEMBERS && uptime < BOOTSTRAP_MAX_WAIT;
         if self.progress.bootstrap_role != BootstrapRole::Initiator || early {
             return;
         }
--- a/system/replication/src/calls.rs
+++ b/system/replication/src/calls.rs
@@ -109,8 +109,8 @@
                 .get(host)
                 .is_some_and(|p| p.voting && !p.leaving && now - p.last_heartbeat < crate::PEER_TIMEOUT)
         };
-        let any = || self.other_members().iter().filter(heard).copied().next();
-        let to = self.known_leader(now).or_else(|| if self.voting { None } else { any() });
+        let any_voter = || self.other_members().iter().filter(heard).copied().next();
+        let to = self.known_leader(now).or_else(|| if self.voting { None } else { any_voter() });
         match to {
             Some(to) if self.calls.forwarded.len() < MAX_QUEUED_CALLS => {
                 self.calls.last_id.number += 1;
@@ -149,7 +149,9 @@
         }
     }
 
-    pub(crate) fn on_forward_answer(&mut self, now: Millis, from: Host, id: CallId, response: StoreResponse) {
+    pub(crate) fn on_forward_response(
+        &mut self, now: Millis, from: Host, id: CallId, response: StoreResponse,
+    ) {
         if self.calls.forwarded.get(&id).is_none_or(|forwarded| forwarded.target != from) {
             return;
         }
@@ -157,13 +159,13 @@
         match response {
             StoreResponse::Unclear => self.retry_locally(now, forwarded),
             StoreResponse::Fresh(required) if self.progress.position >= required => {
-                self.answer_items(forwarded.ticket)
+                self.answer_read(forwarded.ticket)
             }
             StoreResponse::Fresh(required) => {
                 self.start_transfer(now, from);
                 self.calls.pending_reads.push(PendingRead {
                     ticket: forwarded.ticket,
-                    required: required,
+                    required,
                     source: from,
                     deadline: now + READ_TIMEOUT,
                 });
@@ -189,25 +191,25 @@
         let (ready, rest): (Vec<PendingRead>, Vec<PendingRead>) =
             std::mem::take(&mut self.calls.pending_reads).into_iter().partition(|r| r.required <= position);
         self.calls.pending_reads = rest;
-        ready.into_iter().for_each(|reading| self.answer_items(reading.ticket));
+        ready.into_iter().for_each(|read| self.answer_read(read.ticket));
     }
 
     /// Expires readers past their deadline. For the others it asks again: the entries received so far were
     /// older than required.
     fn expire_reads(&mut self, now: Millis) {
-        let (over, rest): (Vec<PendingRead>, Vec<PendingRead>) =
+        let (expired, rest): (Vec<PendingRead>, Vec<PendingRead>) =
             std::mem::take(&mut self.calls.pending_reads).into_iter().partition(|r| now >= r.deadline);
         self.calls.pending_reads = rest;
-        over.into_iter().for_each(|reading| self.answer_unknown(reading.ticket));
-        if let Some(from) = self.calls.pending_reads.first().map(|reading| reading.source) {
+        expired.into_iter().for_each(|read| self.answer_unknown(read.ticket));
+        if let Some(from) = self.calls.pending_reads.first().map(|read| read.source) {
             self.start_transfer(now, from);
         }
     }
 
     pub(crate) fn calls_tick(&mut self, now: Millis) {
-        let late: Vec<CallId> =
+        let overdue: Vec<CallId> =
             self.calls.forwarded.iter().filter(|(_, p)| now >= p.deadline).map(|(id, _)| *id).collect();
-        for id in late {
+        for id in overdue {
             if let Some(forwarded) = self.calls.forwarded.remove(&id) {
                 self.retry_locally(now, forwarded);
             }
@@ -241,7 +243,7 @@
     /// is not possible, none of them is made.
     pub(crate) fn entries_for(&self, changes: Vec<Change>) -> Result<Vec<NamedEntry>, StoreResponse> {
         let mut entries = Vec::new();
-        let mut facts = ItemChanges::new();
+        let mut parsed_items = ItemChanges::new();
         for change in changes {
             let known = self.latest_entry(&change.name);
             match known.map_or(VersionStatus::Newer, |known| versions::status(known, &change)) {
@@ -261,21 +263,21 @@
             let history = known.map_or_else(Vec::new, |known| versions::history_after(&change.name, known));
             let host = self.host_for(&change);
             let Change { name, revision, body, .. } = change;
-            let fact = body.as_deref().map(|body| fennelscale_config::parse_item(&name, &host, body));
-            let fact = fact.transpose().map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
-            facts.insert(name.clone(), fact);
+            let parsed = body.as_deref().map(|body| fennelscale_config::parse_item(&name, &host, body));
+            let parsed = parsed.transpose().map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
+            parsed_items.insert(name.clone(), parsed);
             entries.push((name, Entry { revision, host, body, history, ..Entry::default() }));
         }
-        self.latest_config.check(&facts).map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
+        self.latest_config.check(&parsed_items).map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
         Ok(entries)
     }
 
     /// Host value that a change writes. The proxies that share a fault-injection order are fixed by its first
     /// version: with other proxies in a later one, their shares would add up to more than the total.
     fn host_for(&self, change: &Change) -> String {
-        let stands =
+        let in_force =
             self.latest_entry(&change.name).filter(|known| known.body.is_some() && change.body.is_some());
-        match stands.filter(|_| change.name.starts_with(fennelscale_fault_injection::FAILURE)) {
+        match in_force.filter(|_| change.name.starts_with(fennelscale_fault_injection::FAILURE)) {
             Some(known) => known.host.clone(),
             None => change.host.clone(),
         }
@@ -286,7 +288,7 @@
         match (reply, &ticket.origin) {
             (Reply::Done, _) => self.answer(ticket, StoreResponse::Done),
             (Reply::Rejected(response), _) => self.answer(ticket, response),
-            (Reply::Read, Origin::Registry(_)) => self.answer_items(ticket),
+            (Reply::Read, Origin::Registry(_)) => self.answer_read(ticket),
             (Reply::Read, Origin::Peer(..)) => {
                 let newest = self.chosen_end();
                 self.answer(ticket, StoreResponse::Fresh(newest));
@@ -294,12 +296,11 @@
         }
     }
 
-    fn answer_items(&mut self, ticket: Ticket) {
-        let standing =
+    fn answer_read(&mut self, ticket: Ticket) {
+        let current =
             self.chosen_entries().filter(|(name, entry)| *name != MEMBERS_KEY && entry.body.is_some());
-        let standing =
-            standing.map(|(name, entry)| (name.clone(), versions::without_history(entry))).collect();
-        self.answer(ticket, StoreResponse::Items(standing));
+        let current = current.map(|(name, entry)| (name.clone(), versions::without_history(entry))).collect();
+        self.answer(ticket, StoreResponse::Items(current));
     }
 
     pub(crate) fn answer_unknown(&mut self, ticket: Ticket) {
--- a/system/replication/src/catch_up.rs
+++ b/system/replication/src/catch_up.rs
@@ -60,11 +60,11 @@
         let names = self.items.range::<str, _>((Bound::Excluded(after), Bound::Unbounded));
         let (mut entries, mut bytes) = (Vec::new(), 0);
         let mut last: Option<&String> = None;
-        for (looked, (name, item)) in names.enumerate() {
+        for (scanned, (name, item)) in names.enumerate() {
             let entry = item.chosen.as_ref().filter(|entry| entry.stamp >= since);
             let more = entry.map_or(0, |entry| entry_size(name, entry));
             let full = bytes + more > CHUNK_BYTES && !entries.is_empty();
-            if let Some(last) = last.filter(|_| full || looked >= MAX_CHUNK_SCAN) {
+            if let Some(last) = last.filter(|_| full || scanned >= MAX_CHUNK_SCAN) {
                 return (entries, Some(last.clone()));
             }
             bytes += more;
@@ -78,8 +78,8 @@
         if !self.voting {
             return;
         }
-        let whole = if after.is_empty() { self.entries_since(since) } else { None };
-        let (entries, next) = match whole {
+        let all = if after.is_empty() { self.entries_since(since) } else { None };
+        let (entries, next) = match all {
             Some(tail) => (tail, None),
             None => self.next_chunk(since, &after),
         };
@@ -153,9 +153,9 @@
         self.mark_chosen(newest.term, newest.sequence);
         let (position, own_newest, own_digest) = (self.progress.position, self.chosen_end(), self.digest);
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        let same_place = newest == own_newest && position >= newest;
+        let same_position = newest == own_newest && position >= newest;
         peer.digest_mismatches =
-            if same_place && digest != own_digest { peer.digest_mismatches + 1 } else { 0 };
+            if same_position && digest != own_digest { peer.digest_mismatches + 1 } else { 0 };
         if peer.digest_mismatches >= MAX_DIGEST_MISMATCHES {
             peer.digest_mismatches = 0;
             self.log("copies-differ", format!("peer={from}"));
@@ -170,7 +170,7 @@
         for (name, entry) in entries {
             let known = self.items.get(&name).and_then(|item| item.chosen.as_ref()).map(|c| c.stamp);
             if known.is_none_or(|known| known < entry.stamp) {
-                self.highest_round = self.highest_round.max(entry.stamp.term.number);
+                self.highest_term_number = self.highest_term_number.max(entry.stamp.term.number);
                 self.apply_chosen(name, entry);
             }
         }
--- a/system/replication/src/leader.rs
+++ b/system/replication/src/leader.rs
@@ -72,7 +72,8 @@
             return;
         }
         let local = self.config.local.host;
-        let term = Term { number: self.highest_round.max(self.acceptor.promised.number) + 1, leader: local };
+        let term =
+            Term { number: self.highest_term_number.max(self.acceptor.promised.number) + 1, leader: local };
         self.promise(term);
         self.last_contact.clear();
         let pending = self.pending_entries().into_iter().collect();
@@ -245,19 +246,19 @@
         }
     }
 
-    pub(crate) fn on_refused(&mut self, term: Term) {
-        self.highest_round = self.highest_round.max(term.number);
+    pub(crate) fn on_rejected(&mut self, term: Term) {
+        self.highest_term_number = self.highest_term_number.max(term.number);
         self.step_down(term);
     }
 
     /// Steps down for a leader or candidate of a higher term. Writes in flight may or may not be chosen.
     pub(crate) fn step_down(&mut self, term: Term) {
-        let mine = match &self.role {
+        let own_term = match &self.role {
             Role::Follower => return,
             Role::Candidate(campaign) => campaign.term,
             Role::Leader(leadership) => leadership.term,
         };
-        if term <= mine {
+        if term <= own_term {
             return;
         }
         self.end_term(&format!("by={}", term.leader));
@@ -265,10 +266,10 @@
 
     /// Ends the term or the candidacy. Writes in flight may or may not be chosen, so their callers are told
     /// that the outcome is unknown.
-    fn end_term(&mut self, why: &str) {
+    fn end_term(&mut self, reason: &str) {
         self.last_contact.clear();
         if let Role::Leader(leadership) = std::mem::replace(&mut self.role, Role::Follower) {
-            self.log("writer-ended", format!("round={} {why}", leadership.term.number));
+            self.log("writer-ended", format!("round={} {reason}", leadership.term.number));
             for (ticket, _) in leadership.in_flight.into_values().flat_map(|write| write.replies) {
                 self.answer_unknown(ticket);
             }
@@ -311,8 +312,8 @@
     }
 
     pub(crate) fn leader_tick(&mut self, now: Millis) {
-        if let Some(why) = self.step_down_reason(now) {
-            self.end_term(why);
+        if let Some(reason) = self.step_down_reason(now) {
+            self.end_term(reason);
         }
         let others = self.other_members();
         match &mut self.role {
@@ -325,8 +326,10 @@
             Role::Leader(leadership) => {
                 let (term, chosen) = (leadership.term, leadership.chosen_below);
                 let mut resend = Vec::new();
-                for (number, write) in
-                    leadership.in_flight.iter_mut().filter(|(_, f)| now - f.last_sent > RESEND_INTERVAL)
+                for (number, write) in leadership
+                    .in_flight
+                    .iter_mut()
+                    .filter(|(_, write)| now - write.last_sent > RESEND_INTERVAL)
                 {
                     write.last_sent = now;
                     let missing = others.iter().filter(|host| !write.accepted_by.contains(host)).copied();
@@ -349,13 +352,14 @@
     pub(crate) fn known_leader(&self, now: Millis) -> Option<Host> {
         let member = self.acceptor.promised.leader;
         let peer = self.peers.get(&member)?;
-        let counts = self.acceptor.promised.number > 0 && self.is_member(member) && !peer.leaving;
-        (counts && now - peer.last_heartbeat < 2.5 * HEARTBEAT_INTERVAL).then_some(member)
+        let is_available = self.acceptor.promised.number > 0 && self.is_member(member) && !peer.leaving;
+        (is_available && now - peer.last_heartbeat < 2.5 * HEARTBEAT_INTERVAL).then_some(member)
     }
 
     /// Decides what a call writes, based on the latest entries of the leader.
     pub(crate) fn decide(&mut self, now: Millis, ticket: Ticket, request: StoreRequest) {
-        let changing_members = matches!(&self.role, Role::Leader(h) if h.membership_change.is_some());
+        let changing_members =
+            matches!(&self.role, Role::Leader(leadership) if leadership.membership_change.is_some());
         if changing_members || self.has_write_in_flight(&request) {
             return self.enqueue(now, ticket, request);
         }
@@ -386,8 +390,8 @@
             StoreRequest::Evacuate(zone, on, seen) => {
                 let name = format!("e:{zone}");
                 let known = self.latest_entry(&name);
-                let (stands, revision) = known.map_or((false, 0), |e| (e.body.is_some(), e.revision));
-                if stands != on && seen.is_some_and(|seen| seen != revision) {
+                let (in_force, revision) = known.map_or((false, 0), |e| (e.body.is_some(), e.revision));
+                if in_force != on && seen.is_some_and(|seen| seen != revision) {
                     // Another order came in between, or the replica that received this one was behind; the
                     // caller may send it again.
                     return self.answer_unknown(ticket);
--- a/system/replication/src/lib.rs
+++ b/system/replication/src/lib.rs
@@ -196,7 +196,7 @@
     learners: BTreeMap<Host, membership::Learner>,
     calls: calls::Calls,
     /// Highest term number seen.
-    highest_round: u64,
+    highest_term_number: u64,
     /// When the next heartbeat, announcement and membership change are due.
     next_heartbeat: Millis,
     next_announcement: Millis,
@@ -233,8 +233,8 @@
     };
     let lost = machines.max(largest(|s| &s.zone, zones)).max(largest(|s| &s.region, regions));
     let majority = n / 2 + 1;
-    let twice = (n + 3) / 2;
-    twice.min(n.saturating_sub(lost)).max(majority).min(n.max(1))
+    let two_shared = (n + 3) / 2;
+    two_shared.min(n.saturating_sub(lost)).max(majority).min(n.max(1))
 }
 
 impl Replica {
@@ -260,7 +260,7 @@
             last_contact: BTreeMap::new(),
             learners: BTreeMap::new(),
             calls: calls::Calls::new(config.incarnation),
-            highest_round: 0,
+            highest_term_number: 0,
             next_heartbeat: now,
             next_announcement: now,
             next_membership_change: now,
@@ -279,7 +279,7 @@
             outputs: Vec::new(),
             config,
         };
-        replica.highest_round = replica.acceptor.promised.number;
+        replica.highest_term_number = replica.acceptor.promised.number;
         replica.rebuild_indexes();
         replica.accepted_prefix =
             position::AcceptedPrefix::at_start(replica.progress.position, replica.acceptor.joined);
@@ -324,9 +324,9 @@
 
     /// Takes the pending actions, in the order in which they are to be carried out.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        let news = std::mem::take(&mut self.newly_chosen);
-        if !news.is_empty() {
-            self.outputs.push(Output::Chosen(news));
+        let chosen = std::mem::take(&mut self.newly_chosen);
+        if !chosen.is_empty() {
+            self.outputs.push(Output::Chosen(chosen));
         }
         std::mem::take(&mut self.outputs)
     }
@@ -389,8 +389,8 @@
         self.outputs.push(Output::Send(to, message));
     }
 
-    fn log(&mut self, event: &'static str, what: String) {
-        self.outputs.push(Output::Log(event, what));
+    fn log(&mut self, event: &'static str, details: String) {
+        self.outputs.push(Output::Log(event, details));
     }
 
     /// Latest version of an entry: the pending one if there is one, otherwise the chosen one.
@@ -420,7 +420,7 @@
             now + if self.up_to_date { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
         self.resolve_stuck_write(now);
         if self.voting {
-            let beat = StoreMessage::Heartbeat {
+            let heartbeat = StoreMessage::Heartbeat {
                 members_version: self.members.version,
                 promised: self.acceptor.promised,
                 voting: true,
@@ -430,7 +430,7 @@
                 digest: self.digest,
             };
             for host in self.other_members() {
-                self.send(host, beat.clone());
+                self.send(host, heartbeat.clone());
             }
         }
         self.update_freshness(now);
@@ -495,15 +495,15 @@
             StoreMessage::Heartbeat {
                 members_version: members,
                 promised,
-                voting: votes,
+                voting,
                 leaving,
                 unconfirmed,
                 newest,
                 digest,
             } => {
-                self.highest_round = self.highest_round.max(promised.number);
+                self.highest_term_number = self.highest_term_number.max(promised.number);
                 let peer = self.peers.entry(from).or_default();
-                (peer.last_heartbeat, peer.voting, peer.leaving) = (now, votes, leaving);
+                (peer.last_heartbeat, peer.voting, peer.leaving) = (now, voting, leaving);
                 (peer.unconfirmed, peer.chosen_end) = (unconfirmed, newest);
                 if members > self.members.version {
                     self.announce_to(from);
@@ -512,7 +512,7 @@
                     // anything.
                     self.send_members(from);
                 }
-                if votes {
+                if voting {
                     self.compare_with_peer(now, from, newest, digest);
                 }
             }
@@ -529,7 +529,7 @@
             }
             StoreMessage::Accept { stamp, entries, chosen } => self.on_accept(from, stamp, entries, chosen),
             StoreMessage::Accepted(stamp) => self.on_accepted(now, from, stamp),
-            StoreMessage::Rejected(term) => self.on_refused(term),
+            StoreMessage::Rejected(term) => self.on_rejected(term),
             StoreMessage::Behind(term, since) => self.on_behind(from, term, since),
             StoreMessage::Chosen(stamp) => self.mark_chosen(stamp.term, stamp.sequence + 1),
             StoreMessage::MemberList(entry) => self.merge_chosen(vec![(MEMBERS_KEY.to_owned(), entry)]),
@@ -542,7 +542,7 @@
                 self.on_recovery_response(from, promised, joined, chosen, pending);
             }
             StoreMessage::Forward(id, request) => self.submit(now, Origin::Peer(from, id), request),
-            StoreMessage::ForwardResponse(id, response) => self.on_forward_answer(now, from, id, response),
+            StoreMessage::ForwardResponse(id, response) => self.on_forward_response(now, from, id, response),
         }
     }
 }
--- a/system/replication/src/membership.rs
+++ b/system/replication/src/membership.rs
@@ -83,8 +83,8 @@
             // The announcement may have been relayed by another member; the leader has to receive it.
             let direct = member.host == from;
             self.learners.insert(member.host, learner);
-            if direct && let Some(writer) = self.known_leader(now) {
-                self.send(writer, StoreMessage::Announce { member, position });
+            if direct && let Some(leader) = self.known_leader(now) {
+                self.send(leader, StoreMessage::Announce { member, position });
             }
         }
     }
@@ -124,8 +124,9 @@
         hosts.dedup();
         hosts.into_iter().for_each(|host| self.announce_to(host));
         if !others.is_empty() {
-            let at = fennelscale_messages::mix(self.config.incarnation ^ now.to_bits()) % others.len() as u64;
-            self.start_transfer(now, others[at as usize]);
+            let index =
+                fennelscale_messages::mix(self.config.incarnation ^ now.to_bits()) % others.len() as u64;
+            self.start_transfer(now, others[index as usize]);
         }
     }
 
@@ -166,7 +167,7 @@
             return;
         }
         self.merge_chosen(chosen);
-        self.highest_round = self.highest_round.max(promised.number);
+        self.highest_term_number = self.highest_term_number.max(promised.number);
         self.acceptor.promised = self.acceptor.promised.max(promised);
         self.acceptor.joined = self.acceptor.joined.max(joined);
         for (name, entry) in pending {
@@ -233,26 +234,26 @@
     fn next_members(&self, now: Millis) -> Option<Vec<Member>> {
         let members = &self.members.members;
         let ready = || self.learners.values().filter(|c| self.has_caught_up(c)).map(|c| &c.member);
-        let place =
+        let replaced =
             |new: &Member| members.iter().position(|s| s.zone == new.zone && self.is_replaceable(now, s));
-        let lonely = |new: &&Member| !members.iter().any(|s| s.zone == new.zone);
-        let swap = ready().find_map(|new| Some((new, Some(place(new)?))));
-        let (new, place) = swap.or_else(|| ready().find(lonely).map(|new| (new, None)))?;
+        let in_new_zone = |new: &&Member| !members.iter().any(|s| s.zone == new.zone);
+        let replacement = ready().find_map(|new| Some((new, Some(replaced(new)?))));
+        let (new, replaced) = replacement.or_else(|| ready().find(in_new_zone).map(|new| (new, None)))?;
         let mut list = members.clone();
-        match place {
-            Some(place) => list[place] = new.clone(),
+        match replaced {
+            Some(replaced) => list[replaced] = new.clone(),
             None => list.push(new.clone()),
         }
         list.sort();
-        let learns =
+        let is_recovering =
             |member: &&Member| !self.is_active_voter(now, member.host) && !self.is_replaceable(now, member);
-        if members.iter().any(|member| learns(&member)) {
+        if members.iter().any(|member| is_recovering(&member)) {
             return None;
         }
-        let stay = list.iter().filter(|member| self.is_active_voter(now, member.host)).count();
+        let remaining = list.iter().filter(|member| self.is_active_voter(now, member.host)).count();
         let needed =
             crate::quorum(&MemberList { version: 0, members: list.clone() }, self.config.fault_tolerance);
-        (stay >= needed).then_some(list)
+        (remaining >= needed).then_some(list)
     }
 
     /// Replaces a failed or leaving member by a learner of its zone that has caught up.
