--- a/system/replication/tests/cluster/mod.rs
+++ b/system/replication/tests/cluster/mod.rs
@@ -43,7 +43,7 @@
 struct Call {
     request: StoreRequest,
     response: Option<StoreResponse>,
-    began: f64,
+    submitted_at: f64,
 }
 
 /// Deliberate faults that the cluster must detect.
@@ -65,8 +65,8 @@
     pub random: Random,
     nodes: Vec<Node>,
     in_flight: BTreeMap<(u64, u64), Sent>,
-    order: u64,
-    last: BTreeMap<(usize, usize), f64>,
+    sent_count: u64,
+    last_arrival: BTreeMap<(usize, usize), f64>,
     cuts: BTreeSet<(usize, usize)>,
     calls: BTreeMap<u64, Call>,
     /// Contents by name and version, as any replica published them.
@@ -103,8 +103,8 @@
             random: Random::new(seed),
             nodes: (0..members).map(|n| node(n, n)).collect(),
             in_flight: BTreeMap::new(),
-            order: 0,
-            last: BTreeMap::new(),
+            sent_count: 0,
+            last_arrival: BTreeMap::new(),
             cuts: BTreeSet::new(),
             calls: BTreeMap::new(),
             contents: BTreeMap::new(),
@@ -138,14 +138,14 @@
         }
         node.incarnation += 1;
         node.published.clear();
-        let place = ReplicaConfig {
+        let config = ReplicaConfig {
             local: node.member.clone(),
             seeds,
             bootstrap,
             fault_tolerance: (1, 1, 1),
             incarnation: mix(n as u64 ^ node.incarnation << 32) >> 24,
         };
-        node.replica = Some(Replica::new(place, node.disk.clone(), now));
+        node.replica = Some(Replica::new(config, node.disk.clone(), now));
     }
 
     pub fn crash(&mut self, n: usize) {
@@ -154,12 +154,12 @@
 
     pub fn lose_disk(&mut self, n: usize) {
         self.crash(n);
-        let forgets = self.mutant != Mutant::VotesAfterDiskLoss;
+        let loses_state = self.mutant != Mutant::VotesAfterDiskLoss;
         let node = &mut self.nodes[n];
         let (acceptor, members) =
             (node.disk.acceptor, node.disk.items.remove(fennelscale_replication::MEMBERS_KEY));
         node.disk = PersistedState::default();
-        if !forgets {
+        if !loses_state {
             node.disk.acceptor = acceptor.map(|_| AcceptorState::default());
             node.disk
                 .items
@@ -172,18 +172,18 @@
         if self.nodes[n].failed {
             return;
         }
-        let fresh = self.nodes.len();
+        let new_machine = self.nodes.len();
         let zone = self.nodes[n].member.zone[1..].parse().unwrap();
-        self.nodes.push(node(fresh, zone));
+        self.nodes.push(node(new_machine, zone));
         if planned {
-            self.start(fresh, false);
+            self.start(new_machine, false);
             self.run(500.0);
             self.apply_input(n, Replica::begin_leave);
             self.run(700.0);
         }
         self.crash(n);
         self.nodes[n].failed = true;
-        self.start(fresh, false);
+        self.start(new_machine, false);
     }
 
     pub fn cut(&mut self, a: usize, b: usize, one_way: bool) {
@@ -198,7 +198,7 @@
         (0..self.len()).filter(|other| *other != n).for_each(|other| self.cut(n, other, false));
     }
 
-    pub fn heal(&mut self) {
+    pub fn reconnect_all(&mut self) {
         self.cuts.clear();
     }
 
@@ -216,11 +216,11 @@
         if self.mutant != Mutant::NothingPersisted || self.random.fraction() < 0.3 {
             self.nodes[n].disk.apply(writes);
         }
-        outputs.into_iter().for_each(|out| self.carry_out(n, out));
+        outputs.into_iter().for_each(|output| self.carry_out(n, output));
     }
 
-    fn carry_out(&mut self, n: usize, out: Output) {
-        match out {
+    fn carry_out(&mut self, n: usize, output: Output) {
+        match output {
             Output::Send(to, message) => {
                 let Some(to) = self.at(to) else { return };
                 if matches!(
@@ -236,12 +236,12 @@
                 let near = self.nodes[n].member.region == self.nodes[to].member.region;
                 let delay = if near { 1.0 } else { 55.0 } * (1.0 + 0.5 * self.random.fraction());
                 // Messages on one connection arrive in order.
-                let due = (self.now + delay).max(self.last.get(&(n, to)).copied().unwrap_or(0.0));
-                self.last.insert((n, to), due);
-                self.order += 1;
+                let due = (self.now + delay).max(self.last_arrival.get(&(n, to)).copied().unwrap_or(0.0));
+                self.last_arrival.insert((n, to), due);
+                self.sent_count += 1;
                 let incarnations = (self.nodes[n].incarnation, self.nodes[to].incarnation);
                 self.in_flight.insert(
-                    ((due * 1000.0) as u64, self.order),
+                    ((due * 1000.0) as u64, self.sent_count),
                     (to, n, message, incarnations.0, incarnations.1),
                 );
             }
@@ -315,11 +315,11 @@
 
     /// Starts an empty machine in the zone of another, where it waits to become a member. Returns its number.
     pub fn add_machine(&mut self, zone_of: usize) -> usize {
-        let fresh = self.nodes.len();
+        let new_machine = self.nodes.len();
         let zone = self.nodes[zone_of].member.zone[1..].parse().unwrap();
-        self.nodes.push(node(fresh, zone));
-        self.start(fresh, false);
-        fresh
+        self.nodes.push(node(new_machine, zone));
+        self.start(new_machine, false);
+        new_machine
     }
 
     /// A machine fails for good.
@@ -358,10 +358,10 @@
         let (now, host) = (self.now, self.nodes[from].member.host);
         let Some(replica) = self.nodes[to].replica.as_mut() else { return Vec::new() };
         replica.receive(now, host, message);
-        let answers = replica.take_outputs().into_iter();
-        answers
-            .filter_map(|out| {
-                if let Output::Send(to, message) = out { (to == host).then_some(message) } else { None }
+        let replies = replica.take_outputs().into_iter();
+        replies
+            .filter_map(|output| {
+                if let Output::Send(to, message) = output { (to == host).then_some(message) } else { None }
             })
             .collect()
     }
@@ -396,7 +396,7 @@
 
     pub fn call(&mut self, n: usize, request: StoreRequest) -> u64 {
         let id = self.calls.len() as u64 + 1;
-        self.calls.insert(id, Call { request: request.clone(), response: None, began: self.now });
+        self.calls.insert(id, Call { request: request.clone(), response: None, submitted_at: self.now });
         self.apply_input(n, |replica, now| replica.submit(now, Origin::Registry(id), request));
         id
     }
@@ -405,8 +405,8 @@
         self.calls.get(&id).and_then(|call| call.response.clone())
     }
 
-    pub fn run(&mut self, span: f64) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: f64) {
+        let end = self.now + duration;
         let mut next_tick = self.now;
         while self.now < end && self.violations.is_empty() {
             next_tick += TICK;
@@ -427,18 +427,18 @@
             }
             self.now = next_tick;
             (0..self.nodes.len()).for_each(|n| self.apply_input(n, Replica::tick));
-            let writers = self.nodes.iter().filter_map(|n| n.replica.as_ref()).filter(|b| b.is_leader());
-            let mut turns: Vec<_> = writers.map(|b| b.acceptor().promised).collect();
-            turns.sort_unstable();
-            if turns.windows(2).any(|pair| pair[0] == pair[1]) {
+            let leaders = self.nodes.iter().filter_map(|n| n.replica.as_ref()).filter(|b| b.is_leader());
+            let mut terms: Vec<_> = leaders.map(|b| b.acceptor().promised).collect();
+            terms.sort_unstable();
+            if terms.windows(2).any(|pair| pair[0] == pair[1]) {
                 self.violations.push("two leaders in one term".into());
             }
         }
     }
 
     /// Restarts and reconnects everything; acknowledged entries must then be readable on every replica.
-    pub fn settle(&mut self) {
-        self.heal();
+    pub fn recover_and_verify(&mut self) {
+        self.reconnect_all();
         (0..self.len()).for_each(|n| self.start(n, false));
         self.run(9000.0);
         let live: Vec<usize> = (0..self.len()).filter(|n| !self.nodes[*n].failed).collect();
@@ -449,7 +449,7 @@
                 if let Some(StoreResponse::Items(items)) = self.response(id) { Some(items) } else { None }
             });
             match read {
-                Some(items) => self.compare(n, &items.into_iter().collect()),
+                Some(items) => self.verify_reads(n, &items.into_iter().collect()),
                 None => {
                     let state = |node: &Node| {
                         let replica = node.replica.as_ref()?;
@@ -470,28 +470,28 @@
         }
     }
 
-    fn compare(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::store::Entry>) {
+    fn verify_reads(&mut self, n: usize, items: &BTreeMap<String, fennelscale_messages::store::Entry>) {
         let changes = |call: &Call| {
             if let StoreRequest::Change(changes) = &call.request { changes.clone() } else { Vec::new() }
         };
-        let mut broken = Vec::new();
+        let mut wrong_reads = Vec::new();
         for call in self.calls.values().filter(|call| call.response == Some(StoreResponse::Done)) {
             for change in changes(call) {
                 let current = items.get(&change.name);
                 // A newer version that removed the entry may be in force.
                 let mut all = self.calls.values().flat_map(changes);
-                let dropped =
+                let removed =
                     all.any(|c| c.name == change.name && c.body.is_none() && c.revision >= change.revision);
-                let there = current.is_some_and(|entry| entry.revision >= change.revision);
-                let as_sent =
-                    current.is_none_or(|e| e.revision != change.revision || e.body == change.body || dropped);
+                let present = current.is_some_and(|entry| entry.revision >= change.revision);
+                let unchanged =
+                    current.is_none_or(|e| e.revision != change.revision || e.body == change.body || removed);
                 let wrong = match change.body {
-                    Some(_) => !there && !dropped || !as_sent,
+                    Some(_) => !present && !removed || !unchanged,
                     None => current.is_some_and(|entry| entry.revision <= change.revision),
                 };
                 if wrong {
                     let read = current.map(|entry| entry.revision);
-                    broken.push(format!(
+                    wrong_reads.push(format!(
                         "{} {} was acknowledged; {n} reads {read:?}",
                         change.name, change.revision
                     ));
@@ -499,18 +499,19 @@
             }
             if let StoreRequest::Evacuate(zone, on, _) = &call.request {
                 let later = |o: &Call| {
-                    matches!(&o.request, StoreRequest::Evacuate(z, ..) if z == zone) && o.began > call.began
+                    matches!(&o.request, StoreRequest::Evacuate(z, ..) if z == zone)
+                        && o.submitted_at > call.submitted_at
                 };
                 if !self.calls.values().any(later) {
                     let in_force = self.nodes[n].replica.as_ref().and_then(|b| b.item(&format!("e:{zone}")));
                     let in_force = in_force.and_then(|i| i.chosen.as_ref()).is_some_and(|e| e.body.is_some());
                     if in_force != *on {
-                        broken.push(format!("evacuation of {zone} ({on}) is lost at {n}"));
+                        wrong_reads.push(format!("evacuation of {zone} ({on}) is lost at {n}"));
                     }
                 }
             }
         }
-        self.violations.extend(broken);
+        self.violations.extend(wrong_reads);
     }
 }
 
--- a/system/replication/tests/control_safety.rs
+++ b/system/replication/tests/control_safety.rs
@@ -55,7 +55,7 @@
         let answers = at_cut.map(|id| cluster.response(id));
         assert_eq!(answers, [const { Some(StoreResponse::Unclear) }; 4], "seed {seed}");
         assert!(!cluster.is_leader(leader), "seed {seed}: without contact its term has ended");
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
@@ -72,8 +72,8 @@
     assert!(!cluster.is_leader(leader));
     cluster.run(3000.0);
     assert_eq!(cluster.response(id), Some(StoreResponse::Unclear));
-    cluster.heal();
-    cluster.settle();
+    cluster.reconnect_all();
+    cluster.recover_and_verify();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
@@ -86,13 +86,13 @@
         accept_first_call(&mut cluster);
         let leader = cluster.leader().unwrap();
         cluster.isolate(leader);
-        let void = cluster.call(leader, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
+        let discarded = cluster.call(leader, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
         let rejected = cluster.call(leader, StoreRequest::Change(vec![change(2, 5, 1, 1)]));
         cluster.run(200.0);
-        assert_eq!([cluster.response(void), cluster.response(rejected)], [None, None], "seed {seed}");
+        assert_eq!([cluster.response(discarded), cluster.response(rejected)], [None, None], "seed {seed}");
         cluster.run(8000.0);
         assert_eq!(cluster.response(rejected), Some(StoreResponse::Unclear), "seed {seed}");
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
@@ -121,7 +121,7 @@
     assert_eq!(response(&mut cluster, 4, change(1, 7, 1, 1)), Some(StoreResponse::Done));
     let entry = cluster.item(0, "r:1").and_then(|item| item.chosen).unwrap();
     assert_eq!((entry.revision, entry.body), (9, None));
-    cluster.settle();
+    cluster.recover_and_verify();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
@@ -156,8 +156,8 @@
         for n in 0..10 {
             let at = cluster.random.below(MEMBERS);
             ids.push(cluster.call(at, StoreRequest::Change(vec![order.clone()])));
-            let span = cluster.random.fraction() * 300.0;
-            cluster.run(span);
+            let duration = cluster.random.fraction() * 300.0;
+            cluster.run(duration);
             if n == 3 {
                 (0..MEMBERS).for_each(|n| cluster.crash(n));
                 (0..MEMBERS).for_each(|n| cluster.start(n, false));
@@ -174,7 +174,7 @@
         });
         assert_eq!(rejected.count(), 0, "seed {seed}");
         assert_eq!(response(&mut cluster, 3, order), Some(StoreResponse::Done), "seed {seed}");
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
@@ -216,7 +216,7 @@
         // Two more failures at once, as many as the list tolerates, and writes still succeed.
         [2, 5].into_iter().for_each(|n| cluster.crash(n));
         assert_eq!(response(&mut cluster, 3, change(1, 9, 1, 9)), Some(StoreResponse::Done), "gap {gap}");
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
@@ -227,15 +227,18 @@
     let mut cluster = Cluster::new(5, MEMBERS, Mutant::None);
     accept_first_call(&mut cluster);
     cluster.remove(4);
-    let fresh = cluster.add_machine(4);
+    let new_machine = cluster.add_machine(4);
     // It announces itself to two of the seeds and hears from no replica that could send it entries.
-    (0..MEMBERS).for_each(|n| cluster.cut(n, fresh, true));
+    (0..MEMBERS).for_each(|n| cluster.cut(n, new_machine, true));
     cluster.run(9000.0);
-    assert!(!cluster.members(0).contains(&fresh) && cluster.members(0).contains(&4));
-    cluster.heal();
+    assert!(!cluster.members(0).contains(&new_machine) && cluster.members(0).contains(&4));
+    cluster.reconnect_all();
     cluster.run(4000.0);
-    assert!(cluster.members(0).contains(&fresh));
-    assert_eq!((cluster.is_voting(fresh), cluster.digest(fresh)), (Some(true), cluster.digest(0)));
+    assert!(cluster.members(0).contains(&new_machine));
+    assert_eq!(
+        (cluster.is_voting(new_machine), cluster.digest(new_machine)),
+        (Some(true), cluster.digest(0))
+    );
 }
 
 /// No member is replaced when too few others vote: the silent machine may hold the only other copy.
@@ -245,15 +248,15 @@
     accept_first_call(&mut cluster);
     [2, 5].into_iter().for_each(|n| cluster.crash(n));
     cluster.remove(4);
-    let fresh = cluster.add_machine(4);
+    let new_machine = cluster.add_machine(4);
     cluster.run(9000.0);
     assert!(cluster.members(0).contains(&4), "three voting members of six are no quorum");
     // One is back: four vote, and the new machine replaces the failed one.
     cluster.start(2, false);
     cluster.run(6000.0);
-    assert!(cluster.members(0).contains(&fresh) && !cluster.members(0).contains(&4));
+    assert!(cluster.members(0).contains(&new_machine) && !cluster.members(0).contains(&4));
     cluster.start(5, false);
-    cluster.settle();
+    cluster.recover_and_verify();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
@@ -261,13 +264,13 @@
 fn a_leaving_member_hands_over_first() {
     let mut cluster = Cluster::new(8, MEMBERS, Mutant::None);
     accept_first_call(&mut cluster);
-    let fresh = cluster.add_machine(3);
+    let new_machine = cluster.add_machine(3);
     cluster.run(600.0);
     cluster.leave(3);
     assert_eq!(cluster.leave_blocker(3), Some("its seat is not handed over"));
     cluster.run(2500.0);
     assert_eq!(cluster.leave_blocker(3), None);
-    assert_eq!((cluster.is_voting(3), cluster.is_voting(fresh)), (Some(false), Some(true)));
+    assert_eq!((cluster.is_voting(3), cluster.is_voting(new_machine)), (Some(false), Some(true)));
     // If nobody can replace it, it leaves, unless the others form no quorum without it.
     cluster.leave(1);
     assert_eq!(cluster.leave_blocker(1), None);
@@ -288,7 +291,7 @@
         cluster.run(6000.0);
         accept_first_call(&mut cluster);
         assert_eq!(cluster.members(4).len(), MEMBERS, "died at {died_at}");
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
@@ -311,13 +314,13 @@
     cluster.lose_disk(2);
     cluster.start(2, false);
     cluster.remove(4);
-    let fresh = cluster.add_machine(4);
+    let new_machine = cluster.add_machine(4);
     cluster.run(400.0);
     cluster.crash(1);
     cluster.run(6000.0);
     // Three of six vote: too few for others to regain their vote, but both copies are complete.
     assert_eq!(
-        [2, fresh].map(|n| (cluster.is_voting(n), cluster.digest(n))),
+        [2, new_machine].map(|n| (cluster.is_voting(n), cluster.digest(n))),
         [(Some(false), cluster.digest(0)); 2]
     );
     cluster.start(1, false);
@@ -325,7 +328,7 @@
     // a member.
     cluster.run(9000.0);
     assert_eq!(
-        [2, fresh].map(|n| (cluster.is_voting(n), cluster.digest(n))),
+        [2, new_machine].map(|n| (cluster.is_voting(n), cluster.digest(n))),
         [(Some(true), cluster.digest(0)); 2]
     );
     assert!(cluster.longest_message() < 2 * CHUNK_BYTES, "{} bytes", cluster.longest_message());
@@ -359,19 +362,19 @@
         assert_eq!(cluster.response(last), Some(StoreResponse::Done));
         cluster.lose_disk(4);
         [0, 1, 2, 3].into_iter().for_each(|n| cluster.crash(n));
-        cluster.heal();
+        cluster.reconnect_all();
         cluster.start(4, false);
         for n in [4, 5] {
             let read = cluster.call(n, StoreRequest::Read);
             let order = cluster.call(n, StoreRequest::Change(vec![change(1, 1000, 1, 1)]));
             cluster.run(6000.0);
-            let clear = [read, order]
+            let known = [read, order]
                 .map(|id| cluster.response(id))
                 .into_iter()
                 .flatten()
                 .find(|response| *response != StoreResponse::Unclear);
             assert_eq!(
-                (clear, cluster.is_up_to_date(n), cluster.is_leader(n)),
+                (known, cluster.is_up_to_date(n), cluster.is_leader(n)),
                 (None, false, false),
                 "seed {seed}"
             );
@@ -383,7 +386,7 @@
             [(true, cluster.digest(0)); 2],
             "seed {seed}"
         );
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
@@ -421,6 +424,6 @@
     }
     cluster.run(1500.0);
     assert_eq!((cluster.is_up_to_date(3), cluster.digest(3)), (true, cluster.digest(0)));
-    cluster.settle();
+    cluster.recover_and_verify();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
--- a/system/replication/tests/schedules.rs
+++ b/system/replication/tests/schedules.rs
@@ -15,7 +15,7 @@
     let mut cluster = Cluster::new(seed, 6, mutant);
     accept_first_call(&mut cluster);
     let mut revision = 1;
-    let mut lost: Vec<usize> = Vec::new();
+    let mut failed: Vec<usize> = Vec::new();
     for _ in 0..40 {
         let n = cluster.random.below(cluster.len());
         let other = cluster.random.below(cluster.len());
@@ -47,16 +47,16 @@
             }
             7 => {
                 cluster.crash(n);
-                lost.push(n);
+                failed.push(n);
             }
-            8 if lost.is_empty() => {
+            8 if failed.is_empty() => {
                 // One machine loses its disk while all others are up, or both machines of a region do.
                 cluster.lose_disk(n);
-                lost.push(n);
+                failed.push(n);
                 let pair = (n + 3) % 6;
                 if n < 6 && cluster.len() == 6 && cluster.random.fraction() < 0.5 {
                     cluster.lose_disk(pair);
-                    lost.push(pair);
+                    failed.push(pair);
                 }
             }
             9 => {
@@ -68,25 +68,25 @@
                 }
             }
             10 => {
-                cluster.heal();
-                for n in std::mem::take(&mut lost) {
+                cluster.reconnect_all();
+                for n in std::mem::take(&mut failed) {
                     cluster.start(n, false);
                 }
                 // A machine that failed counts as failed until it has caught up.
                 cluster.run(4000.0);
             }
-            11 if lost.is_empty() && cluster.random.fraction() < 0.3 && cluster.len() < 9 => {
+            11 if failed.is_empty() && cluster.random.fraction() < 0.3 && cluster.len() < 9 => {
                 let planned = cluster.random.fraction() < 0.5;
-                cluster.heal();
+                cluster.reconnect_all();
                 cluster.replace(n, planned);
                 cluster.run(5000.0);
             }
             _ => {}
         }
-        let span = cluster.random.fraction() * 400.0;
-        cluster.run(span);
+        let duration = cluster.random.fraction() * 400.0;
+        cluster.run(duration);
     }
-    cluster.settle();
+    cluster.recover_and_verify();
     cluster
 }
 
@@ -134,14 +134,14 @@
 fn machines_that_lost_their_disks_do_not_answer_from_nothing() {
     let mut cluster = region_loses_disks(Mutant::None);
     assert_eq!(cluster.violations, Vec::<String>::new());
-    cluster.settle();
+    cluster.recover_and_verify();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
 #[test]
 fn the_test_cluster_detects_deliberate_faults() {
     let found = (0..200).any(|seed| !run_schedule(seed, Mutant::NothingPersisted).violations.is_empty());
-    assert!(found, "a store that does not sync was not found in 200 schedules");
+    assert!(found, "a replica that does not sync was not detected in 200 schedules");
     assert_ne!(region_loses_disks(Mutant::VotesAfterDiskLoss).violations, Vec::<String>::new());
 }
 
@@ -155,14 +155,14 @@
         cluster.run(3000.0);
         let response = [cluster.response(one), cluster.response(other)];
         let done = response.iter().filter(|response| **response == Some(StoreResponse::Done)).count();
-        let lost =
+        let conflicting =
             response.iter().filter(|response| matches!(response, Some(StoreResponse::Conflict(_)))).count();
-        assert_eq!((done, lost), (1, 1), "{response:?}");
+        assert_eq!((done, conflicting), (1, 1), "{response:?}");
         // A late change with a skipped version is acknowledged and has no effect.
         let again = cluster.call(0, StoreRequest::Change(vec![change(1, 3, 1, 9)]));
         cluster.run(1000.0);
         assert_eq!(cluster.response(again), Some(StoreResponse::Done));
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
@@ -177,19 +177,19 @@
     };
     let mut cluster = Cluster::new(1, 6, Mutant::None);
     accept_first_call(&mut cluster);
-    let mut tell = |at: usize, change: Change| {
+    let mut submit = |at: usize, change: Change| {
         let id = cluster.call(at, StoreRequest::Change(vec![change]));
         cluster.run(3000.0);
         assert_eq!(cluster.response(id), Some(StoreResponse::Done));
         cluster.item(at, "f:o").and_then(|item| item.chosen).map(|entry| (entry.revision, entry.host))
     };
-    assert_eq!(tell(1, order(1, "a/1 b/2")), Some((1, "a/1 b/2".into())));
+    assert_eq!(submit(1, order(1, "a/1 b/2")), Some((1, "a/1 b/2".into())));
     // Sent again to another registry, which knows fewer proxies, and changed there.
-    assert_eq!(tell(4, order(1, "a/1")), Some((1, "a/1 b/2".into())));
-    assert_eq!(tell(4, order(2, "a/1 c/3")), Some((2, "a/1 b/2".into())));
+    assert_eq!(submit(4, order(1, "a/1")), Some((1, "a/1 b/2".into())));
+    assert_eq!(submit(4, order(2, "a/1 c/3")), Some((2, "a/1 b/2".into())));
     // A removed order has ended: the next one of the same name is a new order.
-    tell(2, Change { name: "f:o".into(), revision: 3, host: String::new(), body: None });
-    assert_eq!(tell(4, order(4, "a/1 c/3")), Some((4, "a/1 c/3".into())));
+    submit(2, Change { name: "f:o".into(), revision: 3, host: String::new(), body: None });
+    assert_eq!(submit(4, order(4, "a/1 c/3")), Some((4, "a/1 c/3".into())));
 }
 
 #[test]
@@ -207,7 +207,7 @@
             "{response:?}"
         );
         assert!(response.iter().any(|response| matches!(response, Some(StoreResponse::Invalid(_)))));
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
@@ -269,12 +269,12 @@
         cluster.call(leader, StoreRequest::Change(vec![change(2, 5, 2, 1)]));
         // Its next term begins, all members that are up join it, and then the leader is down for longer; one
         // that accepted the write is back.
-        let here = &others[..3];
+        let running = &others[..3];
         for _ in 0..2000 {
             cluster.run(1.0);
-            let turn = cluster.acceptor(leader).map(|acceptor| acceptor.joined);
-            let joined = |n: &usize| cluster.acceptor(*n).map(|acceptor| acceptor.joined) == turn;
-            if turn > before && here.iter().all(joined) {
+            let term = cluster.acceptor(leader).map(|acceptor| acceptor.joined);
+            let joined = |n: &usize| cluster.acceptor(*n).map(|acceptor| acceptor.joined) == term;
+            if term > before && running.iter().all(joined) {
                 break;
             }
         }
@@ -290,7 +290,7 @@
             panic!("seed {seed}: nothing read")
         };
         assert!(items.iter().any(|(name, _)| name == "r:1"), "seed {seed}: an acknowledged change is lost");
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -307,15 +307,15 @@
         (cluster.call(leader, StoreRequest::Change(vec![change(1, revision, 1, mark)])), read)
     });
     // While the first write is in flight the second one waits, so the pending version is the first.
-    let taken = cluster.item(leader, "r:1").and_then(|item| item.pending).map(|entry| entry.revision);
-    assert_eq!(taken, Some(5));
+    let pending = cluster.item(leader, "r:1").and_then(|item| item.pending).map(|entry| entry.revision);
+    assert_eq!(pending, Some(5));
     cluster.run(1000.0);
     assert_eq!(
         calls.map(|(change, _)| cluster.response(change)),
         [Some(StoreResponse::Done), Some(StoreResponse::Done)]
     );
     assert_eq!(cluster.item(leader, "r:1").and_then(|item| item.chosen).map(|entry| entry.revision), Some(6));
-    cluster.settle();
+    cluster.recover_and_verify();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
@@ -352,9 +352,9 @@
         [cluster.response(first), cluster.response(again)],
         [Some(StoreResponse::Done), Some(StoreResponse::Done)]
     );
-    cluster.heal();
+    cluster.reconnect_all();
     cluster.run(3000.0);
-    cluster.settle();
+    cluster.recover_and_verify();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
@@ -406,7 +406,7 @@
     let id = cluster.call(2, StoreRequest::Read);
     cluster.run(2500.0);
     assert!(!matches!(cluster.response(id), Some(StoreResponse::Items(_))));
-    cluster.heal();
+    cluster.reconnect_all();
     cluster.run(3000.0);
     let id = cluster.call(2, StoreRequest::Read);
     cluster.run(2500.0);
@@ -427,7 +427,7 @@
     let id = cluster.call(6, StoreRequest::Change(vec![change(1, 5, 1, 1)]));
     cluster.run(3000.0);
     assert_eq!(cluster.response(id), Some(StoreResponse::Done));
-    cluster.settle();
+    cluster.recover_and_verify();
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
@@ -461,13 +461,14 @@
 }
 
 /// Hash of everything that maintenance decisions depend on, as a reader sees it, and the maintenance records.
-fn seen(cluster: &mut Cluster, reader: usize) -> (u64, Vec<(String, Option<String>)>) {
+fn maintenance_state(cluster: &mut Cluster, reader: usize) -> (u64, Vec<(String, Option<String>)>) {
     let id = cluster.call(reader, StoreRequest::Read);
     cluster.run(3000.0);
     let Some(StoreResponse::Items(items)) = cluster.response(id) else { panic!("no answer to a reader") };
-    let seen = fennelscale_maintenance::seen(items.iter().map(|(name, entry)| (name.as_str(), entry)));
+    let maintenance_state =
+        fennelscale_maintenance::seen(items.iter().map(|(name, entry)| (name.as_str(), entry)));
     let records = items.into_iter().filter(|(name, _)| name.starts_with("n:"));
-    (seen, records.map(|(name, entry)| (name, entry.body)).collect())
+    (maintenance_state, records.map(|(name, entry)| (name, entry.body)).collect())
 }
 
 #[test]
@@ -476,10 +477,10 @@
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed, 6, Mutant::None);
         accept_first_call(&mut cluster);
-        let (view, none) = seen(&mut cluster, 3);
+        let (state, none) = maintenance_state(&mut cluster, 3);
         assert!(none.is_empty());
         let steps = [(2, "two"), (4, "four")]
-            .map(|(n, by)| (cluster.call(n, StoreRequest::MaintenanceStep(view, record(by))), by));
+            .map(|(n, by)| (cluster.call(n, StoreRequest::MaintenanceStep(state, record(by))), by));
         cluster.run(3000.0);
         let response = steps.map(|(id, by)| (cluster.response(id), by));
         let done: Vec<&str> = response
@@ -497,12 +498,12 @@
         (0..6).for_each(|n| cluster.crash(n));
         (0..6).for_each(|n| cluster.start(n, false));
         cluster.run(4000.0);
-        let late = cluster.call(1, StoreRequest::MaintenanceStep(view, record("late")));
+        let late = cluster.call(1, StoreRequest::MaintenanceStep(state, record("late")));
         cluster.run(2000.0);
         assert!(matches!(cluster.response(late), Some(StoreResponse::Conflict(_))), "seed {seed}");
-        let (_, records) = seen(&mut cluster, 5);
+        let (_, records) = maintenance_state(&mut cluster, 5);
         assert_eq!(records, record(done[0]), "seed {seed}");
-        cluster.settle();
+        cluster.recover_and_verify();
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
