--- a/system/replication/src/calls.rs
+++ b/system/replication/src/calls.rs
@@ -1,7 +1,7 @@
-//! Callers: what their calls change, who decides on them, and what they are told.
+//! Calls: which changes they make, who decides on them, and how they are answered.
 
+use crate::leader::Role;
 use crate::versions::{self, VersionStatus};
-use crate::writer::Turn;
 use crate::{MEMBERS_KEY, Millis, Output, Replica};
 use fennelscale_config::ItemChanges;
 use fennelscale_messages::Host;
@@ -10,280 +10,307 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// A call that was passed on and not answered is taken up here after this: the way there and back, twice.
-const PASSED: Millis = 450.0;
-/// A call that waits for the turn longer than this has no clear answer; its caller has gone on by then.
-const WAITS: Millis = 2500.0;
-/// A reader waits this long for what its copy lacks.
-const READS: Millis = 1500.0;
-/// The most calls that wait at once; more are told that nothing is clear.
-const MOST: usize = 1024;
+/// A forwarded call that is not answered is retried locally after this time: two round trips.
+const FORWARD_TIMEOUT: Millis = 450.0;
+/// A call that is queued for longer than this is answered with an unknown outcome; its caller has given up by
+/// then.
+const QUEUE_TIMEOUT: Millis = 2500.0;
+/// Time that a reader waits for entries missing from the local copy.
+const READ_TIMEOUT: Millis = 1500.0;
+/// Maximum number of queued calls; further calls are answered with an unknown outcome.
+const MAX_QUEUED_CALLS: usize = 1024;
 
-/// Who waits for the answer.
+/// Who waits for the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
-    /// This machine's registry; its number of the call.
+    /// The local registry, with its number for the call.
     Registry(u64),
-    /// Another store, which passed it on.
+    /// Another replica, which forwarded the call.
     Peer(Host, CallId),
 }
 
-/// A call whose answer is owed.
+/// A call that has to be answered.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
     pub(crate) origin: Origin,
-    pub(crate) since: Millis,
+    pub(crate) received_at: Millis,
 }
 
-/// What a caller is told once the write that its answer rests on is chosen.
+/// Response to a call, sent once the write that it depends on is chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Reply {
-    /// Its call is in force, or has been.
+    /// The change is in force, now or already before.
     Done,
-    /// The items.
+    /// The entries.
     Read,
-    /// It cannot be.
-    Refusal(StoreResponse),
+    /// The change is not possible.
+    Rejected(StoreResponse),
 }
 
 #[derive(Clone, Debug)]
-struct Passed {
+struct ForwardedCall {
     ticket: Ticket,
-    ask: StoreRequest,
-    /// The store that it was passed on to: nobody else answers it.
-    to: Host,
-    until: Millis,
+    request: StoreRequest,
+    /// Replica that the call was forwarded to; a response from any other is ignored.
+    target: Host,
+    deadline: Millis,
 }
 
 #[derive(Clone, Debug)]
-struct Reading {
+struct PendingRead {
     ticket: Ticket,
-    /// The copy has to be complete up to here.
-    needs: Stamp,
-    /// The store that is.
-    from: Host,
-    until: Millis,
+    /// Position that the local copy must reach.
+    required: Stamp,
+    /// Replica whose copy is complete up to there.
+    source: Host,
+    deadline: Millis,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Calls {
-    waiting: VecDeque<(Ticket, StoreRequest)>,
-    passed: BTreeMap<CallId, Passed>,
-    reading: Vec<Reading>,
-    last: CallId,
+    queued: VecDeque<(Ticket, StoreRequest)>,
+    forwarded: BTreeMap<CallId, ForwardedCall>,
+    pending_reads: Vec<PendingRead>,
+    last_id: CallId,
 }
 
 impl Calls {
-    pub(crate) fn new(life: u64) -> Self {
-        let last = CallId { incarnation: life, number: 0 };
-        Self { waiting: VecDeque::new(), passed: BTreeMap::new(), reading: Vec::new(), last }
+    pub(crate) fn new(incarnation: u64) -> Self {
+        let last_id = CallId { incarnation, number: 0 };
+        Self { queued: VecDeque::new(), forwarded: BTreeMap::new(), pending_reads: Vec::new(), last_id }
     }
 }
 
 impl Replica {
-    /// A call from outside, or one that another store passes on.
-    pub fn submit(&mut self, now: Millis, origin: Origin, ask: StoreRequest) {
-        let ask = match ask {
+    /// Handles a call of the local registry or one forwarded by another replica.
+    pub fn submit(&mut self, now: Millis, origin: Origin, request: StoreRequest) {
+        let request = match request {
             StoreRequest::Evacuate(zone, on, None) => {
-                let seen = self.view(&format!("e:{zone}")).map_or(0, |entry| entry.revision);
+                let seen = self.latest_entry(&format!("e:{zone}")).map_or(0, |entry| entry.revision);
                 StoreRequest::Evacuate(zone, on, Some(seen))
             }
-            ask => ask,
+            request => request,
         };
-        self.dispatch(now, Ticket { origin, since: now }, ask);
+        self.dispatch(now, Ticket { origin, received_at: now }, request);
     }
 
-    fn dispatch(&mut self, now: Millis, ticket: Ticket, ask: StoreRequest) {
-        match &self.turn {
-            Turn::Holding(_) => return self.decide(now, ticket, ask),
-            Turn::Asking(_) => return self.wait(now, ticket, ask),
-            Turn::Idle => {}
+    fn dispatch(&mut self, now: Millis, ticket: Ticket, request: StoreRequest) {
+        match &self.role {
+            Role::Leader(_) => return self.decide(now, ticket, request),
+            Role::Candidate(_) => return self.enqueue(now, ticket, request),
+            Role::Follower => {}
         }
         if !Self::is_local(&ticket.origin) {
-            // Who passed it on takes it up itself.
-            return self.answer_unclear(ticket);
+            // The replica that forwarded the call retries it locally.
+            return self.answer_unknown(ticket);
         }
         let heard = |host: &&Host| {
-            self.peers.get(host).is_some_and(|p| p.votes && !p.leaving && now - p.heard < crate::PEER_TIMEOUT)
+            self.peers
+                .get(host)
+                .is_some_and(|p| p.voting && !p.leaving && now - p.last_heartbeat < crate::PEER_TIMEOUT)
         };
-        let any = || self.others().iter().filter(heard).copied().next();
-        let to = self.writer(now).or_else(|| if self.votes { None } else { any() });
+        let any_voter = || self.other_members().iter().filter(heard).copied().next();
+        let to = self.known_leader(now).or_else(|| if self.voting { None } else { any_voter() });
         match to {
-            Some(to) if self.calls.passed.len() < MOST => {
-                self.calls.last.number += 1;
-                let id = self.calls.last;
-                self.calls.passed.insert(id, Passed { ticket, ask: ask.clone(), to, until: now + PASSED });
-                self.send(to, StoreMessage::Forward(id, ask));
+            Some(to) if self.calls.forwarded.len() < MAX_QUEUED_CALLS => {
+                self.calls.last_id.number += 1;
+                let id = self.calls.last_id;
+                self.calls.forwarded.insert(
+                    id,
+                    ForwardedCall {
+                        ticket,
+                        request: request.clone(),
+                        target: to,
+                        deadline: now + FORWARD_TIMEOUT,
+                    },
+                );
+                self.send(to, StoreMessage::Forward(id, request));
             }
-            _ if self.votes => {
-                self.wait(now, ticket, ask);
-                self.ask_turn(now);
+            _ if self.voting => {
+                self.enqueue(now, ticket, request);
+                self.start_election(now);
             }
-            _ => self.answer_unclear(ticket),
+            _ => self.answer_unknown(ticket),
         }
     }
 
-    pub(crate) fn wait(&mut self, _now: Millis, ticket: Ticket, ask: StoreRequest) {
-        if self.calls.waiting.len() < MOST {
-            self.calls.waiting.push_back((ticket, ask));
+    pub(crate) fn enqueue(&mut self, _now: Millis, ticket: Ticket, request: StoreRequest) {
+        if self.calls.queued.len() < MAX_QUEUED_CALLS {
+            self.calls.queued.push_back((ticket, request));
         } else {
-            self.answer_unclear(ticket);
+            self.answer_unknown(ticket);
         }
     }
 
-    /// The turn is here: calls that waited for it are decided.
-    pub(crate) fn work_off(&mut self, now: Millis) {
-        for (ticket, ask) in std::mem::take(&mut self.calls.waiting) {
-            self.decide(now, ticket, ask);
+    /// Decides the queued calls once this replica is the leader.
+    pub(crate) fn process_queue(&mut self, now: Millis) {
+        for (ticket, request) in std::mem::take(&mut self.calls.queued) {
+            self.decide(now, ticket, request);
         }
     }
 
-    pub(crate) fn on_passed(&mut self, now: Millis, from: Host, id: CallId, told: StoreResponse) {
-        if self.calls.passed.get(&id).is_none_or(|passed| passed.to != from) {
+    pub(crate) fn on_forward_response(
+        &mut self, now: Millis, from: Host, id: CallId, response: StoreResponse,
+    ) {
+        if self.calls.forwarded.get(&id).is_none_or(|forwarded| forwarded.target != from) {
             return;
         }
-        let Some(passed) = self.calls.passed.remove(&id) else { return };
-        match told {
-            StoreResponse::Unclear => self.take_up(now, passed),
-            StoreResponse::Fresh(needs) if self.progress.position >= needs => {
-                self.answer_items(passed.ticket)
+        let Some(forwarded) = self.calls.forwarded.remove(&id) else { return };
+        match response {
+            StoreResponse::Unclear => self.retry_locally(now, forwarded),
+            StoreResponse::Fresh(required) if self.progress.position >= required => {
+                self.answer_read(forwarded.ticket)
             }
-            StoreResponse::Fresh(needs) => {
-                self.begin_transfer(now, from);
-                self.calls.reading.push(Reading { ticket: passed.ticket, needs, from, until: now + READS });
+            StoreResponse::Fresh(required) => {
+                self.start_transfer(now, from);
+                self.calls.pending_reads.push(PendingRead {
+                    ticket: forwarded.ticket,
+                    required,
+                    source: from,
+                    deadline: now + READ_TIMEOUT,
+                });
             }
-            told => self.answer(passed.ticket, told),
+            response => self.answer(forwarded.ticket, response),
         }
     }
 
-    fn take_up(&mut self, now: Millis, passed: Passed) {
-        if !self.votes || now - passed.ticket.since > WAITS {
-            return self.answer_unclear(passed.ticket);
+    fn retry_locally(&mut self, now: Millis, forwarded: ForwardedCall) {
+        if !self.voting || now - forwarded.ticket.received_at > QUEUE_TIMEOUT {
+            return self.answer_unknown(forwarded.ticket);
         }
-        if matches!(self.turn, Turn::Holding(_)) {
-            return self.decide(now, passed.ticket, passed.ask);
+        if matches!(self.role, Role::Leader(_)) {
+            return self.decide(now, forwarded.ticket, forwarded.request);
         }
-        self.wait(now, passed.ticket, passed.ask);
-        self.ask_turn(now);
+        self.enqueue(now, forwarded.ticket, forwarded.request);
+        self.start_election(now);
     }
 
-    /// The copy is complete up to a later place: readers that waited for it are answered.
-    pub(crate) fn answer_readers(&mut self) {
+    /// Answers the readers whose required position the local copy has reached.
+    pub(crate) fn answer_ready_reads(&mut self) {
         let position = self.progress.position;
-        let (ready, rest): (Vec<Reading>, Vec<Reading>) =
-            std::mem::take(&mut self.calls.reading).into_iter().partition(|r| r.needs <= position);
-        self.calls.reading = rest;
-        ready.into_iter().for_each(|reading| self.answer_items(reading.ticket));
+        let (ready, rest): (Vec<PendingRead>, Vec<PendingRead>) =
+            std::mem::take(&mut self.calls.pending_reads).into_iter().partition(|r| r.required <= position);
+        self.calls.pending_reads = rest;
+        ready.into_iter().for_each(|read| self.answer_read(read.ticket));
     }
 
-    /// Readers whose copy is not there yet: what came was older than what they need.
-    fn readers_tick(&mut self, now: Millis) {
-        let (over, rest): (Vec<Reading>, Vec<Reading>) =
-            std::mem::take(&mut self.calls.reading).into_iter().partition(|r| now >= r.until);
-        self.calls.reading = rest;
-        over.into_iter().for_each(|reading| self.answer_unclear(reading.ticket));
-        if let Some(from) = self.calls.reading.first().map(|reading| reading.from) {
-            self.begin_transfer(now, from);
+    /// Expires readers past their deadline. For the others it asks again: the entries received so far were
+    /// older than required.
+    fn expire_reads(&mut self, now: Millis) {
+        let (expired, rest): (Vec<PendingRead>, Vec<PendingRead>) =
+            std::mem::take(&mut self.calls.pending_reads).into_iter().partition(|r| now >= r.deadline);
+        self.calls.pending_reads = rest;
+        expired.into_iter().for_each(|read| self.answer_unknown(read.ticket));
+        if let Some(from) = self.calls.pending_reads.first().map(|read| read.source) {
+            self.start_transfer(now, from);
         }
     }
 
     pub(crate) fn calls_tick(&mut self, now: Millis) {
-        let late: Vec<CallId> =
-            self.calls.passed.iter().filter(|(_, p)| now >= p.until).map(|(id, _)| *id).collect();
-        for id in late {
-            if let Some(passed) = self.calls.passed.remove(&id) {
-                self.take_up(now, passed);
+        let overdue: Vec<CallId> =
+            self.calls.forwarded.iter().filter(|(_, p)| now >= p.deadline).map(|(id, _)| *id).collect();
+        for id in overdue {
+            if let Some(forwarded) = self.calls.forwarded.remove(&id) {
+                self.retry_locally(now, forwarded);
             }
         }
-        if !matches!(self.turn, Turn::Holding(_)) {
-            while self.calls.waiting.front().is_some_and(|(ticket, _)| now - ticket.since > WAITS) {
-                if let Some((ticket, _)) = self.calls.waiting.pop_front() {
-                    self.answer_unclear(ticket);
+        if !matches!(self.role, Role::Leader(_)) {
+            while self
+                .calls
+                .queued
+                .front()
+                .is_some_and(|(ticket, _)| now - ticket.received_at > QUEUE_TIMEOUT)
+            {
+                if let Some((ticket, _)) = self.calls.queued.pop_front() {
+                    self.answer_unknown(ticket);
                 }
             }
-            if !self.calls.waiting.is_empty() && matches!(self.turn, Turn::Idle) {
-                if self.writer(now).is_none() {
-                    self.ask_turn(now);
+            if !self.calls.queued.is_empty() && matches!(self.role, Role::Follower) {
+                if self.known_leader(now).is_none() {
+                    self.start_election(now);
                 } else {
-                    // Another got the turn that these waited for.
-                    for (ticket, ask) in std::mem::take(&mut self.calls.waiting) {
-                        self.dispatch(now, ticket, ask);
+                    // Another replica became leader in the meantime.
+                    for (ticket, request) in std::mem::take(&mut self.calls.queued) {
+                        self.dispatch(now, ticket, request);
                     }
                 }
             }
         }
-        self.readers_tick(now);
+        self.expire_reads(now);
     }
 
-    /// What a call writes: of each item the new version, nothing where it is there already. A call is whole: where one of its items
-    /// cannot be, none of them is.
-    pub(crate) fn entries_of(&self, changes: Vec<Change>) -> Result<Vec<NamedEntry>, StoreResponse> {
+    /// Entries that a call writes: the new version of each, or none if it is already in force. If one change
+    /// is not possible, none of them is made.
+    pub(crate) fn entries_for(&self, changes: Vec<Change>) -> Result<Vec<NamedEntry>, StoreResponse> {
         let mut entries = Vec::new();
-        let mut facts = ItemChanges::new();
+        let mut parsed_items = ItemChanges::new();
         for change in changes {
-            let known = self.view(&change.name);
+            let known = self.latest_entry(&change.name);
             match known.map_or(VersionStatus::Newer, |known| versions::status(known, &change)) {
-                VersionStatus::Known => continue,
-                VersionStatus::Taken => return Err(conflict(&change)),
-                VersionStatus::Forgotten => return Err(StoreResponse::Forgotten),
-                VersionStatus::PassedOver => {
+                VersionStatus::AlreadyApplied => continue,
+                VersionStatus::Conflicting => return Err(conflict(&change)),
+                VersionStatus::Expired => return Err(StoreResponse::Forgotten),
+                VersionStatus::Skipped => {
                     entries.extend(
-                        known.map(|known| (change.name.clone(), versions::with_record(known, &change))),
+                        known.map(|known| {
+                            (change.name.clone(), versions::with_skipped_version(known, &change))
+                        }),
                     );
                     continue;
                 }
                 VersionStatus::Newer => {}
             }
             let history = known.map_or_else(Vec::new, |known| versions::history_after(&change.name, known));
-            let host = self.host_of(&change);
+            let host = self.host_for(&change);
             let Change { name, revision, body, .. } = change;
-            let fact = body.as_deref().map(|body| fennelscale_config::parse_item(&name, &host, body));
-            let fact = fact.transpose().map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
-            facts.insert(name.clone(), fact);
+            let parsed = body.as_deref().map(|body| fennelscale_config::parse_item(&name, &host, body));
+            let parsed = parsed.transpose().map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
+            parsed_items.insert(name.clone(), parsed);
             entries.push((name, Entry { revision, host, body, history, ..Entry::default() }));
         }
-        self.standing.check(&facts).map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
+        self.latest_config.check(&parsed_items).map_err(|invalid| StoreResponse::Invalid(invalid.0))?;
         Ok(entries)
     }
 
-    /// The host that a change writes. Who shares a failure order is said with its first version: with others later, its parts would
-    /// add up to more.
-    fn host_of(&self, change: &Change) -> String {
-        let stands = self.view(&change.name).filter(|known| known.body.is_some() && change.body.is_some());
-        match stands.filter(|_| change.name.starts_with(fennelscale_fault_injection::FAILURE)) {
+    /// Host value that a change writes. The proxies that share a fault-injection order are fixed by its first
+    /// version: with other proxies in a later one, their shares would add up to more than the total.
+    fn host_for(&self, change: &Change) -> String {
+        let in_force =
+            self.latest_entry(&change.name).filter(|known| known.body.is_some() && change.body.is_some());
+        match in_force.filter(|_| change.name.starts_with(fennelscale_fault_injection::FAILURE)) {
             Some(known) => known.host.clone(),
             None => change.host.clone(),
         }
     }
 
-    /// Tells a caller what its call came to, now that what it rests on is chosen.
+    /// Answers a caller once the write that the response depends on is chosen.
     pub(crate) fn reply(&mut self, ticket: Ticket, reply: Reply) {
         match (reply, &ticket.origin) {
             (Reply::Done, _) => self.answer(ticket, StoreResponse::Done),
-            (Reply::Refusal(told), _) => self.answer(ticket, told),
-            (Reply::Read, Origin::Registry(_)) => self.answer_items(ticket),
+            (Reply::Rejected(response), _) => self.answer(ticket, response),
+            (Reply::Read, Origin::Registry(_)) => self.answer_read(ticket),
             (Reply::Read, Origin::Peer(..)) => {
-                let newest = self.newest();
+                let newest = self.chosen_end();
                 self.answer(ticket, StoreResponse::Fresh(newest));
             }
         }
     }
 
-    fn answer_items(&mut self, ticket: Ticket) {
-        let standing =
+    fn answer_read(&mut self, ticket: Ticket) {
+        let current =
             self.chosen_entries().filter(|(name, entry)| *name != MEMBERS_KEY && entry.body.is_some());
-        let standing = standing.map(|(name, entry)| (name.clone(), versions::published(entry))).collect();
-        self.answer(ticket, StoreResponse::Items(standing));
+        let current = current.map(|(name, entry)| (name.clone(), versions::without_history(entry))).collect();
+        self.answer(ticket, StoreResponse::Items(current));
     }
 
-    pub(crate) fn answer_unclear(&mut self, ticket: Ticket) {
+    pub(crate) fn answer_unknown(&mut self, ticket: Ticket) {
         self.answer(ticket, StoreResponse::Unclear);
     }
 
-    pub(crate) fn answer(&mut self, ticket: Ticket, told: StoreResponse) {
+    pub(crate) fn answer(&mut self, ticket: Ticket, response: StoreResponse) {
         match ticket.origin {
-            Origin::Registry(id) => self.out.push(Output::Answer(id, told)),
-            Origin::Peer(host, id) => self.send(host, StoreMessage::ForwardResponse(id, told)),
+            Origin::Registry(id) => self.outputs.push(Output::Answer(id, response)),
+            Origin::Peer(host, id) => self.send(host, StoreMessage::ForwardResponse(id, response)),
         }
     }
 }
--- a/system/replication/src/versions.rs
+++ b/system/replication/src/versions.rs
@@ -1,86 +1,94 @@
-//! What becomes of a change, by the versions that its item has had.
+//! Decides how a change relates to the versions that its entry has had.
 //!
-//! # What holds
+//! # Invariants
 //!
-//! - *One number, one content*: of two contents under one version of an item at most one is ever confirmed, also where the item has
-//!   moved on or was dropped since. A version that was never given and arrives late is given to its content when it is confirmed.
-//! - *Sent again, told again*: a change that was confirmed is confirmed again or has no clear answer; it is never refused.
-//! - Both hold for the last [`HISTORY_LIMIT`] versions of each item. What is older cannot be told from another content any more: it has no
-//!   clear answer, and no effect.
+//! - Of two contents under one version of an entry at most one is ever confirmed, also after the entry has
+//!   changed further or was removed. A version that was skipped and arrives late belongs to the first content
+//!   confirmed under it.
+//! - A change that was confirmed is confirmed again when it is repeated, or its outcome is unknown; it is
+//!   never rejected.
+//! - Both hold for the last [`HISTORY_LIMIT`] versions of each entry. An older version cannot be told apart
+//!   from another content: its outcome is unknown and it has no effect.
 
 use fennelscale_messages::store::{Change, Entry, RevisionRecord};
 
-/// Versions of one item that are remembered, besides the one that it has. An operator gives up on a call within seconds; in these no
-/// item has so many versions. Costs 16 bytes a version and item.
+/// Number of earlier versions remembered for each entry. An operator gives up on a call within seconds, and
+/// no entry has so many versions in that time. Costs 16 bytes for each version of an entry.
 pub const HISTORY_LIMIT: usize = 64;
 
-/// How a change stands to the item that it names.
+/// Relation of a change to the current entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionStatus {
-    /// Its version is higher than any that the item has had.
+    /// Its version is higher than any that the entry has had.
     Newer,
-    /// The very same was taken before.
-    Known,
-    /// Its version was given to another content.
-    Taken,
-    /// Its version was passed over: it has no effect, and is this content's from now on.
-    PassedOver,
-    /// Its version is older than what is remembered.
-    Forgotten,
+    /// The same change was applied before.
+    AlreadyApplied,
+    /// Its version belongs to another content.
+    Conflicting,
+    /// Its version was skipped: the change has no effect, but the version belongs to this content from now
+    /// on.
+    Skipped,
+    /// Its version is older than the remembered history.
+    Expired,
 }
 
-/// The hash by which a change that arrives again is known. Who shares a failure order is the registry's to say, not the sender's.
-pub fn content_of(name: &str, host: &str, body: Option<&str>) -> u64 {
+/// Hash that identifies a repeated change. For a fault-injection order it leaves out the proxies that share
+/// it, which are chosen by the registry and not by the sender.
+pub fn content_hash(name: &str, host: &str, body: Option<&str>) -> u64 {
     let host = if name.starts_with(fennelscale_fault_injection::FAILURE) { "" } else { host };
     fennelscale_config::content_hash(host, body)
 }
 
-fn own_record(name: &str, entry: &Entry) -> RevisionRecord {
-    let content = content_of(name, &entry.host, entry.body.as_deref());
+fn current_record(name: &str, entry: &Entry) -> RevisionRecord {
+    let content = content_hash(name, &entry.host, entry.body.as_deref());
     RevisionRecord { revision: entry.revision, content_hash: content }
 }
 
-/// How a change stands to the entry that is in force.
+/// Determines how a change relates to the current entry.
 pub fn status(known: &Entry, change: &Change) -> VersionStatus {
-    let content = content_of(&change.name, &change.host, change.body.as_deref());
-    let own = own_record(&change.name, known);
+    let content = content_hash(&change.name, &change.host, change.body.as_deref());
+    let own = current_record(&change.name, known);
     if change.revision > known.revision {
         return VersionStatus::Newer;
     }
     let records = || known.history.iter().chain(std::iter::once(&own));
     if let Some(record) = records().find(|record| record.revision == change.revision) {
-        return if record.content_hash == content { VersionStatus::Known } else { VersionStatus::Taken };
+        return if record.content_hash == content {
+            VersionStatus::AlreadyApplied
+        } else {
+            VersionStatus::Conflicting
+        };
     }
     let complete = known.history.len() < HISTORY_LIMIT;
     let oldest = known.history.first().map_or(known.revision, |record| record.revision);
-    if complete || change.revision > oldest { VersionStatus::PassedOver } else { VersionStatus::Forgotten }
+    if complete || change.revision > oldest { VersionStatus::Skipped } else { VersionStatus::Expired }
 }
 
-/// The history of the entry that takes the place of this one.
+/// History of the entry that replaces this one.
 pub fn history_after(name: &str, known: &Entry) -> Vec<RevisionRecord> {
     let mut history = known.history.clone();
-    history.push(own_record(name, known));
-    shorten(&mut history);
+    history.push(current_record(name, known));
+    truncate_history(&mut history);
     history
 }
 
-/// The same entry, with a version that was passed over given to a content.
-pub fn with_record(known: &Entry, change: &Change) -> Entry {
-    let content = content_of(&change.name, &change.host, change.body.as_deref());
+/// The same entry with a skipped version recorded for a content.
+pub fn with_skipped_version(known: &Entry, change: &Change) -> Entry {
+    let content = content_hash(&change.name, &change.host, change.body.as_deref());
     let record = RevisionRecord { revision: change.revision, content_hash: content };
     let mut entry = known.clone();
     let at = entry.history.partition_point(|other| other.revision < record.revision);
     entry.history.insert(at, record);
-    shorten(&mut entry.history);
+    truncate_history(&mut entry.history);
     entry
 }
 
-/// An entry as registries and proxies hear of it: its history is the stores' matter.
-pub fn published(entry: &Entry) -> Entry {
+/// The entry as published to registries and proxies; only replicas need the history.
+pub fn without_history(entry: &Entry) -> Entry {
     let Entry { stamp, revision, host, body, .. } = entry;
     Entry { stamp: *stamp, revision: *revision, host: host.clone(), body: body.clone(), history: Vec::new() }
 }
 
-fn shorten(history: &mut Vec<RevisionRecord>) {
+fn truncate_history(history: &mut Vec<RevisionRecord>) {
     history.drain(..history.len().saturating_sub(HISTORY_LIMIT));
 }
