--- a/system/registry/src/api.rs
+++ b/system/registry/src/api.rs
@@ -1,4 +1,4 @@
-//! The calls from outside: of operators, and of clients that ask where to go.
+//! The HTTP API: calls of operators, and the directory for clients.
 
 use crate::events::Events;
 use crate::registry::Registry;
@@ -19,27 +19,27 @@
 const CONFIG: &str = "/fennelscale/config";
 const MAINTENANCE: &str = "/fennelscale/maintenance";
 const EVACUATIONS: &str = "/fennelscale/evacuations/";
-/// A directory answer counts for so long, or for what the settings allow if that is less: clients that hold
-/// an old one come to proxies that have gone.
-const TTL: Duration = Duration::from_secs(2);
-/// The most addresses in one answer.
-const MOST: usize = 64;
+/// Time to live of a directory answer, unless the settings allow less: clients with an outdated answer
+/// connect to proxies that are gone.
+const DIRECTORY_TTL: Duration = Duration::from_secs(2);
+/// Maximum of addresses in one directory answer.
+const MAX_ADDRESSES: usize = 64;
 
-/// Items change.
+/// Changes configuration items.
 pub struct PatchConfig(Vec<Change>);
-/// All items are wanted.
+/// Reads all configuration items.
 pub struct GetConfig;
-/// A zone is emptied or taken back.
+/// Evacuates a zone (`true`) or ends its evacuation.
 pub struct Evacuate(String, bool);
-/// How this registry is.
+/// Reads the status of this registry.
 pub struct Status;
-/// How far work orders are.
+/// Reads the progress of maintenance orders.
 pub struct Maintenance;
-/// Whether a call's orders can be carried out, without sending it.
-pub struct Rehearse(Vec<Change>);
-/// What proxies have counted of failure orders.
+/// Checks whether the maintenance orders of a call can be carried out, without applying the call.
+pub struct CheckOrders(Vec<Change>);
+/// Reads the failure order counts of proxies.
 pub struct Failures;
-/// Where to go.
+/// Resolves the proxies that a client should use.
 pub struct Resolve {
     region: String,
     zone: String,
@@ -98,7 +98,7 @@
     }
 }
 
-impl Call for Rehearse {
+impl Call for CheckOrders {
     type Answer = Json;
     const FORM: &'static str = "POST /fennelscale/maintenance";
     fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
@@ -132,13 +132,18 @@
         if asked.path != "/fennelscale/resolve" {
             return None;
         }
-        let place = |name| asked.query(name).unwrap_or_default();
-        Some(method(asked, &[Method::GET]).map(|()| Self { region: place("region"), zone: place("zone") }))
+        let parameter = |name| asked.query(name).unwrap_or_default();
+        Some(
+            method(asked, &[Method::GET])
+                .map(|()| Self { region: parameter("region"), zone: parameter("zone") }),
+        )
     }
 }
 
-fn told(told: StoreResponse) -> Result<Option<Vec<fennelscale_messages::store::NamedEntry>>, Failure> {
-    match told {
+fn items_or_failure(
+    response: StoreResponse,
+) -> Result<Option<Vec<fennelscale_messages::store::NamedEntry>>, Failure> {
+    match response {
         StoreResponse::Done => Ok(None),
         StoreResponse::Items(items) => Ok(Some(items)),
         StoreResponse::Invalid(text) => Err(Failure::new(Kind::Invalid, text)),
@@ -156,24 +161,24 @@
 impl Serves<PatchConfig> for Rc<Registry> {
     async fn serve(&self, call: PatchConfig) -> Result<Done, Failure> {
         let items = call.0.len();
-        if let Some((order, node, why)) = rehearse(self, &call.0).into_iter().next() {
+        if let Some((order, node, why)) = check_orders(self, &call.0).into_iter().next() {
             return Err(Failure::new(Kind::Invalid, format!("order {order}: {node}: {why}")));
         }
         let mut changes = call.0;
-        share_failures(self, &mut changes)?;
-        told(self.ask(StoreRequest::Change(changes)).await)?;
+        assign_failure_orders(self, &mut changes)?;
+        items_or_failure(self.call_store(StoreRequest::Change(changes)).await)?;
         tracing::info!(event = "config-acknowledged", items);
         Ok(Done)
     }
 }
 
-/// What stands in the way of a call's work orders for good. A call without any costs nothing.
-fn rehearse(registry: &Rc<Registry>, changes: &[Change]) -> Vec<(String, Node, Why)> {
-    let maintenance = |name: &str| {
+/// Why maintenance orders of a call can never be carried out. Does nothing for calls without any.
+fn check_orders(registry: &Rc<Registry>, changes: &[Change]) -> Vec<(String, Node, Why)> {
+    let is_maintenance = |name: &str| {
         name.starts_with(fennelscale_maintenance::CONTRACT)
             || name.starts_with(fennelscale_maintenance::ORDER)
     };
-    let named = changes.iter().filter(|change| maintenance(&change.name)).map(|change| {
+    let named = changes.iter().filter(|change| is_maintenance(&change.name)).map(|change| {
         let Change { name, revision, host, body } = change.clone();
         (name, Entry { revision, host, body, ..Entry::default() })
     });
@@ -181,12 +186,12 @@
     if named.is_empty() {
         return Vec::new();
     }
-    registry.round.borrow_mut().check_orders(registry.now(), &named)
+    registry.state.borrow_mut().check_orders(registry.now(), &named)
 }
 
-/// Sees that the failure orders of a call are within what the settings allow, and writes beside each which
-/// proxies share it. The store keeps to those that stand there already.
-fn share_failures(registry: &Rc<Registry>, changes: &mut [Change]) -> Result<(), Failure> {
+/// Checks the failure orders of a call against the limits of the settings, and adds to each order the proxies
+/// that share it. The store keeps the proxies of an order that exists already.
+fn assign_failure_orders(registry: &Rc<Registry>, changes: &mut [Change]) -> Result<(), Failure> {
     for change in
         changes.iter_mut().filter(|change| change.name.starts_with(fennelscale_fault_injection::FAILURE))
     {
@@ -202,31 +207,33 @@
             return Err(invalid("the settings have no table failureOrders, so there are none".into()));
         };
         limits.allow(&order).map_err(invalid)?;
-        let members = registry.round.borrow().proxies(registry.now());
-        if order.most < members.len() as u64 {
-            let text = format!("most.inAll: one for each of {} proxies at least is wanted", members.len());
+        let proxies = registry.state.borrow().proxies(registry.now());
+        if order.most < proxies.len() as u64 {
+            let text = format!("most.inAll: one for each of {} proxies at least is wanted", proxies.len());
             return Err(invalid(text));
         }
-        let lives: Vec<String> =
-            members.iter().map(|m| fennelscale_fault_injection::proxy(m.host, m.incarnation)).collect();
-        change.host = lives.join(" ");
+        let incarnations: Vec<String> = proxies
+            .iter()
+            .map(|proxy| fennelscale_fault_injection::proxy(proxy.host, proxy.incarnation))
+            .collect();
+        change.host = incarnations.join(" ");
     }
     Ok(())
 }
 
 impl Serves<Failures> for Rc<Registry> {
     async fn serve(&self, _: Failures) -> Result<Json, Failure> {
-        let counts = self.round.borrow().failure_counts();
-        let sums = |[served, refused, failed]: &[u64; 3]| {
+        let counts = self.state.borrow().failure_counts();
+        let totals = |[served, refused, failed]: &[u64; 3]| {
             format!("{{\"served\":{served},\"refused\":{refused},\"failed\":{failed}}}")
         };
-        let lines = counts.iter().flat_map(|(proxy, life, counts)| {
-            counts.iter().map(move |(order, [named, failed, over], [before, within])| {
+        let lines = counts.iter().flat_map(|(proxy, incarnation, counts)| {
+            counts.iter().map(move |(order, [named, failed, untouched], [before, within])| {
                 format!(
-                    "{{\"order\":{},\"proxy\":\"{proxy}\",\"life\":\"{life:x}\",\"named\":{named},\"failed\":{failed},\"untouched\":{over},\"othersBefore\":{},\"others\":{}}}",
+                    "{{\"order\":{},\"proxy\":\"{proxy}\",\"life\":\"{incarnation:x}\",\"named\":{named},\"failed\":{failed},\"untouched\":{untouched},\"othersBefore\":{},\"others\":{}}}",
                     quoted(order),
-                    sums(before),
-                    sums(within)
+                    totals(before),
+                    totals(within)
                 )
             })
         });
@@ -235,9 +242,9 @@
     }
 }
 
-impl Serves<Rehearse> for Rc<Registry> {
-    async fn serve(&self, call: Rehearse) -> Result<Json, Failure> {
-        let missing = rehearse(self, &call.0);
+impl Serves<CheckOrders> for Rc<Registry> {
+    async fn serve(&self, call: CheckOrders) -> Result<Json, Failure> {
+        let missing = check_orders(self, &call.0);
         let missing: Vec<String> = missing
             .iter()
             .map(|(order, node, why)| {
@@ -251,7 +258,7 @@
 
 impl Serves<Maintenance> for Rc<Registry> {
     async fn serve(&self, _: Maintenance) -> Result<Json, Failure> {
-        let (time, orders) = self.round.borrow_mut().maintenance_status(self.now());
+        let (time, orders) = self.state.borrow_mut().maintenance_status(self.now());
         let list = |texts: &[String]| texts.iter().map(|t| quoted(t)).collect::<Vec<_>>().join(",");
         let node = |node: &NodeStatus| {
             format!(
@@ -284,7 +291,7 @@
 
 impl Serves<GetConfig> for Rc<Registry> {
     async fn serve(&self, _: GetConfig) -> Result<Json, Failure> {
-        let items = told(self.ask(StoreRequest::Read).await)?.unwrap_or_default();
+        let items = items_or_failure(self.call_store(StoreRequest::Read).await)?.unwrap_or_default();
         Ok(Json(fennelscale_config::render_items(items.iter().map(|(name, entry)| (name.as_str(), entry)))))
     }
 }
@@ -294,7 +301,7 @@
         if !self.settings.borrow().zones.contains_key(&zone) {
             return Err(Failure::new(Kind::NotFound, format!("there is no zone {zone}")));
         }
-        told(self.ask(StoreRequest::Evacuate(zone.clone(), on, None)).await)?;
+        items_or_failure(self.call_store(StoreRequest::Evacuate(zone.clone(), on, None)).await)?;
         tracing::info!(event = "evacuation-acknowledged", zone, on);
         Ok(Done)
     }
@@ -306,7 +313,7 @@
 
 impl Serves<Status> for Rc<Registry> {
     async fn serve(&self, _: Status) -> Result<Json, Failure> {
-        let pairs = self.round.borrow().status(self.now());
+        let pairs = self.state.borrow().status(self.now());
         let pairs: Vec<String> =
             pairs.iter().map(|(name, value)| format!("\"{name}\":{}", quoted(value))).collect();
         Ok(Json(format!("{{{}}}", pairs.join(","))))
@@ -320,33 +327,34 @@
             Some(region) if call.region.is_empty() => region,
             _ => &call.region,
         };
-        let members = self.round.borrow().resolve(self.now(), region);
-        if members.is_empty() {
+        let proxies = self.state.borrow().resolve(self.now(), region);
+        if proxies.is_empty() {
             return Err(Failure::new(Kind::NoRoom, "no proxy takes clients now"));
         }
-        let address = |m: &fennelscale_messages::session::ProxyInfo| format!("\"{}:{}\"", m.host, m.port);
-        let addresses: Vec<String> = members.iter().take(MOST).map(address).collect();
-        let ttl = TTL.min(self.settings.borrow().bounds.ttl_most).as_millis();
+        let address =
+            |proxy: &fennelscale_messages::session::ProxyInfo| format!("\"{}:{}\"", proxy.host, proxy.port);
+        let addresses: Vec<String> = proxies.iter().take(MAX_ADDRESSES).map(address).collect();
+        let ttl = DIRECTORY_TTL.min(self.settings.borrow().bounds.ttl_most).as_millis();
         Ok(Json(format!("{{\"addresses\":[{}],\"ttl\":\"{ttl}ms\"}}", addresses.join(","))))
     }
 }
 
-/// What operators call.
+/// Serves the API for operators.
 pub async fn control(registry: &Rc<Registry>, asked: Asked) -> Option<Response<Full<Bytes>>> {
     let answer = answer(registry, &asked).await?;
-    // What was wrong with a question of a reader is the reader's matter.
+    // Rejected reads are not recorded as events; they only concern the caller.
     if let Some(failure) = answer.extensions().get::<Failure>()
         && answer.status().is_client_error()
         && asked.method != Method::GET
     {
-        let what = asked.path.strip_prefix("/fennelscale/").unwrap_or(&asked.path);
+        let name = asked.path.strip_prefix("/fennelscale/").unwrap_or(&asked.path);
         let cause = format!("{}: {}", failure.kind.row().1, failure.text);
-        registry.with(|round, now| round.on_call_refused(now, what, &cause));
+        registry.with(|state, now| state.on_call_refused(now, name, &cause));
     }
     Some(answer)
 }
 
-/// The answer of the first kind of call that takes what was asked.
+/// Returns the answer of the first call type that accepts the request.
 macro_rules! first_of {
     ($server:expr, $asked:expr, $($call:ty),+) => {{
         $(if let Some(answer) = handle::<$call, _>($server, $asked).await {
@@ -367,12 +375,12 @@
         Status,
         Maintenance,
         Failures,
-        Rehearse,
+        CheckOrders,
         Evacuate
     )
 }
 
-/// What clients call.
+/// Serves the directory for clients.
 pub async fn directory(registry: &Rc<Registry>, asked: Asked) -> Option<Response<Full<Bytes>>> {
     handle::<Resolve, _>(registry, &asked).await
 }
--- a/system/registry/src/backend_list.rs
+++ b/system/registry/src/backend_list.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of backends, page by page.
+//! Reads the platform's backend list, page by page.
 
 use bytes::Bytes;
 use fennelscale_dataplane::back::link::Link;
@@ -10,16 +10,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const CONNECT: Duration = Duration::from_millis(500);
-/// A page has come whole within this.
-const PAGE: Duration = Duration::from_millis(900);
-/// The largest page, and the most pages: a list that does not end is none.
-const LARGEST: usize = 4 << 20;
-const PAGES: usize = 200;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for a complete page.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Maximum size of a page in bytes.
+const MAX_PAGE_SIZE: usize = 4 << 20;
+/// Maximum of pages; a list that does not end is rejected.
+const MAX_PAGES: usize = 200;
 
-/// The whole list, or none if it could not be read whole.
+/// Reads the complete list; `None` if any part of it could not be read.
 pub async fn read(settings: &Settings) -> Option<Vec<Backend>> {
-    match pages(settings).await {
+    match read_pages(settings).await {
         Ok(backends) => Some(backends),
         Err(why) => {
             tracing::debug!(event = "list-unread", why);
@@ -28,18 +29,20 @@
     }
 }
 
-async fn pages(settings: &Settings) -> Result<Vec<Backend>, &'static str> {
-    let at = settings.cloud.address;
-    let mut link = Link::connect(at, CONNECT, false).await.map_err(|_| "no connection")?;
-    // The list may change between its pages: of one that stands on two the later word holds.
+async fn read_pages(settings: &Settings) -> Result<Vec<Backend>, &'static str> {
+    let address = settings.cloud.address;
+    let mut link = Link::connect(address, CONNECT_TIMEOUT, false).await.map_err(|_| "no connection")?;
+    // The list may change between pages; if a backend is on two pages, the later entry counts.
     let mut all: BTreeMap<String, Backend> = BTreeMap::new();
     let mut token = String::new();
-    for _ in 0..PAGES {
+    for _ in 0..MAX_PAGES {
         let path =
             if token.is_empty() { "/instances".to_owned() } else { format!("/instances?pageToken={token}") };
-        let request = Request::get(path).header("Host", at.to_string()).body(Full::new(Bytes::new()));
-        let request = request.map_err(|_| "a page's name")?;
-        let page = tokio::time::timeout(PAGE, link.exchange(request, LARGEST, PAGE, None)).await;
+        let request = Request::get(path).header("Host", address.to_string()).body(Full::new(Bytes::new()));
+        let request = request.map_err(|_| "invalid page path")?;
+        let page =
+            tokio::time::timeout(PAGE_TIMEOUT, link.exchange(request, MAX_PAGE_SIZE, PAGE_TIMEOUT, None))
+                .await;
         let Ok(Ok((head, body))) = page else { return Err("no answer") };
         if head.status != StatusCode::OK {
             return Err("refused");
@@ -47,7 +50,7 @@
         let page: Value = sonic_rs::from_slice(&body).map_err(|_| "no JSON")?;
         let instances = page.get("instances").and_then(|i| i.as_array()).ok_or("no instances")?;
         for instance in instances {
-            let backend = backend(instance).ok_or("an entry that cannot be read")?;
+            let backend = parse_backend(instance).ok_or("unreadable entry")?;
             all.insert(backend.id.clone(), backend);
         }
         match page.get("nextPageToken").and_then(|t| t.as_str()).filter(|t| !t.is_empty()) {
@@ -55,13 +58,13 @@
             Some(next) => token = next.to_owned(),
         }
         if !link.is_free().await {
-            link = Link::connect(at, CONNECT, false).await.map_err(|_| "no connection")?;
+            link = Link::connect(address, CONNECT_TIMEOUT, false).await.map_err(|_| "no connection")?;
         }
     }
     Err("too many pages")
 }
 
-fn backend(instance: &Value) -> Option<Backend> {
+fn parse_backend(instance: &Value) -> Option<Backend> {
     let text = |name: &str| instance.get(name).and_then(|v| v.as_str()).map(str::to_owned);
     let cold = text("coldRemaining").unwrap_or_default();
     let (number, unit) = match cold.strip_suffix("ms") {
--- a/system/registry/src/events.rs
+++ b/system/registry/src/events.rs
@@ -1,5 +1,4 @@
-//! The event feed as readers get it: what this registry has, what the others have, what their stores have
-//! kept.
+//! The event feed for readers, merged from the events of all registries and those saved by their stores.
 
 use crate::api::{method, quoted};
 use crate::registry::Registry;
@@ -18,19 +17,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Other registries have so long to answer: the longest way there and back twice, and their stores' reading.
-/// What comes later comes with the next answer.
-const GATHER: Duration = Duration::from_millis(500);
-/// The store has so long to read a page.
-const PAGE: Duration = Duration::from_millis(300);
-/// Instead of a cursor: from the oldest event that any disk has.
+/// Timeout for the answers of other registries: two round trips at the longest network delay, plus a read by
+/// their stores. Later answers are covered by the next query.
+const REGISTRY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for the store to read a page.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Used instead of a cursor to start at the oldest event saved anywhere.
 const OLDEST: &str = "oldest";
 
-/// What happened, after a cursor; that of nobody is from the beginning of the present lives.
+/// Reads the events after a cursor; without a cursor, from the start of the current incarnations.
 pub struct Events {
     after: Option<Cursor>,
     oldest: bool,
-    wanted: EventQuery,
+    query: EventQuery,
 }
 
 impl Call for Events {
@@ -58,7 +57,7 @@
             Ok(Self {
                 after: after.filter(|_| !oldest).map(cursor).transpose()?,
                 oldest,
-                wanted: EventQuery {
+                query: EventQuery {
                     after: None,
                     kind: kind.transpose()?,
                     subject_prefix: what,
@@ -71,7 +70,7 @@
 
 impl Serves<Events> for Rc<Registry> {
     async fn serve(&self, call: Events) -> Result<Json, Failure> {
-        let joined = self.events(call).await;
+        let merged = self.events(call).await;
         let event = |(host, event): &(Host, Event)| {
             format!(
                 "{{\"id\":{},\"kind\":\"{}\",\"what\":{},\"cause\":{},\"at\":\"{:.0}ms\",\"by\":\"{host}\",\"life\":\"{:x}\"}}",
@@ -83,95 +82,96 @@
                 event.position.incarnation
             )
         };
-        let events: Vec<String> = joined.events.iter().map(event).collect();
+        let events: Vec<String> = merged.events.iter().map(event).collect();
         Ok(Json(format!(
             "{{\"version\":{},\"events\":[{}],\"cursor\":\"{}\",\"missed\":{}}}",
             feed::VERSION,
             events.join(","),
-            joined.cursor,
-            joined.missed
+            merged.cursor,
+            merged.missed
         )))
     }
 }
 
-/// A reader that waits for others; dropped, it waits no more.
-struct Question<'a>(&'a Registry, u64);
+/// A query that waits for answers; it is removed when dropped.
+struct PendingQuery<'a>(&'a Registry, u64);
 
-impl Drop for Question<'_> {
+impl Drop for PendingQuery<'_> {
     fn drop(&mut self) {
-        self.0.readers.borrow_mut().remove(&self.1);
-        self.0.past.borrow_mut().remove(&self.1);
+        self.0.event_queries.borrow_mut().remove(&self.1);
+        self.0.saved_event_queries.borrow_mut().remove(&self.1);
     }
 }
 
 impl Registry {
-    /// What all registries that are heard have after a cursor.
+    /// The events of all reachable registries after a cursor.
     async fn events(&self, call: Events) -> MergedEvents {
-        let Events { after, oldest, wanted } = call;
-        let most = if wanted.limit == 0 {
+        let Events { after, oldest, query } = call;
+        let limit = if query.limit == 0 {
             feed::MAX_EVENTS_PER_READ
         } else {
-            wanted.limit.min(feed::MAX_EVENTS_PER_READ)
+            query.limit.min(feed::MAX_EVENTS_PER_READ)
         };
         let before = after.unwrap_or_default();
-        let place = |host: Host| {
+        let query_for = |host: Host| {
             let after = if oldest { Some(FeedPosition::default()) } else { before.0.get(&host).copied() };
-            // All that fits, however few are wanted: what comes behind decides what may be told first.
-            EventQuery { after, limit: feed::MAX_EVENTS_PER_READ, ..wanted.clone() }
+            // A full page whatever the limit: later events determine which one may come first.
+            EventQuery { after, limit: feed::MAX_EVENTS_PER_READ, ..query.clone() }
         };
-        let (me, peers) = {
-            let round = self.round.borrow();
-            (round.local_host(), round.reachable_registries(self.now()))
+        let (local_host, peers) = {
+            let state = self.state.borrow();
+            (state.local_host(), state.reachable_registries(self.now()))
         };
         let (sender, mut receiver) = mpsc::channel(peers.len().max(1));
-        let question = Question(self, self.number());
-        self.readers.borrow_mut().insert(question.1, sender);
+        let pending = PendingQuery(self, self.next_id());
+        self.event_queries.borrow_mut().insert(pending.1, sender);
         for peer in &peers {
-            self.peers.send(*peer, &RegistryMessage::RequestEvents(question.1, place(*peer)));
+            self.peers.send(*peer, &RegistryMessage::RequestEvents(pending.1, query_for(*peer)));
         }
-        let until = Instant::now() + GATHER;
-        let mut told = BTreeMap::from([(me, self.own_events(place(me)).await)]);
-        while told.len() <= peers.len() {
-            match timeout_at(until, receiver.recv()).await {
-                Ok(Some((host, events))) if peers.contains(&host) => drop(told.insert(host, events)),
+        let deadline = Instant::now() + REGISTRY_TIMEOUT;
+        let mut pages = BTreeMap::from([(local_host, self.local_events(query_for(local_host)).await)]);
+        while pages.len() <= peers.len() {
+            match timeout_at(deadline, receiver.recv()).await {
+                Ok(Some((host, page))) if peers.contains(&host) => drop(pages.insert(host, page)),
                 Ok(Some(_)) => {}
                 Ok(None) | Err(_) => break,
             }
         }
-        let mut joined = merge::merge(told, &before, most);
-        // A machine that is no seat any more has nothing to tell.
-        let (round, known) = (self.round.borrow(), joined.cursor.0.len());
-        joined.cursor.0.retain(|host, _| round.is_registry(*host));
-        joined.missed |= joined.cursor.0.len() < known;
-        joined
+        let mut merged = merge::merge(pages, &before, limit);
+        // A host that is no longer a core member has no events.
+        let (state, known) = (self.state.borrow(), merged.cursor.0.len());
+        merged.cursor.0.retain(|host, _| state.is_registry(*host));
+        merged.missed |= merged.cursor.0.len() < known;
+        merged
     }
 
-    /// What this registry has, and what its store has of earlier lives.
-    pub(crate) async fn own_events(&self, wanted: EventQuery) -> EventPage {
-        let (now, life) = (self.now(), self.round.borrow().feed().incarnation());
-        let Some(at) = wanted.after.filter(|at| at.incarnation != life) else {
-            return self.round.borrow().feed().read(now, &wanted);
+    /// The events of this registry, including those of earlier incarnations saved by its store.
+    pub(crate) async fn local_events(&self, query: EventQuery) -> EventPage {
+        let (now, incarnation) = (self.now(), self.state.borrow().feed().incarnation());
+        let Some(at) = query.after.filter(|at| at.incarnation != incarnation) else {
+            return self.state.borrow().feed().read(now, &query);
         };
-        if let Some(told) = self.past(wanted.clone()).await
-            && told.position != at
+        if let Some(page) = self.saved_events(query.clone()).await
+            && page.position != at
         {
-            return told;
+            return page;
         }
-        // Nothing more of earlier lives, or nothing is known of that one: on with the life at hand.
-        let after = Some(FeedPosition { incarnation: life, number: 0 });
-        let mut told = self.round.borrow().feed().read(now, &EventQuery { after, ..wanted });
-        told.missed |= at.incarnation != 0;
-        told
+        // No more events of earlier incarnations, or the incarnation is unknown: continue with the current
+        // one.
+        let after = Some(FeedPosition { incarnation, number: 0 });
+        let mut page = self.state.borrow().feed().read(now, &EventQuery { after, ..query });
+        page.missed |= at.incarnation != 0;
+        page
     }
 
-    /// A page of what the store has kept.
-    async fn past(&self, wanted: EventQuery) -> Option<EventPage> {
-        let question = Question(self, self.number());
+    /// Reads a page of events saved by the store.
+    async fn saved_events(&self, query: EventQuery) -> Option<EventPage> {
+        let pending = PendingQuery(self, self.next_id());
         let (sender, receiver) = oneshot::channel();
-        self.past.borrow_mut().insert(question.1, sender);
-        if !self.tell_depot(&RegistryToStore::ReadEvents(question.1, wanted)) {
+        self.saved_event_queries.borrow_mut().insert(pending.1, sender);
+        if !self.send_to_store(&RegistryToStore::ReadEvents(pending.1, query)) {
             return None;
         }
-        timeout(PAGE, receiver).await.ok()?.ok()?
+        timeout(PAGE_TIMEOUT, receiver).await.ok()?.ok()?
     }
 }
--- a/system/registry/src/lib.rs
+++ b/system/registry/src/lib.rs
@@ -1,7 +1,7 @@
-//! `fennelscale-registry`: the registry (the field's term: service registry with membership and leases).
-//! Every core machine runs one. It holds the sessions of proxies, reads the platform's list where that duty
-//! is its own, counts tenants' windows, answers where clients should go, and takes the outside calls for
-//! itself and for the store beside it.
+//! `fennelscale-registry`: the service registry, with membership and leases. It runs on every core machine,
+//! holds the sessions of proxies, reads the platform's backend list if it holds that duty, counts the quota
+//! windows of tenants, answers which proxies clients should use, and accepts API calls for itself and for the
+//! store on the same machine.
 
 mod api;
 mod backend_list;
--- a/system/registry/src/registry.rs
+++ b/system/registry/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry's host: carries out what the machine says.
+//! The registry process: executes the outputs of the state machine and feeds it with inputs.
 
 use crate::api;
 use crate::backend_list;
@@ -20,223 +20,238 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-/// Time passes for the machine this often.
-const TICK: Duration = Duration::from_millis(60);
-/// A call is answered by the store within this, or nothing is clear.
-const PATIENCE: Duration = Duration::from_millis(3500);
+/// Interval between two ticks of the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(60);
+/// A store that does not answer a call within this time leaves its outcome unknown.
+const STORE_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// After so many readings of the list that failed in a row the settings are read again.
-const UNREAD: u32 = 5;
+/// The settings are read again after this many consecutive failures to read the backend list.
+const MAX_FAILED_LIST_READS: u32 = 5;
 
-/// What each proxy knows of a request, as JSON.
-pub type Known = Vec<(Host, String)>;
+/// The record of a request at each proxy, as JSON.
+pub type RequestRecords = Vec<(Host, String)>;
 
-/// The registry.
+/// The registry process.
 pub struct Registry {
     pub settings: RefCell<Rc<Settings>>,
-    /// Times in a row that the list could not be read.
-    unread: Cell<u32>,
-    pub round: RefCell<RegistryState>,
+    /// Consecutive failures to read the backend list.
+    failed_list_reads: Cell<u32>,
+    pub state: RefCell<RegistryState>,
     pub(crate) peers: Peers,
+    /// The connection of each proxy, with its number.
     pub(crate) sessions: RefCell<HashMap<Host, (u64, Writer)>>,
-    depot: RefCell<Option<(u64, Writer)>>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<StoreResponse>>>,
-    /// Readers of events here that wait for other registries, and for the store.
-    pub(crate) readers: RefCell<HashMap<u64, mpsc::Sender<(Host, feed::EventPage)>>>,
-    /// Who waits for what proxies and other registries know of a request.
-    pub(crate) seekers: RefCell<HashMap<u64, mpsc::Sender<(Host, Known)>>>,
-    pub(crate) past: RefCell<HashMap<u64, oneshot::Sender<Option<feed::EventPage>>>>,
-    next: Cell<u64>,
-    born: Instant,
+    /// The connection of the store on this host, with its number.
+    store: RefCell<Option<(u64, Writer)>>,
+    /// Calls that wait for the answer of the store.
+    pending_calls: RefCell<HashMap<u64, oneshot::Sender<StoreResponse>>>,
+    /// Event queries that wait for other registries.
+    pub(crate) event_queries: RefCell<HashMap<u64, mpsc::Sender<(Host, feed::EventPage)>>>,
+    /// Request queries that wait for proxies and other registries.
+    pub(crate) record_queries: RefCell<HashMap<u64, mpsc::Sender<(Host, RequestRecords)>>>,
+    /// Queries for saved events that wait for the store.
+    pub(crate) saved_event_queries: RefCell<HashMap<u64, oneshot::Sender<Option<feed::EventPage>>>>,
+    next_number: Cell<u64>,
+    started_at: Instant,
 }
 
-/// Runs the registry until it is told to end.
+/// Runs the registry until it is terminated.
 pub async fn run(settings: Settings, mut signals: Signals) -> miette::Result<()> {
     let missing = |field: &str| {
         miette::miette!(
-            help = "the registry runs on machines that have it",
+            help = "the registry runs only on hosts whose settings have this field",
             "settings field {field} is missing"
         )
     };
     let host = Host::from_ip(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
     let control = settings.listen.control.ok_or_else(|| missing("listenAddresses.controlPlane"))?;
     let directory = settings.listen.directory.ok_or_else(|| missing("listenAddresses.directory"))?;
-    let life = start::life() >> 1;
-    let mut round = RegistryState::new(host, life, &settings.zone, &settings.region, settings.bootstrap, 0.0);
-    let may_go = settings.tolerance;
-    round.set_deployment(settings.zones.clone(), may_go.machines, (may_go.zones, may_go.regions));
+    let incarnation = start::life() >> 1;
+    let mut state =
+        RegistryState::new(host, incarnation, &settings.zone, &settings.region, settings.bootstrap, 0.0);
+    let tolerance = settings.tolerance;
+    state.set_deployment(settings.zones.clone(), tolerance.machines, (tolerance.zones, tolerance.regions));
     let peers = Peers::new(host, settings.own(Port::Postmaster).port());
-    let others = start::listen(settings.own(Port::Postmaster)).await?;
-    let sessions = start::listen(settings.own(Port::Sessions)).await?;
-    let shelf = start::listen(settings.own(Port::Shelf)).await?;
+    let registry_listener = start::listen(settings.own(Port::Postmaster)).await?;
+    let session_listener = start::listen(settings.own(Port::Sessions)).await?;
+    let store_listener = start::listen(settings.own(Port::Shelf)).await?;
     let (control, directory) = (start::listen(control).await?, start::listen(directory).await?);
     let registry = Rc::new(Registry {
         settings: RefCell::new(Rc::new(settings)),
-        unread: Cell::new(0),
-        round: RefCell::new(round),
+        failed_list_reads: Cell::new(0),
+        state: RefCell::new(state),
         peers,
         sessions: RefCell::default(),
-        depot: RefCell::default(),
-        waiting: RefCell::default(),
-        readers: RefCell::default(),
-        seekers: RefCell::default(),
-        past: RefCell::default(),
-        next: Cell::new(life),
-        born: Instant::now(),
+        store: RefCell::default(),
+        pending_calls: RefCell::default(),
+        event_queries: RefCell::default(),
+        record_queries: RefCell::default(),
+        saved_event_queries: RefCell::default(),
+        next_number: Cell::new(incarnation),
+        started_at: Instant::now(),
     });
-    let heard = registry.clone();
-    hear(others, move |from, word: RegistryMessage| {
-        heard.with(|round, now| round.receive_from_registry(now, from, word))
+    let receiver = registry.clone();
+    hear(registry_listener, move |from, message: RegistryMessage| {
+        receiver.with(|state, now| state.receive_from_registry(now, from, message))
     });
-    let of = registry.clone();
-    link::accept(shelf, move |stream| of.clone().hear_depot(stream));
-    let of = registry.clone();
-    link::accept(sessions, move |stream| of.clone().hear_proxy(stream));
-    let of = registry.clone();
+    let server = registry.clone();
+    link::accept(store_listener, move |stream| server.clone().serve_store(stream));
+    let server = registry.clone();
+    link::accept(session_listener, move |stream| server.clone().serve_proxy(stream));
+    let server = registry.clone();
     call::listen(control, move |asked| {
-        let registry = of.clone();
+        let registry = server.clone();
         async move { api::control(&registry, asked).await }
     });
-    let of = registry.clone();
+    let server = registry.clone();
     call::listen(directory, move |asked| {
-        let registry = of.clone();
+        let registry = server.clone();
         async move { api::directory(&registry, asked).await }
     });
     let ticking = registry.clone();
     spawn(async move {
         loop {
-            sleep(TICK).await;
-            let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |t| t.as_secs_f64() * 1000.0);
-            ticking.with(|round, now| {
-                round.set_time_of_day(now, wall);
-                round.tick(now);
+            sleep(TICK_INTERVAL).await;
+            let time_of_day =
+                SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |t| t.as_secs_f64() * 1000.0);
+            ticking.with(|state, now| {
+                state.set_time_of_day(now, time_of_day);
+                state.tick(now);
             });
         }
     });
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
-            _ = signals.hangup.recv() => registry.settings_again(),
+            _ = signals.hangup.recv() => registry.reload_settings(),
         }
     }
-    // Sessions end here by their lines; proxies go to another registry at once.
+    // The sessions end with their connections; proxies change to another registry at once.
     Ok(())
 }
 
 impl Registry {
     pub fn now(&self) -> f64 {
-        self.born.elapsed().as_secs_f64() * 1000.0
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The settings file may have changed: where the platform is follows it. One that cannot be used changes
-    /// nothing.
-    fn settings_again(&self) {
+    /// Reads the settings file again; the address of the platform may have changed. An invalid file is
+    /// ignored.
+    fn reload_settings(&self) {
         if let Some(settings) = start::again() {
-            let moved = settings.cloud != self.settings.borrow().cloud;
-            tracing::info!(event = "settings-read", platform_moved = moved);
+            let platform_moved = settings.cloud != self.settings.borrow().cloud;
+            tracing::info!(event = "settings-read", platform_moved);
             *self.settings.borrow_mut() = Rc::new(settings);
         }
     }
 
-    /// The file may change without a word: it is read again when the platform is not where it was said to be.
-    fn note_read(&self, read: bool) {
-        let unread = if read { 0 } else { self.unread.get() + 1 };
-        self.unread.set(unread);
-        if unread > 0 && unread % UNREAD == 0 {
-            self.settings_again();
+    /// Counts failed list reads. The settings file may change without notice, so it is read again when the
+    /// platform cannot be reached at the known address.
+    fn count_list_read(&self, succeeded: bool) {
+        let failures = if succeeded { 0 } else { self.failed_list_reads.get() + 1 };
+        self.failed_list_reads.set(failures);
+        if failures > 0 && failures % MAX_FAILED_LIST_READS == 0 {
+            self.reload_settings();
         }
     }
 
-    /// Gives the machine an input and carries out what follows.
+    /// Passes an input to the state machine and executes the outputs.
     pub fn with(self: &Rc<Self>, input: impl FnOnce(&mut RegistryState, f64)) {
-        let outs = {
-            let mut round = self.round.borrow_mut();
-            input(&mut round, self.now());
-            round.take_outputs()
+        let outputs = {
+            let mut state = self.state.borrow_mut();
+            input(&mut state, self.now());
+            state.take_outputs()
         };
-        self.carry_out(outs);
+        self.execute(outputs);
     }
 
-    fn carry_out(self: &Rc<Self>, outs: Vec<Output>) {
-        // One word goes to many proxies: its frame is made once.
-        let mut framed: Option<(*const fennelscale_messages::session::RegistryToProxy, Rc<Vec<u8>>)> = None;
-        for out in outs {
-            match out {
-                Output::SendToRegistry(to, word) => self.peers.send(to, &word),
-                Output::SendToProxy(to, word) => {
-                    let at = Rc::as_ptr(&word);
-                    let frame = match &framed {
-                        Some((known, frame)) if std::ptr::eq(*known, at) && Rc::strong_count(&word) > 1 => {
+    fn execute(self: &Rc<Self>, outputs: Vec<Output>) {
+        // A message sent to several proxies is encoded once.
+        let mut last_encoded: Option<(*const fennelscale_messages::session::RegistryToProxy, Rc<Vec<u8>>)> =
+            None;
+        for output in outputs {
+            match output {
+                Output::SendToRegistry(to, message) => self.peers.send(to, &message),
+                Output::SendToProxy(to, message) => {
+                    let address = Rc::as_ptr(&message);
+                    let frame = match &last_encoded {
+                        Some((known, frame))
+                            if std::ptr::eq(*known, address) && Rc::strong_count(&message) > 1 =>
+                        {
                             frame.clone()
                         }
-                        _ => Rc::new(fennelscale_messages::encode_frame(&*word)),
+                        _ => Rc::new(fennelscale_messages::encode_frame(&*message)),
                     };
                     if let Some((_, writer)) = self.sessions.borrow().get(&to) {
                         writer.send_frame(&frame);
                     }
-                    framed = Some((at, frame));
+                    last_encoded = Some((address, frame));
                 }
                 Output::ReadBackendList => {
                     let registry = self.clone();
                     spawn(async move {
                         let settings = registry.settings.borrow().clone();
                         let backends = backend_list::read(&settings).await;
-                        registry.note_read(backends.is_some());
-                        registry.with(|round, now| round.on_list_read(now, backends));
+                        registry.count_list_read(backends.is_some());
+                        registry.with(|state, now| state.on_list_read(now, backends));
                     });
                 }
                 Output::StoreProxyCount(proxies) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let ask = StoreRequest::Note(
+                        let request = StoreRequest::Note(
                             fennelscale_membership::PROXY_COUNT_NAME.to_owned(),
                             proxies.to_string(),
                         );
-                        let told = registry.ask(ask).await;
-                        tracing::info!(event = "fleet-noted", proxies, done = told == StoreResponse::Done);
+                        let response = registry.call_store(request).await;
+                        tracing::info!(
+                            event = "fleet-noted",
+                            proxies,
+                            done = response == StoreResponse::Done
+                        );
                     });
                 }
                 Output::WriteMaintenanceStep(write) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let told =
-                            registry.ask(StoreRequest::MaintenanceStep(write.view_hash, write.records)).await;
-                        if told != StoreResponse::Done {
-                            tracing::info!(event = "maintenance-step-refused", told = ?told);
+                        let response = registry
+                            .call_store(StoreRequest::MaintenanceStep(write.view_hash, write.records))
+                            .await;
+                        if response != StoreResponse::Done {
+                            tracing::info!(event = "maintenance-step-refused", told = ?response);
                         }
                         registry.with(RegistryState::on_maintenance_answer);
                     });
                 }
                 Output::StoreEvents(events) => {
                     let last = events.last().map_or(0, |event| event.position.number);
-                    if self.tell_depot(&RegistryToStore::SaveEvents(events)) {
-                        self.round.borrow_mut().on_events_stored(last);
+                    if self.send_to_store(&RegistryToStore::SaveEvents(events)) {
+                        self.state.borrow_mut().on_events_stored(last);
                     }
                 }
-                Output::ReadEvents(from, question, wanted) => {
+                Output::ReadEvents(from, query_id, query) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let told = registry.own_events(wanted).await;
-                        registry.peers.send(from, &RegistryMessage::Events(question, told));
+                        let page = registry.local_events(query).await;
+                        registry.peers.send(from, &RegistryMessage::Events(query_id, page));
                     });
                 }
-                Output::DeliverEvents(from, question, told) => {
-                    if let Some(reader) = self.readers.borrow().get(&question) {
-                        let _ = reader.try_send((from, told));
+                Output::DeliverEvents(from, query_id, page) => {
+                    if let Some(reader) = self.event_queries.borrow().get(&query_id) {
+                        let _ = reader.try_send((from, page));
                     }
                 }
-                Output::LookUpRequest(from, question, id) => {
+                Output::LookUpRequest(from, query_id, id) => {
                     let registry = self.clone();
                     spawn(async move {
-                        let known = registry.own_request(id).await;
-                        registry.peers.send(from, &RegistryMessage::RequestRecords(question, known));
+                        let records = registry.local_request_records(id).await;
+                        registry.peers.send(from, &RegistryMessage::RequestRecords(query_id, records));
                     });
                 }
-                Output::DeliverRequestRecords(from, question, known) => {
-                    self.tell_seeker(question, from, known)
+                Output::DeliverRequestRecords(from, query_id, records) => {
+                    self.deliver_records(query_id, from, records)
                 }
-                Output::DeliverRequestRecord(from, question, known) => {
-                    self.tell_seeker(question, from, vec![(from, known)])
+                Output::DeliverRequestRecord(from, query_id, record) => {
+                    self.deliver_records(query_id, from, vec![(from, record)])
                 }
                 Output::CloseSession(host) => drop(self.sessions.borrow_mut().remove(&host)),
                 Output::Log(event, about) => tracing::info!(event, about),
@@ -244,95 +259,97 @@
         }
     }
 
-    async fn hear_proxy(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_proxy(self: Rc<Self>, stream: TcpStream) {
         let (mut reader, writer) = split(stream);
         let Ok(first) = reader.next::<ProxyToRegistry>().await else { return };
-        let (ProxyToRegistry::Hello(member) | ProxyToRegistry::Resume(member, _)) = &first else { return };
-        let (host, life) = (member.host, self.number());
-        self.sessions.borrow_mut().insert(host, (life, writer));
-        self.with(|round, now| round.receive_from_proxy(now, host, first));
-        while self.stands(host, life)
-            && let Ok(up) = reader.next::<ProxyToRegistry>().await
+        let (ProxyToRegistry::Hello(proxy) | ProxyToRegistry::Resume(proxy, _)) = &first else { return };
+        let (host, connection) = (proxy.host, self.next_id());
+        self.sessions.borrow_mut().insert(host, (connection, writer));
+        self.with(|state, now| state.receive_from_proxy(now, host, first));
+        while self.is_current_session(host, connection)
+            && let Ok(message) = reader.next::<ProxyToRegistry>().await
         {
-            if self.stands(host, life) {
-                self.with(|round, now| round.receive_from_proxy(now, host, up));
+            if self.is_current_session(host, connection) {
+                self.with(|state, now| state.receive_from_proxy(now, host, message));
             }
         }
-        // Only the newest line of a proxy speaks for it.
-        if self.stands(host, life) {
+        // Only the newest connection of a proxy determines its session.
+        if self.is_current_session(host, connection) {
             self.sessions.borrow_mut().remove(&host);
-            self.with(|round, now| round.on_session_closed(now, host));
+            self.with(|state, now| state.on_session_closed(now, host));
         }
     }
 
-    fn stands(&self, host: Host, life: u64) -> bool {
-        self.sessions.borrow().get(&host).is_some_and(|(known, _)| *known == life)
+    fn is_current_session(&self, host: Host, connection: u64) -> bool {
+        self.sessions.borrow().get(&host).is_some_and(|(known, _)| *known == connection)
     }
 
-    async fn hear_depot(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_store(self: Rc<Self>, stream: TcpStream) {
         let (mut reader, writer): (Reader, Writer) = split(stream);
-        let line = self.number();
-        *self.depot.borrow_mut() = Some((line, writer));
-        while let Ok(report) = reader.next::<StoreToRegistry>().await {
-            match report {
-                StoreToRegistry::Response(id, told) => {
-                    if let Some(answer) = self.waiting.borrow_mut().remove(&id) {
-                        let _ = answer.send(told);
+        let connection = self.next_id();
+        *self.store.borrow_mut() = Some((connection, writer));
+        while let Ok(message) = reader.next::<StoreToRegistry>().await {
+            match message {
+                StoreToRegistry::Response(id, response) => {
+                    if let Some(caller) = self.pending_calls.borrow_mut().remove(&id) {
+                        let _ = caller.send(response);
                     }
                 }
-                StoreToRegistry::SavedEvents(id, told) => {
-                    if let Some(reader) = self.past.borrow_mut().remove(&id) {
-                        let _ = reader.send(told);
+                StoreToRegistry::SavedEvents(id, page) => {
+                    if let Some(reader) = self.saved_event_queries.borrow_mut().remove(&id) {
+                        let _ = reader.send(page);
                     }
                 }
-                StoreToRegistry::Items { complete: whole, entries } => {
-                    self.with(|round, now| round.on_items(now, whole, entries));
+                StoreToRegistry::Items { complete, entries } => {
+                    self.with(|state, now| state.on_items(now, complete, entries));
+                }
+                StoreToRegistry::UpToDate(up_to_date) => {
+                    self.with(|state, now| state.on_store_freshness(now, up_to_date))
                 }
-                StoreToRegistry::UpToDate(fresh) => {
-                    self.with(|round, now| round.on_store_freshness(now, fresh))
+                StoreToRegistry::Members(members) => {
+                    self.with(|state, now| state.on_core_members(now, members))
                 }
-                StoreToRegistry::Members(seats) => self.with(|round, now| round.on_core_members(now, seats)),
             }
         }
-        // A store that has started anew may have dialled before the end of its former life was seen here.
-        if self.depot.borrow().as_ref().is_some_and(|(newest, _)| *newest != line) {
+        // A restarted store may have connected before the end of its previous connection was noticed here.
+        if self.store.borrow().as_ref().is_some_and(|(newest, _)| *newest != connection) {
             return;
         }
-        *self.depot.borrow_mut() = None;
-        self.with(|round, now| round.on_store_freshness(now, false));
-        // Nobody knows how these went.
-        self.waiting.borrow_mut().clear();
-        self.past.borrow_mut().clear();
+        *self.store.borrow_mut() = None;
+        self.with(|state, now| state.on_store_freshness(now, false));
+        // The outcome of pending calls is unknown.
+        self.pending_calls.borrow_mut().clear();
+        self.saved_event_queries.borrow_mut().clear();
     }
 
-    fn tell_seeker(&self, question: u64, from: Host, known: Known) {
-        if let Some(seeker) = self.seekers.borrow().get(&question) {
-            // One that has left, or was told too much, hears no more.
-            let _ = seeker.try_send((from, known));
+    fn deliver_records(&self, query_id: u64, from: Host, records: RequestRecords) {
+        if let Some(query) = self.record_queries.borrow().get(&query_id) {
+            // A query that has ended or whose channel is full gets no more answers.
+            let _ = query.try_send((from, records));
         }
     }
 
-    pub(crate) fn tell_depot(&self, order: &RegistryToStore) -> bool {
-        self.depot.borrow().as_ref().is_some_and(|(_, depot)| depot.send(order))
+    pub(crate) fn send_to_store(&self, message: &RegistryToStore) -> bool {
+        self.store.borrow().as_ref().is_some_and(|(_, store)| store.send(message))
     }
 
-    pub(crate) fn number(&self) -> u64 {
-        let number = self.next.get();
-        self.next.set(number + 1);
+    pub(crate) fn next_id(&self) -> u64 {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         number
     }
 
-    /// Has the store beside this registry decide on a call.
-    pub async fn ask(&self, ask: StoreRequest) -> StoreResponse {
-        let id = self.number();
+    /// Sends a request to the store on this host and waits for its response.
+    pub async fn call_store(&self, request: StoreRequest) -> StoreResponse {
+        let id = self.next_id();
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, sender);
-        let told = if self.tell_depot(&RegistryToStore::Call(id, ask)) {
-            tokio::time::timeout(PATIENCE, receiver).await.ok().and_then(Result::ok)
+        self.pending_calls.borrow_mut().insert(id, sender);
+        let response = if self.send_to_store(&RegistryToStore::Call(id, request)) {
+            tokio::time::timeout(STORE_TIMEOUT, receiver).await.ok().and_then(Result::ok)
         } else {
             None
         };
-        self.waiting.borrow_mut().remove(&id);
-        told.unwrap_or(StoreResponse::Unclear)
+        self.pending_calls.borrow_mut().remove(&id);
+        response.unwrap_or(StoreResponse::Unclear)
     }
 }
--- a/system/registry/src/requests.rs
+++ b/system/registry/src/requests.rs
@@ -1,7 +1,7 @@
-//! What became of one request: asked of the proxies here and, by the other registries, of all.
+//! The records of one request, collected from the proxies here and through the other registries.
 
 use crate::api::method;
-use crate::registry::{Known, Registry};
+use crate::registry::{Registry, RequestRecords};
 use fennelscale_host::call::{Asked, Call, Json, Serves};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_messages::Host;
@@ -13,24 +13,24 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-const REQUESTS: &str = "/fennelscale/requests/";
-/// Proxies have so long to answer: the longest way there and back, and a busy moment.
-const PROXIES: Duration = Duration::from_millis(350);
-/// Other registries and their proxies have so long.
-const REGISTRIES: Duration = Duration::from_millis(700);
-/// The longest id of a request.
-const LONGEST: usize = 256;
+const REQUESTS_PATH: &str = "/fennelscale/requests/";
+/// Timeout for proxies: a round trip at the longest network delay, plus a busy moment.
+const PROXY_TIMEOUT: Duration = Duration::from_millis(350);
+/// Timeout for other registries and their proxies.
+const REGISTRY_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum length of a request id.
+const MAX_ID_LENGTH: usize = 256;
 
-/// What became of the request with this id.
+/// Reads the records of the request with this id.
 pub struct Request(String);
 
 impl Call for Request {
     type Answer = Json;
     const FORM: &'static str = "GET /fennelscale/requests/ID";
     fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
-        let id = asked.path.strip_prefix(REQUESTS)?;
+        let id = asked.path.strip_prefix(REQUESTS_PATH)?;
         Some(method(asked, &[Method::GET]).and_then(|()| {
-            if id.is_empty() || id.len() > LONGEST {
+            if id.is_empty() || id.len() > MAX_ID_LENGTH {
                 return Err(Failure::new(Kind::Malformed, "the id of a request is wanted"));
             }
             Ok(Self(id.to_owned()))
@@ -40,8 +40,8 @@
 
 impl Serves<Request> for Rc<Registry> {
     async fn serve(&self, Request(id): Request) -> Result<Json, Failure> {
-        let known = self.request(fennelscale_messages::hash(id.as_bytes())).await;
-        let lines: Vec<String> = known
+        let records = self.request_records(fennelscale_messages::hash(id.as_bytes())).await;
+        let lines: Vec<String> = records
             .iter()
             .map(|(host, known)| format!("{{\"proxy\":\"{host}\",\"course\":{known}}}"))
             .collect();
@@ -49,62 +49,62 @@
     }
 }
 
-/// Somebody who waits for answers; dropped, they are not waited for any more.
-struct Seeker<'a> {
+/// A query that waits for answers; it is removed when dropped.
+struct RecordQuery<'a> {
     registry: &'a Registry,
-    number: u64,
-    answers: mpsc::Receiver<(Host, Known)>,
+    id: u64,
+    answers: mpsc::Receiver<(Host, RequestRecords)>,
 }
 
-impl Drop for Seeker<'_> {
+impl Drop for RecordQuery<'_> {
     fn drop(&mut self) {
-        self.registry.seekers.borrow_mut().remove(&self.number);
+        self.registry.record_queries.borrow_mut().remove(&self.id);
     }
 }
 
-impl<'a> Seeker<'a> {
-    fn new(registry: &'a Registry, most: usize) -> Self {
-        let (sender, answers) = mpsc::channel(most.max(1));
-        let number = registry.number();
-        registry.seekers.borrow_mut().insert(number, sender);
-        Self { registry, number, answers }
+impl<'a> RecordQuery<'a> {
+    fn new(registry: &'a Registry, capacity: usize) -> Self {
+        let (sender, answers) = mpsc::channel(capacity.max(1));
+        let id = registry.next_id();
+        registry.record_queries.borrow_mut().insert(id, sender);
+        Self { registry, id, answers }
     }
 
-    /// The answers of so many, as far as they come in time.
-    async fn all(mut self, mut count: usize, patience: Duration) -> Known {
-        let (until, mut known) = (Instant::now() + patience, Vec::new());
+    /// Collects `count` answers, or those that arrive before the timeout.
+    async fn all(mut self, mut count: usize, timeout: Duration) -> RequestRecords {
+        let (deadline, mut records) = (Instant::now() + timeout, Vec::new());
         while count > 0
-            && let Ok(Some((_, more))) = timeout_at(until, self.answers.recv()).await
+            && let Ok(Some((_, more))) = timeout_at(deadline, self.answers.recv()).await
         {
             count -= 1;
-            known.extend(more.into_iter().filter(|(_, text)| !text.is_empty()));
+            records.extend(more.into_iter().filter(|(_, text)| !text.is_empty()));
         }
-        known
+        records
     }
 }
 
 impl Registry {
-    /// What the proxies with a session here know of a request.
-    pub(crate) async fn own_request(&self, id: u64) -> Known {
-        let proxies = self.round.borrow().sessions();
-        let seeker = Seeker::new(self, proxies.len());
+    /// The records of a request at the proxies with a session here.
+    pub(crate) async fn local_request_records(&self, id: u64) -> RequestRecords {
+        let proxies = self.state.borrow().sessions();
+        let query = RecordQuery::new(self, proxies.len());
         let asked = {
             let sessions = self.sessions.borrow();
-            let ask = RegistryToProxy::LookUpRequest(seeker.number, id);
-            let lines = proxies.iter().filter_map(|proxy| sessions.get(proxy));
-            lines.filter(|(_, line)| line.send(&ask)).count()
+            let message = RegistryToProxy::LookUpRequest(query.id, id);
+            let connections = proxies.iter().filter_map(|proxy| sessions.get(proxy));
+            connections.filter(|(_, connection)| connection.send(&message)).count()
         };
-        seeker.all(asked, PROXIES).await
+        query.all(asked, PROXY_TIMEOUT).await
     }
 
-    async fn request(&self, id: u64) -> Known {
-        let peers = self.round.borrow().reachable_registries(self.now());
-        let seeker = Seeker::new(self, peers.len());
+    async fn request_records(&self, id: u64) -> RequestRecords {
+        let peers = self.state.borrow().reachable_registries(self.now());
+        let query = RecordQuery::new(self, peers.len());
         for peer in &peers {
-            self.peers.send(*peer, &RegistryMessage::LookUpRequest(seeker.number, id));
+            self.peers.send(*peer, &RegistryMessage::LookUpRequest(query.id, id));
         }
-        let mut known = self.own_request(id).await;
-        known.extend(seeker.all(peers.len(), REGISTRIES).await);
-        known
+        let mut records = self.local_request_records(id).await;
+        records.extend(query.all(peers.len(), REGISTRY_TIMEOUT).await);
+        records
     }
 }
