--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -37,13 +37,14 @@
 pub(crate) struct MaintenanceState {
     contracts: BTreeMap<String, Contract>,
     orders: BTreeMap<String, Order>,
-    nights: BTreeMap<String, Night>,
-    /// Records as they were chosen; proxies do not need them.
-    records: ItemCopy,
+    /// The record of each order.
+    records: BTreeMap<String, Night>,
+    /// The records as chosen entries; proxies do not need them.
+    record_copy: ItemCopy,
     /// Failure orders that may run: these need the true time as well.
-    failures: BTreeSet<String>,
+    failure_orders: BTreeSet<String>,
     /// The regions that requests for each service may be sent to; computed on demand.
-    homes: Option<Vec<(String, Vec<String>)>>,
+    allowed_regions: Option<Vec<(String, Vec<String>)>>,
     clock: Clock,
     /// The local time of day minus the local monotonic time.
     wall_offset: Option<f64>,
@@ -92,7 +93,7 @@
     /// Applies a configuration item, if it concerns maintenance or where requests may be sent.
     pub(crate) fn on_item(&mut self, name: &str, entry: &Entry) {
         if name.starts_with("r:") || name.starts_with("t:") {
-            self.homes = None;
+            self.allowed_regions = None;
         }
         let parsed = || entry.body.as_deref().and_then(|body| parse_item(name, &entry.host, body).ok());
         if let Some(name) = name.strip_prefix(CONTRACT) {
@@ -118,25 +119,25 @@
     fn set_failure_order(&mut self, name: &str, order: Option<&fennelscale_fault_injection::Order>) {
         match order {
             Some(order) if order.state != fennelscale_fault_injection::State::Stopped => {
-                self.failures.insert(name.to_owned());
+                self.failure_orders.insert(name.to_owned());
             }
-            _ => drop(self.failures.remove(name)),
+            _ => drop(self.failure_orders.remove(name)),
         }
     }
 
     /// Applies a record if it is newer than the known one, and adds its new steps to the feed.
     pub(crate) fn on_record(&mut self, now: Millis, name: &str, entry: &Entry, feed: &mut Feed) {
-        if !self.records.merge(name, entry) {
+        if !self.record_copy.merge(name, entry) {
             return;
         }
         let order = &name[NIGHT.len()..];
-        let Some(night) = entry.body.as_deref().and_then(Night::read) else {
-            self.nights.remove(order);
+        let Some(record) = entry.body.as_deref().and_then(Night::read) else {
+            self.records.remove(order);
             return;
         };
-        let before = self.nights.get(order);
-        for (node, steps) in &night.nodes {
-            let known = before.and_then(|night| night.nodes.get(node)).map_or(0, Vec::len);
+        let before = self.records.get(order);
+        for (node, steps) in &record.nodes {
+            let known = before.and_then(|record| record.nodes.get(node)).map_or(0, Vec::len);
             for (index, step) in steps.iter().enumerate().skip(known) {
                 let kind = match step.phase {
                     Phase::Draining => EventKind::NodeDraining,
@@ -149,14 +150,14 @@
                 feed.record(now, kind, node, mark, cause);
             }
         }
-        self.nights.insert(order.to_owned(), night);
+        self.records.insert(order.to_owned(), record);
     }
 
     /// Whether anything depends on the true time.
     pub(crate) fn is_active(&self) -> bool {
         !self.orders.is_empty()
-            || !self.failures.is_empty()
-            || self.nights.values().any(|night| !night.out().is_empty())
+            || !self.failure_orders.is_empty()
+            || self.records.values().any(|record| !record.out().is_empty())
     }
 
     /// The local time of day, while anything depends on the true time.
@@ -170,14 +171,14 @@
 
     /// The true time to send to proxies, while anything is drained or a failure order may run.
     pub(crate) fn true_time(&self, now: Millis) -> Option<Span> {
-        let is_draining = self.nights.values().any(|night| !night.out().is_empty());
-        if is_draining || !self.failures.is_empty() { self.clock.now(now) } else { None }
+        let is_draining = self.records.values().any(|record| !record.out().is_empty());
+        if is_draining || !self.failure_orders.is_empty() { self.clock.now(now) } else { None }
     }
 }
 
 /// Where requests may be sent: each service with the regions allowed by a route that names it, combined with
 /// those of each tenant.
-fn homes(items: &ItemCopy) -> Vec<(String, Vec<String>)> {
+fn allowed_regions(items: &ItemCopy) -> Vec<(String, Vec<String>)> {
     let mut routes: BTreeSet<(String, Vec<String>)> = BTreeSet::new();
     let mut tenants: BTreeSet<Vec<String>> = BTreeSet::new();
     for (name, entry) in items.entries() {
@@ -242,14 +243,15 @@
             .iter()
             .filter(|member| member.host != self.local_host && !self.is_reachable(member.host, now));
         let unreachable = unreachable.map(|member| member.zone.clone()).collect();
-        let homes = self.maintenance.homes.get_or_insert_with(|| homes(&self.config)).clone();
+        let allowed_regions =
+            self.maintenance.allowed_regions.get_or_insert_with(|| allowed_regions(&self.config)).clone();
         let evacuated = self.config.entries().iter().filter(|(_, entry)| entry.body.is_some());
         let evacuated = evacuated.filter_map(|(name, _)| name.strip_prefix("e:").map(str::to_owned));
         Scene {
             now: self.maintenance.clock.now(now),
             contracts: self.maintenance.contracts.clone(),
             orders: self.maintenance.orders.clone(),
-            nights: self.maintenance.nights.clone(),
+            nights: self.maintenance.records.clone(),
             zones: self.maintenance.zones.clone(),
             backends: self.backend_list.backends.clone(),
             members: self.proxies.all(now),
@@ -258,14 +260,14 @@
             evacuated: evacuated.collect(),
             zones_may_go: self.maintenance.tolerated_zones,
             regions_may_go: self.maintenance.tolerated_regions,
-            homes,
+            homes: allowed_regions,
             doubtful,
         }
     }
 
     pub(crate) fn advance_maintenance(&mut self, now: Millis) {
-        let idle = self.maintenance.orders.is_empty() && self.maintenance.nights.is_empty();
-        if now < self.maintenance.next_evaluation || idle && self.maintenance.failures.is_empty() {
+        let idle = self.maintenance.orders.is_empty() && self.maintenance.records.is_empty();
+        if now < self.maintenance.next_evaluation || idle && self.maintenance.failure_orders.is_empty() {
             return;
         }
         self.maintenance.next_evaluation = now + EVALUATION_INTERVAL;
@@ -276,20 +278,20 @@
             return;
         }
         let held = self.held_duties(now);
-        let names = || self.maintenance.orders.keys().chain(self.maintenance.nights.keys());
+        let names = || self.maintenance.orders.keys().chain(self.maintenance.records.keys());
         if !names().any(|name| held & duties::bit_of(name) != 0) {
             return;
         }
         let scene = self.scene(now);
         let local_host = self.local_host.to_string();
         let is_ours = |name: &str| held & duties::bit_of(name) != 0;
-        if let Some(Next { order, night, node, phase }) = plan::next(&scene, &local_host, is_ours) {
-            let why = night.last(&node).map(|step| step.why.clone()).unwrap_or_default();
-            let about = format!("order={order} node={node} phase={} why={why:?}", phase.name());
+        if let Some(Next { order, night: record, node, phase }) = plan::next(&scene, &local_host, is_ours) {
+            let reason = record.last(&node).map(|step| step.why.clone()).unwrap_or_default();
+            let about = format!("order={order} node={node} phase={} why={reason:?}", phase.name());
             self.outputs.push(Output::Log("maintenance-step", about));
-            let drain = night.drain().map(|drain| drain.text());
+            let drain = record.drain().map(|drain| drain.text());
             let records =
-                vec![(format!("{NIGHT}{order}"), Some(night.text())), (format!("{DRAIN}{order}"), drain)];
+                vec![(format!("{NIGHT}{order}"), Some(record.text())), (format!("{DRAIN}{order}"), drain)];
             self.write_step(now, records);
         } else if let Some(name) = finished_records(&scene).find(|name| is_ours(name)) {
             // The record of a dropped order is dropped as well.
@@ -299,7 +301,7 @@
 
     fn write_step(&mut self, now: Millis, records: Vec<(String, Option<String>)>) {
         let items = self.config.entries().iter().filter(|(name, _)| counts(name));
-        let all = items.chain(self.maintenance.records.entries());
+        let all = items.chain(self.maintenance.record_copy.entries());
         let view_hash = fennelscale_maintenance::seen(all.map(|(name, entry)| (name.as_str(), entry)));
         self.maintenance.pending_since = Some(now);
         self.outputs.push(Output::WriteMaintenanceStep(StepWrite { view_hash, records }));
@@ -353,7 +355,7 @@
                 None => scene.begins(order).map_or_else(String::new, |from| format!("from {from}")),
             };
             let node = |node: &Node| {
-                let last = scene.nights.get(&order.name).and_then(|night| night.last(node));
+                let last = scene.nights.get(&order.name).and_then(|record| record.last(node));
                 let status = |phase, since, reason, waiting_for| NodeStatus {
                     node: node.to_string(),
                     phase,
@@ -369,9 +371,9 @@
                         status(step.phase.name(), format_time(step.at), step.why.clone(), waits_for)
                     }
                     None => {
-                        let why =
+                        let reason =
                             scene.may_drain(order, node).err().map_or("it is next".into(), |why| why.text);
-                        status("waiting", String::new(), why, Vec::new())
+                        status("waiting", String::new(), reason, Vec::new())
                     }
                 }
             };
@@ -393,6 +395,6 @@
 /// The records of orders that no longer exist and have no node drained.
 fn finished_records(scene: &Scene) -> impl Iterator<Item = &str> {
     let is_finished =
-        |(name, night): &(&String, &Night)| !scene.orders.contains_key(*name) && night.out().is_empty();
+        |(name, record): &(&String, &Night)| !scene.orders.contains_key(*name) && record.out().is_empty();
     scene.nights.iter().filter(is_finished).map(|(name, _)| name.as_str())
 }
--- a/system/membership/src/proxies.rs
+++ b/system/membership/src/proxies.rs
@@ -21,17 +21,17 @@
 /// How long a proxy that went silent counts for quota shares.
 pub const SILENT_PROXY_RETENTION: Millis = 20_000.0;
 /// How long a number of proxies that was sent may be in transit and thus not in effect.
-const DELIVERY_TIMEOUT: Millis = 3000.0;
-/// Changes of the member list are batched: minimum interval between two updates to proxies.
+const MAX_DELIVERY_TIME: Millis = 3000.0;
+/// Changes of the list of proxies are batched: minimum interval between two updates to proxies.
 const UPDATE_INTERVAL: Millis = 100.0;
 /// Maximum of remembered numbers of proxies.
-const MAX_COUNTS_SENT: usize = 64;
+const MAX_SENT_COUNTS: usize = 64;
 /// Maximum of remembered sessions that went silent.
-const MAX_SILENT: usize = 4096;
+const MAX_ISOLATED: usize = 4096;
 
 #[derive(Clone, Debug)]
 struct Session {
-    member: ProxyInfo,
+    proxy: ProxyInfo,
     last_heard: Millis,
     copy: Comparison,
     /// Quota shards that the proxy spends without grants since their holders cannot reach it, one bit each.
@@ -52,12 +52,12 @@
     pub isolated_share: f64,
 }
 
-/// Version of the members that was counted, until when the result is valid, and the result.
+/// Version of the directory that was counted, until when the result is valid, and the result.
 type CachedCounts = (u64, Millis, ProxyCounts);
 
 #[derive(Clone, Debug, Default)]
 struct SessionList {
-    members: Vec<ProxyInfo>,
+    proxies: Vec<ProxyInfo>,
     /// Proxies whose sessions there went silent.
     isolated: Vec<IsolatedProxy>,
     /// Proxies that spend quota without grants despite a session there, with the shards.
@@ -69,8 +69,8 @@
 impl SessionList {
     /// All proxies of the list with the number of proxies that each was told; `count` for those with a
     /// session.
-    fn proxies(&self, count: u32) -> impl Iterator<Item = IsolatedProxy> {
-        self.members.iter().map(move |member| (member.host, count)).chain(self.isolated.iter().copied())
+    fn proxies_with_counts(&self, count: u32) -> impl Iterator<Item = IsolatedProxy> {
+        self.proxies.iter().map(move |proxy| (proxy.host, count)).chain(self.isolated.iter().copied())
     }
 }
 
@@ -86,7 +86,7 @@
     sent_counts: VecDeque<(Millis, u32)>,
     /// A proxy may be listed by two registries.
     has_duplicates: bool,
-    /// Incremented with every change that may affect the membership. ProxyDirectory are only iterated after
+    /// Incremented with every change that may affect the membership. The proxies are only iterated after
     /// such a change or when time has made a difference: doing so for every quota request would cost the
     /// square of the number of proxies.
     version: u64,
@@ -98,29 +98,29 @@
 }
 
 fn hash_session_list<'a>(
-    members: impl Iterator<Item = &'a ProxyInfo>, isolated: &[IsolatedProxy], self_granted: &[(Host, u64)],
+    proxies: impl Iterator<Item = &'a ProxyInfo>, isolated: &[IsolatedProxy], self_granted: &[(Host, u64)],
 ) -> u64 {
     let bits = |(host, count): &IsolatedProxy| u64::from(host.0) ^ u64::from(*count) << 32;
     let hash = isolated.iter().fold(1, |hash, proxy| fennelscale_messages::mix(hash ^ bits(proxy)));
     let hash = self_granted.iter().fold(hash, |hash, (host, shards)| {
         fennelscale_messages::mix(fennelscale_messages::mix(hash ^ u64::from(host.0)) ^ shards)
     });
-    members.fold(hash, |hash, member| {
-        let text = format!("{}{:x}{}{}", member.host, member.incarnation, member.port, member.ready);
+    proxies.fold(hash, |hash, proxy| {
+        let text = format!("{}{:x}{}{}", proxy.host, proxy.incarnation, proxy.port, proxy.ready);
         let hash = fennelscale_messages::mix(hash ^ fennelscale_messages::hash(text.as_bytes()));
-        member.idle_nodes.iter().fold(hash, |hash, node| {
+        proxy.idle_nodes.iter().fold(hash, |hash, node| {
             fennelscale_messages::mix(hash ^ fennelscale_messages::hash(node.as_bytes()))
         })
     })
 }
 
 impl ProxyDirectory {
-    pub(crate) fn start_session(&mut self, member: ProxyInfo, now: Millis) {
+    pub(crate) fn start_session(&mut self, proxy: ProxyInfo, now: Millis) {
         self.version += 1;
-        self.isolated.remove(&member.host);
+        self.isolated.remove(&proxy.host);
         self.sessions.insert(
-            member.host,
-            Session { member, last_heard: now, copy: Comparison::default(), self_granted: 0 },
+            proxy.host,
+            Session { proxy, last_heard: now, copy: Comparison::default(), self_granted: 0 },
         );
     }
 
@@ -128,7 +128,7 @@
     pub(crate) fn heartbeat(&mut self, host: Host, ready: bool, now: Millis) -> bool {
         let Some(session) = self.sessions.get_mut(&host) else { return false };
         session.last_heard = now;
-        let changed = std::mem::replace(&mut session.member.ready, ready) != ready;
+        let changed = std::mem::replace(&mut session.proxy.ready, ready) != ready;
         self.version += u64::from(changed);
         changed
     }
@@ -139,7 +139,7 @@
         std::mem::replace(&mut session.self_granted, self_granted) != self_granted
     }
 
-    /// The number of members that spend quotas of a shard without grants.
+    /// The number of proxies that spend quotas of a shard without grants.
     pub(crate) fn self_granted_count(&self, shard: u64) -> f64 {
         let remote = self.session_lists.values().flat_map(|list| &list.self_granted);
         let remote = remote.filter(|(host, _)| !self.sessions.contains_key(host)).copied();
@@ -161,7 +161,7 @@
 
     /// The incarnation of a proxy with a session here.
     pub(crate) fn incarnation(&self, host: Host) -> Option<u64> {
-        self.sessions.get(&host).map(|session| session.member.incarnation)
+        self.sessions.get(&host).map(|session| session.proxy.incarnation)
     }
 
     /// Sets the nodes at which a proxy has no requests in progress. Returns whether other registries should
@@ -169,7 +169,7 @@
     pub(crate) fn set_idle_nodes(&mut self, host: Host, nodes: Vec<String>, now: Millis) -> bool {
         let Some(session) = self.sessions.get_mut(&host) else { return false };
         session.last_heard = now;
-        std::mem::replace(&mut session.member.idle_nodes, nodes.clone()) != nodes
+        std::mem::replace(&mut session.proxy.idle_nodes, nodes.clone()) != nodes
     }
 
     pub(crate) fn leave(&mut self, host: Host, _now: Millis) {
@@ -202,7 +202,7 @@
         let silent: Vec<Host> = silent.map(|(registry, _)| *registry).collect();
         silent.into_iter().for_each(|registry| self.isolate_sessions(registry, count, now));
         self.isolated.retain(|_, (since, _)| now - *since < SILENT_PROXY_RETENTION);
-        while self.isolated.len() > MAX_SILENT {
+        while self.isolated.len() > MAX_ISOLATED {
             self.isolated.pop_first();
         }
         if !expired.is_empty() || before != (self.session_lists.len(), self.isolated.len()) {
@@ -221,11 +221,11 @@
         self.sessions.keys().copied().collect()
     }
 
-    /// The session list of this registry: members, isolated proxies, and proxies that spend quota without
-    /// grants.
+    /// The session list of this registry: proxies with a session, isolated proxies, and proxies that spend
+    /// quota without grants.
     pub(crate) fn local_sessions(&self) -> (Vec<ProxyInfo>, Vec<IsolatedProxy>, Vec<(Host, u64)>) {
-        let members = self.sessions.values().map(|session| session.member.clone());
-        (members.collect(), self.local_isolated(), self.local_self_granted())
+        let proxies = self.sessions.values().map(|session| session.proxy.clone());
+        (proxies.collect(), self.local_isolated(), self.local_self_granted())
     }
 
     fn local_isolated(&self) -> Vec<IsolatedProxy> {
@@ -238,8 +238,8 @@
     }
 
     pub(crate) fn session_list_hash(&self) -> u64 {
-        let members = self.sessions.values().map(|session| &session.member);
-        hash_session_list(members, &self.local_isolated(), &self.local_self_granted())
+        let proxies = self.sessions.values().map(|session| &session.proxy);
+        hash_session_list(proxies, &self.local_isolated(), &self.local_self_granted())
     }
 
     /// The hash of another registry's session list as known here.
@@ -248,21 +248,21 @@
     }
 
     pub(crate) fn set_session_list(
-        &mut self, registry: Host, members: Vec<ProxyInfo>, mut isolated: Vec<IsolatedProxy>,
+        &mut self, registry: Host, proxies: Vec<ProxyInfo>, mut isolated: Vec<IsolatedProxy>,
         mut self_granted: Vec<(Host, u64)>, now: Millis,
     ) {
         self.version += 1;
-        isolated.truncate(MAX_SILENT);
-        self_granted.truncate(MAX_SILENT);
-        for member in &members {
-            self.isolated.remove(&member.host);
+        isolated.truncate(MAX_ISOLATED);
+        self_granted.truncate(MAX_ISOLATED);
+        for proxy in &proxies {
+            self.isolated.remove(&proxy.host);
         }
-        let hash = hash_session_list(members.iter(), &isolated, &self_granted);
+        let hash = hash_session_list(proxies.iter(), &isolated, &self_granted);
         self.session_lists
-            .insert(registry, SessionList { members, isolated, self_granted, hash, last_heard: now });
-        let mut named = BTreeSet::new();
-        let mut all = self.session_lists.values().flat_map(|list| &list.members);
-        self.has_duplicates = !all.all(|member| named.insert(member.host));
+            .insert(registry, SessionList { proxies, isolated, self_granted, hash, last_heard: now });
+        let mut listed = BTreeSet::new();
+        let mut all = self.session_lists.values().flat_map(|list| &list.proxies);
+        self.has_duplicates = !all.all(|proxy| listed.insert(proxy.host));
     }
 
     /// A registry has restarted: its proxies reconnect, or are isolated and unknown to all others.
@@ -275,7 +275,7 @@
     fn isolate_sessions(&mut self, registry: Host, count: u32, now: Millis) {
         let Some(list) = self.session_lists.remove(&registry) else { return };
         self.version += 1;
-        for (host, told) in list.proxies(count) {
+        for (host, told) in list.proxies_with_counts(count) {
             self.isolated.entry(host).or_insert((now, told));
         }
     }
@@ -290,25 +290,25 @@
         }
     }
 
-    /// All members, each once: a session here takes precedence over the lists of other registries, and a list
+    /// All proxies, each once: a session here takes precedence over the lists of other registries, and a list
     /// heard more recently over an older one.
     pub fn all(&self, now: Millis) -> Vec<ProxyInfo> {
-        self.by_host(now).into_values().map(|(_, member)| member.clone()).collect()
+        self.by_host(now).into_values().map(|(_, proxy)| proxy.clone()).collect()
     }
 
     fn by_host(&self, now: Millis) -> BTreeMap<Host, (Millis, &ProxyInfo)> {
         let mut all: BTreeMap<Host, (Millis, &ProxyInfo)> = BTreeMap::new();
         for list in self.session_lists.values() {
-            for member in &list.members {
-                let known = all.entry(member.host).or_insert((list.last_heard, member));
+            for proxy in &list.proxies {
+                let known = all.entry(proxy.host).or_insert((list.last_heard, proxy));
                 if known.0 < list.last_heard {
-                    *known = (list.last_heard, member);
+                    *known = (list.last_heard, proxy);
                 }
             }
         }
         all.retain(|_, (heard, _)| now - *heard < SILENT_REGISTRY_RETENTION);
         for session in self.sessions.values() {
-            all.insert(session.member.host, (now, &session.member));
+            all.insert(session.proxy.host, (now, &session.proxy));
         }
         all
     }
@@ -319,7 +319,7 @@
             .session_lists
             .values()
             .flat_map(|list| [list.last_heard + PEER_TIMEOUT, list.last_heard + SILENT_REGISTRY_RETENTION]);
-        let ends = ends.chain(self.sent_counts.iter().map(|(at, _)| at + DELIVERY_TIMEOUT));
+        let ends = ends.chain(self.sent_counts.iter().map(|(at, _)| at + MAX_DELIVERY_TIME));
         ends.filter(|end| *end > now).fold(f64::INFINITY, f64::min)
     }
 
@@ -337,20 +337,20 @@
     }
 
     fn count(&self, now: Millis) -> ProxyCounts {
-        let members = self.by_host(now);
+        let proxies = self.by_host(now);
         let remote = self.session_lists.values().flat_map(|list| list.isolated.iter().copied());
         let mut isolated: BTreeMap<Host, u32> = BTreeMap::new();
         for (host, told) in
-            remote.chain(self.local_isolated()).filter(|(host, _)| !members.contains_key(host))
+            remote.chain(self.local_isolated()).filter(|(host, _)| !proxies.contains_key(host))
         {
             let known = isolated.entry(host).or_insert(told);
             *known = told.min(*known);
         }
         let share: f64 = isolated.values().map(|told| 1.0 / f64::from((*told).max(1))).sum();
         let unreachable = self.session_lists.values().filter(|list| now - list.last_heard >= PEER_TIMEOUT);
-        let unreachable: usize = unreachable.map(|list| list.members.len()).sum();
+        let unreachable: usize = unreachable.map(|list| list.proxies.len()).sum();
         ProxyCounts {
-            total: (members.len() + isolated.len()).max(1) as f64,
+            total: (proxies.len() + isolated.len()).max(1) as f64,
             isolated: (isolated.len() + unreachable) as f64,
             isolated_share: share + unreachable as f64 / f64::from(self.lowest_sent_count(now)),
         }
@@ -363,8 +363,8 @@
         }
         self.version += 1;
         self.sent_counts.push_back((now, count));
-        while self.sent_counts.get(1).is_some_and(|(at, _)| now - at >= DELIVERY_TIMEOUT)
-            || self.sent_counts.len() > MAX_COUNTS_SENT
+        while self.sent_counts.get(1).is_some_and(|(at, _)| now - at >= MAX_DELIVERY_TIME)
+            || self.sent_counts.len() > MAX_SENT_COUNTS
         {
             self.sent_counts.pop_front();
         }
@@ -373,13 +373,13 @@
     /// The lowest number of proxies that any of them may use now.
     fn lowest_sent_count(&self, now: Millis) -> u32 {
         let superseded =
-            self.sent_counts.iter().skip(1).take_while(|(at, _)| now - at >= DELIVERY_TIMEOUT).count();
+            self.sent_counts.iter().skip(1).take_while(|(at, _)| now - at >= MAX_DELIVERY_TIME).count();
         let lowest = self.sent_counts.iter().skip(superseded).map(|(_, count)| *count).min();
         lowest.unwrap_or_else(|| self.by_host(now).len() as u32).max(1)
     }
 
-    /// Whether the member list or the number of proxies may have changed since it was last sent. False until
-    /// the update interval has passed.
+    /// Whether the list of proxies or the number of proxies may have changed since it was last sent. False
+    /// until the update interval has passed.
     pub(crate) fn may_have_changed(&mut self, now: Millis, count: u32) -> bool {
         let current = |(version, counted, until)| version == self.version && counted == count && now < until;
         if self.last_check.is_some_and(current) || now - self.last_sent_at < UPDATE_INTERVAL {
@@ -406,7 +406,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn member(host: u32, incarnation: u64, ready: bool) -> ProxyInfo {
+    fn proxy(host: u32, incarnation: u64, ready: bool) -> ProxyInfo {
         let (zone, region) = ("a".to_owned(), "r".to_owned());
         ProxyInfo { host: Host(host), incarnation, zone, region, port: 1, ready, idle_nodes: Vec::new() }
     }
@@ -446,18 +446,18 @@
         ]
     }
 
-    fn apply(members: &mut ProxyDirectory, now: Millis, input: Input) {
+    fn apply(directory: &mut ProxyDirectory, now: Millis, input: Input) {
         match input {
-            Input::Start(host, incarnation) => members.start_session(member(host, incarnation, false), now),
-            Input::Heartbeat(host, ready) => drop(members.heartbeat(Host(host), ready, now)),
-            Input::Leave(host) => members.leave(Host(host), now),
-            Input::Disconnect(host) => drop(members.disconnect(Host(host), now)),
-            Input::RegistryRestarted(registry) => members.registry_restarted(Host(registry), now),
+            Input::Start(host, incarnation) => directory.start_session(proxy(host, incarnation, false), now),
+            Input::Heartbeat(host, ready) => drop(directory.heartbeat(Host(host), ready, now)),
+            Input::Leave(host) => directory.leave(Host(host), now),
+            Input::Disconnect(host) => drop(directory.disconnect(Host(host), now)),
+            Input::RegistryRestarted(registry) => directory.registry_restarted(Host(registry), now),
             Input::SessionList(registry, sessions, isolated) => {
                 let sessions: BTreeMap<u32, u64> = sessions.into_iter().collect();
                 let sessions =
-                    sessions.into_iter().map(|(host, incarnation)| member(host, incarnation, true)).collect();
-                members.set_session_list(
+                    sessions.into_iter().map(|(host, incarnation)| proxy(host, incarnation, true)).collect();
+                directory.set_session_list(
                     Host(registry),
                     sessions,
                     isolated.into_iter().map(|host| (Host(host), 1 + host)).collect(),
@@ -465,8 +465,8 @@
                     now,
                 );
             }
-            Input::RegistryHeard(registry) => members.registry_heard(Host(registry), now),
-            Input::TimePasses(_) => drop(members.expire(now)),
+            Input::RegistryHeard(registry) => directory.registry_heard(Host(registry), now),
+            Input::TimePasses(_) => drop(directory.expire(now)),
         }
     }
 
@@ -498,18 +498,18 @@
     #[test]
     fn an_isolated_proxy_counts_with_the_share_of_the_number_it_was_told() {
         for (second_count_at, share) in
-            [(None, 1.0), (Some(PEER_TIMEOUT - 500.0), 1.0), (Some(-2.0 * DELIVERY_TIMEOUT), 0.5)]
+            [(None, 1.0), (Some(PEER_TIMEOUT - 500.0), 1.0), (Some(-2.0 * MAX_DELIVERY_TIME), 0.5)]
         {
-            let mut members = ProxyDirectory::default();
-            members.start_session(member(1, 1, true), -20_000.0);
-            members.record_sent_count(-20_000.0, 1);
+            let mut directory = ProxyDirectory::default();
+            directory.start_session(proxy(1, 1, true), -20_000.0);
+            directory.record_sent_count(-20_000.0, 1);
             if let Some(at) = second_count_at {
-                members.record_sent_count(at, 2);
+                directory.record_sent_count(at, 2);
             }
-            members.heartbeat(Host(1), true, 0.0);
-            assert_eq!(members.expire(PEER_TIMEOUT), [Host(1)]);
-            members.start_session(member(2, 1, true), PEER_TIMEOUT);
-            let counts = members.counts(PEER_TIMEOUT);
+            directory.heartbeat(Host(1), true, 0.0);
+            assert_eq!(directory.expire(PEER_TIMEOUT), [Host(1)]);
+            directory.start_session(proxy(2, 1, true), PEER_TIMEOUT);
+            let counts = directory.counts(PEER_TIMEOUT);
             assert_eq!(
                 (counts.total, counts.isolated, counts.isolated_share),
                 (2.0, 1.0, share),
@@ -520,12 +520,12 @@
 
     #[test]
     fn a_proxy_lags_from_the_second_differing_heartbeat_until_a_matching_one() {
-        let (mut members, host) = (ProxyDirectory::default(), Host(9));
-        members.start_session(member(host.0, 1, true), 0.0);
+        let (mut directory, host) = (ProxyDirectory::default(), Host(9));
+        directory.start_session(proxy(host.0, 1, true), 0.0);
         let mut now = 0.0;
         let mut heartbeat = |differs| {
             now += 400.0;
-            members
+            directory
                 .compare_copy(host, now, if differs { CopyStatus::Differing } else { CopyStatus::Current })
                 .lag_change
         };
