--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -58,7 +58,7 @@
     pub(super) lease: f64,
     /// What this gateway added to the window's count and the totals it received, and its share of the use.
     pub(super) ledger: Ledger,
-    pub(super) share: Share,
+    pub(super) share: UsageShare,
     /// Units left of the quota by the totals received; between them it refills at the rate.
     pub(super) balance: f64,
     pub(super) balance_at: Millis,
@@ -72,7 +72,7 @@
     pub(super) demand: f64,
     pub(super) demand_at: Millis,
     /// This gateway's own slice, spent while the counter is silent.
-    pub(super) slice: Option<Slice>,
+    pub(super) slice: Option<LocalBucket>,
     pub(super) in_flight: u32,
 }
 
@@ -135,18 +135,18 @@
     }
 
     /// A slice that this gateway may spend alone, starting now from the known balance.
-    pub(super) fn new_slice(&self, units: f64, now: Millis, silence: &Silence, plan: &Plan) -> Slice {
+    pub(super) fn new_slice(&self, units: f64, now: Millis, silence: &Silence, plan: &Plan) -> LocalBucket {
         let terms = plan.terms(self.gateway_count, units);
-        let part = terms.part(&self.share, silence.loss);
+        let part = terms.local_share(&self.share, silence.loss);
         // A silence that ended before the last total is already accounted for.
         let lost = if self.last_total_at < silence.ended_at { silence.duration } else { 0.0 };
-        Slice::new(now, self.balance, &terms, part, [lost, silence.uptime], units)
+        LocalBucket::new(now, self.balance, &terms, part, [lost, silence.uptime], units)
     }
 
     /// Spends from the slice, which is the rule while the counter is silent.
     pub(super) fn spend_slice(&mut self, units: f64, now: Millis, silence: &Silence, plan: &Plan) -> bool {
         let mut slice = self.slice.unwrap_or_else(|| self.new_slice(units, now, silence, plan));
-        let fits = slice.spend(now, units);
+        let fits = slice.try_spend(now, units);
         let used = if fits { units } else { 0.0 };
         (self.owed, self.balance) = (self.owed + used, self.balance - used);
         self.slice = Some(slice);
@@ -166,7 +166,7 @@
 /// One counter: its health and the calls to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Counter {
-    pub(super) health: Health,
+    pub(super) health: CounterHealth,
     pub(super) calls: BTreeMap<u64, Name>,
     /// Customers whose requests wait for a free call, by the deadline of the first request.
     pub(super) waiting: BTreeSet<(u64, Name)>,
@@ -174,7 +174,7 @@
 
 impl Counter {
     pub(super) fn max_calls(&self) -> f64 {
-        (MAX_CALLS * self.health.ease.min(1.0)).max(1.0)
+        (MAX_CALLS * self.health.call_share.min(1.0)).max(1.0)
     }
 
     pub(super) fn is_full(&self) -> bool {
@@ -189,12 +189,12 @@
         self.partition = partition;
     }
 
-    pub(super) fn health(&self, counter: usize) -> Health {
+    pub(super) fn health(&self, counter: usize) -> CounterHealth {
         self.counters.get(counter).map(|c| c.health).unwrap_or_default()
     }
 
     pub(super) fn is_silent(&self, counter: usize) -> bool {
-        !self.settings.counter || self.health(counter).silent(self.now, self.settings.counter_timeout)
+        !self.settings.counter || self.health(counter).is_silent(self.now, self.settings.counter_timeout)
     }
 
     /// The quota check: pay from the lease, else from the slice in a silence, else refuse. Returns true if
@@ -224,7 +224,7 @@
         } else if silent {
             self.admit_by_slice(id, actions);
             let idle = self.counters.get(counter).is_some_and(|c| c.calls.is_empty());
-            if idle && self.random() < self.health(counter).ease {
+            if idle && self.random() < self.health(counter).call_share {
                 self.call_counter(&name, actions);
             }
         } else if customer.has_total && left < units {
@@ -251,7 +251,7 @@
         let draw = self.random();
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return false };
-        let ease = self.health(customer.counter).ease;
+        let ease = self.health(customer.counter).call_share;
         let wanted = if request.is_retry { ease - 1.0 } else { ease };
         let calls = self.settings.counter && draw < wanted;
         if calls && customer.call.is_none() {
@@ -328,7 +328,7 @@
     }
 
     pub(super) fn silence_of(&self, counter: usize) -> Silence {
-        let (duration, ended_at) = self.health(counter).lost(self.now);
+        let (duration, ended_at) = self.health(counter).last_outage(self.now);
         Silence { loss: self.settings.loss, duration, ended_at, uptime: self.now - self.started_at }
     }
 
@@ -338,7 +338,7 @@
     }
 
     pub(super) fn ease_of(&self, name: &Name) -> f64 {
-        self.customers.get(name).map_or(1.0, |c| self.health(c.counter).ease)
+        self.customers.get(name).map_or(1.0, |c| self.health(c.counter).call_share)
     }
 
     /// Makes calls for waiting requests while calls are free, the earliest deadline first.
@@ -367,14 +367,14 @@
             counter.waiting.extend(first.map(|r| (r.wait_until.max(0.0).to_bits(), name.clone())));
             return;
         }
-        let silent = counter.health.silent(now, timeout);
+        let silent = counter.health.is_silent(now, timeout);
         let waiting = customer.waiting.iter().filter_map(|id| self.requests.get(id));
         let requested = if silent {
             // A probe adds nothing: an amount that may have been added would be lost to all gateways.
             0.0
         } else if customer.is_sampled(plan) {
             let first: f64 = waiting.filter(|r| !r.is_retry).map(|r| r.units).sum();
-            first / counter.health.ease.min(1.0)
+            first / counter.health.call_share.min(1.0)
         } else {
             let need: f64 = waiting.map(|r| r.units).sum();
             let need = need.min(customer.balance.max(1.0));
@@ -383,8 +383,8 @@
         };
         let owed = if silent { 0.0 } else { std::mem::take(&mut customer.owed) };
         // Units used during a silence are reported as far as they have not been refilled since.
-        let aged = customer.slice.filter(|_| customer.last_total_at < counter.health.back_at);
-        let owed = aged.map_or(owed, |slice| slice.still_owed(now, owed));
+        let aged = customer.slice.filter(|_| customer.last_total_at < counter.health.recovered_at);
+        let owed = aged.map_or(owed, |slice| slice.unreported(now, owed));
         let key = mix(customer.salt ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
         customer.call = Some((customer.window, requested, owed));
         counter.calls.insert(key, name.clone());
@@ -401,18 +401,18 @@
         let Some((at, name)) = self.counters.iter_mut().enumerate().find_map(called) else { return };
         let health = &mut self.counters[at].health;
         if let CountOutcome::Total(total) = outcome {
-            if health.answered(now, latency, timeout) {
+            if health.on_answer(now, latency, timeout) {
                 actions.push(Action::Log(format!("counter{} back", self.address_suffix(at))));
             }
             self.on_total(&name, at, total, actions);
         } else {
             let unknown = outcome == CountOutcome::Unknown;
-            let missed = health.missed(now, latency, timeout, unknown);
-            if missed.silent {
+            let missed = health.on_missed(now, latency, timeout, unknown);
+            if missed.fell_silent {
                 let which = self.address_suffix(at);
                 actions.push(Action::Log(format!("counter{which} silent: spending leases and slices")));
             }
-            self.on_call_failed(&name, unknown, missed.soon, actions);
+            self.on_call_failed(&name, unknown, missed.retry_now, actions);
         }
         self.call_waiting(at, actions);
     }
@@ -428,14 +428,14 @@
         }
         customer.advance(now, plan, &self.partition);
         let slice = customer.slice.take();
-        let aged = slice.filter(|_| customer.last_total_at < health.back_at);
-        customer.owed = aged.map_or(customer.owed, |slice| slice.still_owed(now, customer.owed));
-        if plan.ceiling_rate > 0.0 && customer.has_total && customer.last_total_at < health.back_at {
+        let aged = slice.filter(|_| customer.last_total_at < health.recovered_at);
+        customer.owed = aged.map_or(customer.owed, |slice| slice.unreported(now, customer.owed));
+        if plan.ceiling_rate > 0.0 && customer.has_total && customer.last_total_at < health.recovered_at {
             // The counter may have come back empty, without what others spent during the silence. Only the
             // own slice is certain to be left, and others may continue to spend theirs for a while.
             let slice = slice.unwrap_or_else(|| customer.new_slice(0.0, now, &silence, plan));
-            let others = (plan.rate - slice.rate).max(0.0) * health.returning(now) / 1000.0;
-            customer.balance = customer.balance.min(slice.held_at(now) - others);
+            let others = (plan.rate - slice.rate_per_s).max(0.0) * health.recovery_remaining(now) / 1000.0;
+            customer.balance = customer.balance.min(slice.units_at(now) - others);
         }
         customer.last_total_at = now;
         if window == customer.window {
@@ -444,29 +444,29 @@
             let paid = customer.owed.clamp(0.0, requested);
             (customer.owed, customer.balance) = (customer.owed - paid, customer.balance + paid);
             let span = Customer::refill_time(plan) * SHARE_REFILLS;
-            match customer.ledger.heard(requested + owed, total, plan.ceiling_rate <= 0.0) {
+            match customer.ledger.record_total(requested + owed, total, plan.ceiling_rate <= 0.0) {
                 _ if !customer.has_total => {
-                    customer.share.note(now, requested + owed, total, span);
+                    customer.share.record(now, requested + owed, total, span);
                     // The counter has just come back: its total may lack what others spent.
-                    let recent = now - health.back_at < Customer::refill_time(plan) * IDLE_REFILLS;
-                    let reset = plan.ceiling_rate > 0.0 && health.back_at > 0.0 && recent;
+                    let recent = now - health.recovered_at < Customer::refill_time(plan) * IDLE_REFILLS;
+                    let reset = plan.ceiling_rate > 0.0 && health.recovered_at > 0.0 && recent;
                     let most =
-                        if reset { customer.new_slice(0.0, now, &silence, plan).most } else { f64::INFINITY };
+                        if reset { customer.new_slice(0.0, now, &silence, plan).capacity } else { f64::INFINITY };
                     customer.balance = Customer::initial_balance(plan).min(most) - total;
                     customer.has_total = true;
                 }
-                Heard::Grew { by, found } => {
-                    customer.share.note(now, requested + owed, by, span);
+                TotalChange::Grew { growth: by, confirmed: found } => {
+                    customer.share.record(now, requested + owed, by, span);
                     customer.balance = (customer.balance - (by - owed)).min(plan.burst);
                     customer.lease += found;
                 }
-                Heard::Forgot { missing } => {
+                TotalChange::Forgot { missing } => {
                     // The count was emptied: the units held are reported again, or new leases would be
                     // granted on top of them, and what is known of the use by others may be just as outdated.
                     customer.owed += missing;
                     customer.balance -= requested;
                     if plan.ceiling_rate > 0.0 {
-                        self.counters[counter].health.forgot(now);
+                        self.counters[counter].health.on_data_loss(now);
                     }
                 }
             }
@@ -495,7 +495,7 @@
         let (window, requested, owed) = customer.call.take().unwrap_or_default();
         customer.owed += if may_have_added { owed.max(0.0) } else { owed };
         if may_have_added && window == customer.window {
-            customer.ledger.lost(requested, owed);
+            customer.ledger.record_unknown(requested, owed);
         }
         if soon && !customer.waiting.is_empty() {
             // The answer was malformed or its connection was lost, and there is time left for another call.
@@ -522,7 +522,7 @@
             return self.send_or_queue(id, actions);
         }
         let slice = customer.slice.unwrap_or_default();
-        let (short, rate) = (request.units - slice.held, slice.rate);
+        let (short, rate) = (request.units - slice.units, slice.rate_per_s);
         self.refuse_over_quota(id, short, rate, actions);
     }
 }
--- a/system/config/src/config_index.rs
+++ b/system/config/src/config_index.rs
@@ -202,7 +202,7 @@
             now + added - replaced
         };
         let failure_orders = after(self.failure_orders, |item| matches!(item, ParsedItem::FailureOrder(_)));
-        if failure_orders > fennelscale_fault_injection::MOST_ORDERS {
+        if failure_orders > fennelscale_fault_injection::MAX_ORDERS {
             return Err(too_many_failure_orders(failure_orders));
         }
         let work_orders = after(self.work_orders, |item| matches!(item, ParsedItem::WorkOrder(_)));
@@ -232,7 +232,7 @@
 }
 
 pub(crate) fn too_many_failure_orders(failure_orders: usize) -> InvalidConfig {
-    let most = fennelscale_fault_injection::MOST_ORDERS;
+    let most = fennelscale_fault_injection::MAX_ORDERS;
     InvalidConfig(format!("{failure_orders} failure orders would stand, at most {most}: drop old ones"))
 }
 
--- a/system/config/src/lib.rs
+++ b/system/config/src/lib.rs
@@ -112,7 +112,7 @@
             | ParsedItem::MaintenanceRecord => {}
         }
     }
-    if failure_orders > fennelscale_fault_injection::MOST_ORDERS {
+    if failure_orders > fennelscale_fault_injection::MAX_ORDERS {
         return Err(config_index::too_many_failure_orders(failure_orders));
     }
     if work_orders.len() > MOST_ORDERS {
--- a/system/config/src/tests.rs
+++ b/system/config/src/tests.rs
@@ -181,7 +181,7 @@
     assert!(check_items(FAILURE).is_ok());
     let items = parse_items(FAILURE).unwrap();
     let ParsedItem::FailureOrder(order) = &items[0].1 else { panic!("{items:?}") };
-    assert_eq!((order.what, order.most), (fennelscale_fault_injection::What::CutRequest(0.75), 40));
+    assert_eq!((order.kind, order.max_requests), (fennelscale_fault_injection::FailureKind::CutRequest(0.75), 40));
     assert_eq!(order.until - order.from, 600_000.0);
     for (from, to) in [
         ("\"tenants\":[\"choir\"],", ""),
--- a/system/membership/src/duties.rs
+++ b/system/membership/src/duties.rs
@@ -10,7 +10,7 @@
 
 use crate::Millis;
 use fennelscale_messages::Host;
-pub use fennelscale_quota_lease::{SHARDS, bit_of};
+pub use fennelscale_quota_lease::{SHARDS, shard_bit};
 use std::collections::BTreeMap;
 
 /// How long a core member's grant excludes other claimants.
--- a/system/membership/src/failure_counts.rs
+++ b/system/membership/src/failure_counts.rs
@@ -13,7 +13,7 @@
 pub(crate) type ReportedCounts = BTreeMap<Host, (u64, Vec<OrderCount>)>;
 
 /// Maximum of orders that one proxy may report.
-const MAX_ORDERS_PER_PROXY: usize = fennelscale_fault_injection::MOST_ORDERS;
+const MAX_ORDERS_PER_PROXY: usize = fennelscale_fault_injection::MAX_ORDERS;
 
 impl RegistryState {
     /// A proxy with a session here reports the counts of its current incarnation.
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -38,7 +38,7 @@
     Backend, BackendList, ProxyInfo, ProxyToRegistry, RegistryInfo, RegistryToProxy,
 };
 use fennelscale_messages::store::MemberList;
-use fennelscale_quota_lease::{Ask, Counts, Relay, Terms};
+use fennelscale_quota_lease::{Quota, QuotaCounter, Relay, UnitRequest};
 use maintenance::MaintenanceState;
 use proxies::ProxyDirectory;
 use std::collections::{BTreeMap, BTreeSet};
@@ -125,11 +125,11 @@
     peers: BTreeMap<Host, Peer>,
     proxies: ProxyDirectory,
     duties: DutyLeases,
-    quota_counts: Counts,
+    quota_counts: QuotaCounter,
     quota_relay: Relay,
     /// The registry through which each proxy without a session here reaches this relay.
     relay_routes: BTreeMap<Host, Host>,
-    quota_terms: BTreeMap<String, Terms>,
+    quota_terms: BTreeMap<String, Quota>,
     config: ItemCopy,
     /// Recent checksums of `config`.
     recent_checksums: copies::RecentChecksums,
@@ -184,7 +184,7 @@
             peers: BTreeMap::new(),
             proxies: ProxyDirectory::default(),
             duties: DutyLeases::new(if bootstrap { f64::MIN } else { now }),
-            quota_counts: Counts::default(),
+            quota_counts: QuotaCounter::default(),
             quota_relay: Relay::default(),
             relay_routes: BTreeMap::new(),
             quota_terms: BTreeMap::new(),
@@ -311,7 +311,7 @@
             if self.reachable_registries(now) != self.announced_reachable {
                 self.announce_registries(now);
             }
-            self.quota_counts.sweep(now);
+            self.quota_counts.remove_idle(now);
             let known: BTreeSet<Host> = self.proxies.all(now).iter().map(|member| member.host).collect();
             self.relay_routes.retain(|proxy, _| known.contains(proxy));
             self.failure_counts.retain(|proxy, _| known.contains(proxy));
@@ -464,7 +464,7 @@
             }
         }
         if lost != 0 {
-            self.quota_counts.drop_where(|tenant| lost & duties::bit_of(tenant) != 0);
+            self.quota_counts.remove_where(|tenant| lost & duties::shard_bit(tenant) != 0);
         }
     }
 
@@ -587,7 +587,7 @@
             }
             RegistryMessage::RequestUnits { from: proxy, tenant, units, next_window, demand } => {
                 let grant =
-                    self.grant_quota(now, Ask { tenant: &tenant, proxy, units, next: next_window, demand });
+                    self.grant_quota(now, UnitRequest { tenant: &tenant, proxy, units, next_window: next: next_window, demand });
                 self.outputs.push(Output::SendToRegistry(from, RegistryMessage::Grant(proxy, grant)));
             }
             RegistryMessage::RequestUnitsFromRelay { from: proxy, tenant, units, next_window, demand } => {
@@ -598,8 +598,8 @@
                 self.outputs.push(Output::SendToProxy(proxy, Rc::new(RegistryToProxy::Grant(grant))))
             }
             RegistryMessage::ReturnUnits { tenant, units, window } => {
-                if self.held_duties(now) & duties::bit_of(&tenant) != 0 {
-                    self.quota_counts.back(now, &tenant, units, window);
+                if self.held_duties(now) & duties::shard_bit(&tenant) != 0 {
+                    self.quota_counts.return_units(now, &tenant, units, window);
                 }
             }
             RegistryMessage::RequestEvents(query_id, query) => {
@@ -642,9 +642,9 @@
                 }
             }
             ProxyToRegistry::ReturnUnits { tenant, units, window } => {
-                match self.duty_holder(now, duties::bit_of(&tenant)) {
+                match self.duty_holder(now, duties::shard_bit(&tenant)) {
                     Some(host) if host == self.local_host => {
-                        self.quota_counts.back(now, &tenant, units, window)
+                        self.quota_counts.return_units(now, &tenant, units, window)
                     }
                     Some(host) => self.outputs.push(Output::SendToRegistry(
                         host,
--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -108,7 +108,7 @@
                 Some(ParsedItem::WorkOrder(order)) => drop(self.orders.insert(name.to_owned(), *order)),
                 _ => drop(self.orders.remove(name)),
             }
-        } else if name.starts_with(fennelscale_fault_injection::FAILURE) {
+        } else if name.starts_with(fennelscale_fault_injection::ORDER_PREFIX) {
             match parsed() {
                 Some(ParsedItem::FailureOrder(order)) => self.set_failure_order(name, Some(&order)),
                 _ => self.set_failure_order(name, None),
@@ -279,12 +279,12 @@
         }
         let held = self.held_duties(now);
         let names = || self.maintenance.orders.keys().chain(self.maintenance.records.keys());
-        if !names().any(|name| held & duties::bit_of(name) != 0) {
+        if !names().any(|name| held & duties::shard_bit(name) != 0) {
             return;
         }
         let scene = self.scene(now);
         let local_host = self.local_host.to_string();
-        let is_ours = |name: &str| held & duties::bit_of(name) != 0;
+        let is_ours = |name: &str| held & duties::shard_bit(name) != 0;
         if let Some(Next { order, night: record, node, phase }) = plan::next(&scene, &local_host, is_ours) {
             let reason = record.last(&node).map(|step| step.why.clone()).unwrap_or_default();
             let about = format!("order={order} node={node} phase={} why={reason:?}", phase.name());
@@ -377,7 +377,7 @@
                     }
                 }
             };
-            let holder = self.duty_holder(now, duties::bit_of(&order.name));
+            let holder = self.duty_holder(now, duties::shard_bit(&order.name));
             OrderStatus {
                 name: order.name.clone(),
                 state: order.wanted.name(),
--- a/system/membership/src/quota_grants.rs
+++ b/system/membership/src/quota_grants.rs
@@ -7,7 +7,7 @@
 use fennelscale_messages::registry::RegistryMessage;
 use fennelscale_messages::session::{Grant, RegistryToProxy};
 use fennelscale_messages::store::Entry;
-use fennelscale_quota_lease::{Ask, Counts, Sent, Terms};
+use fennelscale_quota_lease::{Quota, QuotaCounter, RelayOutput, UnitRequest};
 use std::rc::Rc;
 
 impl RegistryState {
@@ -42,20 +42,20 @@
             None => drop(self.relay_routes.remove(&proxy)),
         }
         let mut sent = Vec::new();
-        self.quota_relay.ask(now, proxy, tenant, units, next, demand, terms, &mut sent);
+        self.quota_relay.request_units(now, proxy, tenant, units, next, demand, terms, &mut sent);
         self.send_relay_outputs(now, sent);
     }
 
     pub(crate) fn on_relay_grant(&mut self, now: Millis, grant: Grant) {
         let mut sent = Vec::new();
-        self.quota_relay.grant(now, grant, &mut sent);
+        self.quota_relay.on_grant(now, grant, &mut sent);
         self.send_relay_outputs(now, sent);
     }
 
-    pub(crate) fn send_relay_outputs(&mut self, now: Millis, sent: Vec<Sent>) {
+    pub(crate) fn send_relay_outputs(&mut self, now: Millis, sent: Vec<RelayOutput>) {
         for sent in sent {
             match sent {
-                Sent::Down(proxy, grant) => match self.relay_routes.get(&proxy) {
+                RelayOutput::ToProxy(proxy, grant) => match self.relay_routes.get(&proxy) {
                     Some(via) => {
                         self.outputs.push(Output::SendToRegistry(*via, RegistryMessage::Grant(proxy, grant)))
                     }
@@ -63,7 +63,7 @@
                         self.outputs.push(Output::SendToProxy(proxy, Rc::new(RegistryToProxy::Grant(grant))))
                     }
                 },
-                Sent::Up(tenant, units, next, demand) => {
+                RelayOutput::ToHolder(tenant, units, next, demand) => {
                     self.request_from_holder(now, tenant, units, next, demand)
                 }
             }
@@ -72,9 +72,10 @@
 
     fn request_from_holder(&mut self, now: Millis, tenant: String, units: f64, next: bool, demand: f64) {
         let from = self.local_host;
-        match self.duty_holder(now, duties::bit_of(&tenant)) {
+        match self.duty_holder(now, duties::shard_bit(&tenant)) {
             Some(host) if host == self.local_host => {
-                let grant = self.grant_quota(now, Ask { tenant: &tenant, proxy: from, units, next, demand });
+                let grant = self.grant_quota(now,
+                    UnitRequest { tenant: &tenant, proxy: from, units, next_window: next, demand },);
                 self.on_relay_grant(now, grant);
             }
             Some(host) => self.outputs.push(Output::SendToRegistry(
@@ -100,9 +101,9 @@
 
     /// Grants units of a tenant if the duty is held here. The lease is checked here, where the units are
     /// granted.
-    pub(crate) fn grant_quota(&mut self, now: Millis, ask: Ask<'_>) -> Grant {
-        let (tenant, next) = (ask.tenant, ask.next);
-        let bit = duties::bit_of(tenant);
+    pub(crate) fn grant_quota(&mut self, now: Millis, ask: UnitRequest<'_>) -> Grant {
+        let (tenant, next) = (ask.tenant, ask.next_window);
+        let bit = duties::shard_bit(tenant);
         let terms = self.quota_terms.get(tenant).copied().unwrap_or_default();
         if self.held_duties(now) & bit == 0 || terms.rate <= 0.0 {
             return unavailable_grant(tenant, next, terms);
@@ -116,9 +117,9 @@
         let counts = self.proxy_counts(now);
         // During the waiting period of a new holder all proxies spent without grants, and it takes a while
         // until they report that they no longer do.
-        let settled = now > since + Counts::REST as f64 * terms.window() + SELF_GRANT_REPORT_DELAY;
+        let settled = now > since + QuotaCounter::TAKEOVER_WINDOWS as f64 * terms.window_length() + SELF_GRANT_REPORT_DELAY;
         let self_granted = if settled { self.proxies.self_granted_count(bit) } else { 0.0 };
-        let grant = self.quota_counts.ask(
+        let grant = self.quota_counts.request_units(
             now,
             ask,
             terms,
@@ -137,7 +138,7 @@
         match fact {
             Some(Ok(ParsedItem::Tenant(limits))) if limits.rate_per_s > 0.0 => {
                 self.quota_terms
-                    .insert(tenant.to_owned(), Terms { rate: limits.rate_per_s, burst: limits.burst });
+                    .insert(tenant.to_owned(), Quota { rate: limits.rate_per_s, burst: limits.burst });
             }
             _ => drop(self.quota_terms.remove(tenant)),
         }
@@ -145,7 +146,7 @@
 }
 
 /// The answer while no registry grants: the proxy spends without grants until the window after next.
-fn unavailable_grant(tenant: &str, next: bool, terms: Terms) -> Grant {
-    let (tenant, ends) = (tenant.to_owned(), terms.window());
+fn unavailable_grant(tenant: &str, next: bool, terms: Quota) -> Grant {
+    let (tenant, ends) = (tenant.to_owned(), terms.window_length());
     Grant { tenant, units: 0.0, window: 0, begins_in: 0.0, ends_in: ends, next_window: next, closed: true }
 }
--- a/system/membership/tests/maintenance/mod.rs
+++ b/system/membership/tests/maintenance/mod.rs
@@ -85,7 +85,7 @@
         // According to one clock the window has begun, or is over.
         world.clock_offsets[seed as usize % 6] = if seed % 2 == 0 { 9000.0 } else { -3_600_000.0 };
         run_until(&mut world, 24_000.0 + 400.0 * seed as f64);
-        let bit = fennelscale_membership::duties::bit_of("o");
+        let bit = fennelscale_membership::duties::shard_bit("o");
         let now = world.now;
         let holder =
             world.nodes.iter().position(|r| r.as_ref().is_some_and(|r| r.held_duties(now) & bit != 0));
--- a/system/proxy/src/failure_injection.rs
+++ b/system/proxy/src/failure_injection.rs
@@ -5,7 +5,7 @@
 
 use crate::proxy::Proxy;
 use bytes::Bytes;
-use fennelscale_fault_injection::{Met, What};
+use fennelscale_fault_injection::{FailureKind, InjectedFault};
 use http_body_util::{BodyExt, Full};
 use hyper::Response;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -41,26 +41,26 @@
 /// The slot that a request occupies while a failure order holds it.
 pub struct HeldSlot {
     proxy: Rc<Proxy>,
-    what: What,
+    what: FailureKind,
 }
 
 impl Drop for HeldSlot {
     fn drop(&mut self) {
-        self.proxy.failure_orders.borrow_mut().over(self.what);
+        self.proxy.failure_orders.borrow_mut().release(self.what);
     }
 }
 
 /// The failure that an order injects into one request.
 pub struct InjectedFailure {
     /// The kind of failure.
-    pub what: What,
+    pub what: FailureKind,
     slot: Option<HeldSlot>,
 }
 
 impl InjectedFailure {
     /// The failure of a request that an order has selected.
-    pub fn new(proxy: &Rc<Proxy>, met: &Met) -> Self {
-        let what = met.what;
+    pub fn new(proxy: &Rc<Proxy>, met: &InjectedFault) -> Self {
+        let what = met.kind;
         let slot = what.holds().then(|| HeldSlot { proxy: proxy.clone(), what });
         Self { what, slot }
     }
@@ -110,8 +110,8 @@
     let body = body.collect().await.map_or_else(|never| match never {}, |body| body.to_bytes());
     let size = body.len() as u64;
     let altered = match what {
-        What::LoseAnswer => return Err(ConnectionCut),
-        What::CutAnswer(share) => {
+        FailureKind::LoseAnswer => return Err(ConnectionCut),
+        FailureKind::CutAnswer(share) => {
             let part = (size as f64 * share) as usize;
             if body.is_empty() {
                 // A cut empty body would still look complete.
@@ -120,12 +120,12 @@
             let remaining = VecDeque::from([body.slice(..part.min(body.len() - 1))]);
             PacedBody { remaining, size, gap: Duration::ZERO, pause: None, cut: true, _slot: slot }
         }
-        What::SlowAnswer(ms) => {
+        FailureKind::SlowAnswer(ms) => {
             let remaining = split_body(&body, SLOW_ANSWER_PIECES);
             let gap = Duration::from_secs_f64(ms / 1000.0 / remaining.len().max(1) as f64);
             PacedBody { remaining, size, gap, pause: Some(Box::pin(sleep(gap))), cut: false, _slot: slot }
         }
-        What::Refuse | What::Delay(_) | What::CutRequest(_) => {
+        FailureKind::Refuse | FailureKind::Delay(_) | FailureKind::CutRequest(_) => {
             return Ok(Response::from_parts(head, ResponseBody::Complete(Full::new(body))));
         }
     };
@@ -180,7 +180,7 @@
 mod tests {
     use super::*;
 
-    async fn received(what: What, body: &'static str) -> (Option<u64>, Vec<u8>, bool) {
+    async fn received(what: FailureKind, body: &'static str) -> (Option<u64>, Vec<u8>, bool) {
         let failure = InjectedFailure { what, slot: None };
         let Ok(response) =
             apply(failure, Response::new(Full::new(Bytes::from_static(body.as_bytes())))).await
@@ -203,20 +203,20 @@
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
         runtime.block_on(async {
-            assert_eq!(received(What::LoseAnswer, "abcdefgh").await, (None, Vec::new(), true));
-            assert_eq!(received(What::CutAnswer(0.5), "abcdefgh").await, (Some(8), b"abcd".to_vec(), true));
+            assert_eq!(received(FailureKind::LoseAnswer, "abcdefgh").await, (None, Vec::new(), true));
+            assert_eq!(received(FailureKind::CutAnswer(0.5), "abcdefgh").await, (Some(8), b"abcd".to_vec(), true));
             // Also if the order leaves the whole body.
             assert_eq!(
-                received(What::CutAnswer(1.0), "abcdefgh").await,
+                received(FailureKind::CutAnswer(1.0), "abcdefgh").await,
                 (Some(8), b"abcdefg".to_vec(), true)
             );
-            assert_eq!(received(What::CutAnswer(0.5), "").await, (None, Vec::new(), true));
+            assert_eq!(received(FailureKind::CutAnswer(0.5), "").await, (None, Vec::new(), true));
             assert_eq!(
-                received(What::SlowAnswer(1.0), "abcdefgh").await,
+                received(FailureKind::SlowAnswer(1.0), "abcdefgh").await,
                 (Some(8), b"abcdefgh".to_vec(), false)
             );
-            assert_eq!(received(What::SlowAnswer(1.0), "").await, (Some(0), Vec::new(), false));
-            assert_eq!(received(What::Delay(1.0), "abc").await, (Some(3), b"abc".to_vec(), false));
+            assert_eq!(received(FailureKind::SlowAnswer(1.0), "").await, (Some(0), Vec::new(), false));
+            assert_eq!(received(FailureKind::Delay(1.0), "abc").await, (Some(3), b"abc".to_vec(), false));
         });
     }
 }
--- a/system/registry/src/api.rs
+++ b/system/registry/src/api.rs
@@ -193,7 +193,7 @@
 /// that share it. The store keeps the proxies of an order that exists already.
 fn assign_failure_orders(registry: &Rc<Registry>, changes: &mut [Change]) -> Result<(), Failure> {
     for change in
-        changes.iter_mut().filter(|change| change.name.starts_with(fennelscale_fault_injection::FAILURE))
+        changes.iter_mut().filter(|change| change.name.starts_with(fennelscale_fault_injection::ORDER_PREFIX))
     {
         let fact = change
             .body
@@ -206,15 +206,15 @@
         let Some(limits) = &settings.failures else {
             return Err(invalid("the settings have no table failureOrders, so there are none".into()));
         };
-        limits.allow(&order).map_err(invalid)?;
+        limits.check(&order).map_err(invalid)?;
         let proxies = registry.state.borrow().proxies(registry.now());
-        if order.most < proxies.len() as u64 {
+        if order.max_requests < proxies.len() as u64 {
             let text = format!("most.inAll: one for each of {} proxies at least is wanted", proxies.len());
             return Err(invalid(text));
         }
         let incarnations: Vec<String> = proxies
             .iter()
-            .map(|proxy| fennelscale_fault_injection::proxy(proxy.host, proxy.incarnation))
+            .map(|proxy| fennelscale_fault_injection::proxy_id(proxy.host, proxy.incarnation))
             .collect();
         change.host = incarnations.join(" ");
     }
--- a/system/replication/src/calls.rs
+++ b/system/replication/src/calls.rs
@@ -277,7 +277,7 @@
     fn host_for(&self, change: &Change) -> String {
         let in_force =
             self.latest_entry(&change.name).filter(|known| known.body.is_some() && change.body.is_some());
-        match in_force.filter(|_| change.name.starts_with(fennelscale_fault_injection::FAILURE)) {
+        match in_force.filter(|_| change.name.starts_with(fennelscale_fault_injection::ORDER_PREFIX)) {
             Some(known) => known.host.clone(),
             None => change.host.clone(),
         }
