--- a/system/config/src/item.rs
+++ b/system/config/src/item.rs
@@ -102,11 +102,11 @@
     /// A zone is to get nothing.
     Evacuation,
     /// Hours in which nodes may be drained.
-    MaintenanceContract(Box<fennelscale_maintenance::hours::Contract>),
+    MaintenanceContract(Box<fennelscale_maintenance::contract::Contract>),
     /// Nodes that are to be drained in them.
-    WorkOrder(Box<fennelscale_maintenance::order::Order>),
+    WorkOrder(Box<fennelscale_maintenance::order::WorkOrder>),
     /// Nodes that are drained now.
-    Drain(fennelscale_maintenance::night::Drain),
+    Drain(fennelscale_maintenance::record::Drain),
     /// The record of an order's night.
     MaintenanceRecord,
     /// Requests that are to be failed on purpose.
@@ -202,7 +202,7 @@
             maintenance::order(name, &item).map(|order| ParsedItem::WorkOrder(Box::new(order)))
         }
         Some(("d:", _)) => {
-            let drain = fennelscale_maintenance::night::Drain::read(body);
+            let drain = fennelscale_maintenance::record::Drain::parse(body);
             drain.map(ParsedItem::Drain).ok_or_else(|| InvalidConfig(format!("{name}: no drain")))
         }
         Some(("n:", _)) => Ok(ParsedItem::MaintenanceRecord),
--- a/system/config/src/lib.rs
+++ b/system/config/src/lib.rs
@@ -17,7 +17,7 @@
 pub use standing::{ConfigIndex, ItemChanges};
 pub use table::RoutingTable;
 
-use fennelscale_maintenance::order::MOST_ORDERS;
+use fennelscale_maintenance::order::MAX_ORDERS;
 use fennelscale_messages::store::{DIGEST_PARTS, Entry, NamedEntry};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -113,7 +113,7 @@
     if failures > fennelscale_fault_injection::MOST_ORDERS {
         return Err(standing::too_many_failures(failures));
     }
-    if orders.len() > MOST_ORDERS {
+    if orders.len() > MAX_ORDERS {
         return Err(standing::too_many_orders(orders.len()));
     }
     match orders.iter().find(|order| !contracts.contains(order.contract.as_str())) {
--- a/system/config/src/maintenance.rs
+++ b/system/config/src/maintenance.rs
@@ -2,8 +2,8 @@
 
 use crate::InvalidConfig;
 use crate::item::Item;
-use fennelscale_maintenance::hours::{self, Between, Contract, Rule};
-use fennelscale_maintenance::order::{MOST_NODES, Most, Order, Wanted};
+use fennelscale_maintenance::contract::{self, Contract, Rule, TimeRange};
+use fennelscale_maintenance::order::{MAX_NODES, OrderState, OutLimits, WorkOrder};
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 use std::collections::BTreeMap;
 
@@ -28,19 +28,19 @@
     value.get(name).and_then(|v| v.as_str()).ok_or_else(|| format!("{name}: a text is wanted"))
 }
 
-fn between(value: &Value) -> Result<Between, String> {
-    let (from, to) = (hours::time(text(value, "from")?)?, hours::time(text(value, "to")?)?);
+fn between(value: &Value) -> Result<TimeRange, String> {
+    let (from, to) = (contract::parse_time(text(value, "from")?)?, contract::parse_time(text(value, "to")?)?);
     if from == to {
         Err("from and to: two different times are wanted".into())
     } else {
-        Ok(Between { from, to })
+        Ok(TimeRange { from, to })
     }
 }
 
 fn rule(value: &Value) -> Result<Rule, String> {
     let days =
         value.get("days").and_then(|v| v.as_array()).ok_or("days: a list of days like mon is wanted")?;
-    let day = |v: &Value| hours::day(v.as_str().unwrap_or_default());
+    let day = |v: &Value| contract::parse_day(v.as_str().unwrap_or_default());
     let days: Vec<_> = days.iter().map(day).collect::<Result<_, _>>()?;
     if days.is_empty() {
         return Err("days: one day at least is wanted".into());
@@ -48,8 +48,8 @@
     Ok(Rule { days, between: between(value)? })
 }
 
-fn exception(value: &Value) -> Result<(jiff::civil::Date, Vec<Between>), String> {
-    let date = hours::date(text(value, "date")?)?;
+fn exception(value: &Value) -> Result<(jiff::civil::Date, Vec<TimeRange>), String> {
+    let date = contract::parse_date(text(value, "date")?)?;
     let spans =
         value.get("hours").and_then(|v| v.as_array()).ok_or("hours: a list is wanted, empty for none")?;
     Ok((date, spans.iter().map(between).collect::<Result<_, _>>()?))
@@ -67,7 +67,8 @@
 
 /// A contract.
 pub(crate) fn contract(name: &str, item: &Item<'_>) -> Result<Contract, InvalidConfig> {
-    let zone = hours::zone(&item.text(&["timeZone"])?).map_err(|text| item.wrong("timeZone", &text))?;
+    let zone =
+        contract::parse_zone(&item.text(&["timeZone"])?).map_err(|text| item.wrong("timeZone", &text))?;
     let rules = list(item, "hours")?.iter().map(rule).collect::<Result<_, _>>();
     let exceptions = list(item, "exceptions")?.iter().map(exception).collect::<Result<Vec<_>, _>>();
     let exceptions = exceptions.map_err(|text| item.wrong("exceptions", &text))?;
@@ -82,7 +83,7 @@
     }
     Ok(Contract {
         name: name.to_owned(),
-        zone,
+        time_zone: zone,
         rules: rules.map_err(|text| item.wrong("hours", &text))?,
         exceptions,
         places: places.into_iter().collect(),
@@ -91,10 +92,10 @@
 }
 
 /// A work order.
-pub(crate) fn order(name: &str, item: &Item<'_>) -> Result<Order, InvalidConfig> {
+pub(crate) fn order(name: &str, item: &Item<'_>) -> Result<WorkOrder, InvalidConfig> {
     let nodes = item.texts(&["nodes"])?;
-    if nodes.is_empty() || nodes.len() > MOST_NODES {
-        return Err(item.wrong("nodes", &format!("one node at least and {MOST_NODES} at most are wanted")));
+    if nodes.is_empty() || nodes.len() > MAX_NODES {
+        return Err(item.wrong("nodes", &format!("one node at least and {MAX_NODES} at most are wanted")));
     }
     let nodes: Vec<_> = nodes
         .iter()
@@ -104,12 +105,14 @@
         return Err(item.wrong("nodes", "each node may stand once"));
     }
     let state = item.text(&["state"])?;
-    let wanted = Wanted::ALL.iter().find(|(name, _)| *name == state).map(|(_, wanted)| *wanted);
+    let wanted = OrderState::ALL.iter().find(|(name, _)| *name == state).map(|(_, wanted)| *wanted);
     let wanted = wanted.ok_or_else(|| {
-        item.wrong("state", &format!("one of {} is wanted", Wanted::ALL.map(|(name, _)| name).join(", ")))
+        item.wrong("state", &format!("one of {} is wanted", OrderState::ALL.map(|(name, _)| name).join(", ")))
     })?;
     let approved_by = approver(item)?;
-    if approved_by.is_none() && matches!(wanted, Wanted::Approved | Wanted::Running | Wanted::Paused) {
+    if approved_by.is_none()
+        && matches!(wanted, OrderState::Approved | OrderState::Running | OrderState::Paused)
+    {
         return Err(item.wrong("approvedBy", &format!("an order that is {state} names who has approved it")));
     }
     let span = |field: &str, least: f64, usual: Option<f64>| {
@@ -119,28 +122,28 @@
         }
         Err(item.wrong(field, &format!("{:.0} s at least and a day at most are wanted", least / 1000.0)))
     };
-    let usual = Most::default();
+    let usual = OutLimits::default();
     let most = |field: &str, usual: usize| {
         let most = item.number(&["mostOut", field], Some(usual as f64))?;
-        if most >= 1.0 && most.fract() == 0.0 && most <= MOST_NODES as f64 {
+        if most >= 1.0 && most.fract() == 0.0 && most <= MAX_NODES as f64 {
             return Ok(most as usize);
         }
         Err(item
-            .wrong(&format!("mostOut.{field}"), &format!("a whole number from 1 to {MOST_NODES} is wanted")))
+            .wrong(&format!("mostOut.{field}"), &format!("a whole number from 1 to {MAX_NODES} is wanted")))
     };
-    Ok(Order {
+    Ok(WorkOrder {
         name: name.to_owned(),
         contract: item.text(&["contract"])?,
         nodes,
-        length: span("length", 1000.0, None)?,
-        back_before: span("backBefore", LEAST_BACK, Some(30_000.0))?,
-        most: Most {
+        out_duration: span("length", 1000.0, None)?,
+        return_time: span("backBefore", LEAST_BACK, Some(30_000.0))?,
+        limits: OutLimits {
             order: most("order", usual.order)?,
             zone: most("zone", usual.zone)?,
             region: most("region", usual.region)?,
             service: most("service", usual.service)?,
         },
-        wanted,
+        state: wanted,
         approved_by,
     })
 }
--- a/system/config/src/standing.rs
+++ b/system/config/src/standing.rs
@@ -2,7 +2,7 @@
 //!
 //! The same rules as [`check_together`](crate::check_together), which looks at all items and is what the tests hold this against.
 
-use crate::{InvalidConfig, MOST_ORDERS, ParsedItem};
+use crate::{InvalidConfig, MAX_ORDERS, ParsedItem};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What a call makes of items: their new facts, none where one is dropped.
@@ -65,7 +65,7 @@
 }
 
 fn contract_item(contract: &str) -> String {
-    format!("{}{contract}", fennelscale_maintenance::CONTRACT)
+    format!("{}{contract}", fennelscale_maintenance::CONTRACT_PREFIX)
 }
 
 impl ConfigIndex {
@@ -169,11 +169,11 @@
             {
                 return Err(no_service(route, service));
             }
-            if let Some(contract) = name.strip_prefix(fennelscale_maintenance::CONTRACT)
+            if let Some(contract) = name.strip_prefix(fennelscale_maintenance::CONTRACT_PREFIX)
                 && let Some(order) = self.orders_of.holder(&contract.to_owned(), changes)
             {
                 return Err(no_contract(
-                    order.strip_prefix(fennelscale_maintenance::ORDER).unwrap_or(order),
+                    order.strip_prefix(fennelscale_maintenance::ORDER_PREFIX).unwrap_or(order),
                     contract,
                 ));
             }
@@ -193,7 +193,7 @@
             return Err(too_many_failures(failures));
         }
         let orders = after(self.orders, |fact| matches!(fact, ParsedItem::WorkOrder(_)));
-        if orders > MOST_ORDERS {
+        if orders > MAX_ORDERS {
             return Err(too_many_orders(orders));
         }
         Ok(())
@@ -224,5 +224,5 @@
 }
 
 pub(crate) fn too_many_orders(orders: usize) -> InvalidConfig {
-    InvalidConfig(format!("{orders} work orders would stand, at most {MOST_ORDERS}: drop old ones"))
+    InvalidConfig(format!("{orders} work orders would stand, at most {MAX_ORDERS}: drop old ones"))
 }
--- a/system/config/src/table.rs
+++ b/system/config/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::claims::Claims;
 use crate::{Limits, ParsedItem, Route, Service, Tenant};
-use fennelscale_maintenance::night::Drain;
+use fennelscale_maintenance::record::Drain;
 use fennelscale_messages::store::Stamp;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
--- a/system/config/src/tests.rs
+++ b/system/config/src/tests.rs
@@ -125,8 +125,8 @@
     let facts = facts(NIGHT).unwrap();
     assert_eq!(facts.len(), 2);
     let ParsedItem::WorkOrder(order) = &facts[1].1 else { panic!("{:?}", facts[1]) };
-    assert_eq!((order.length, order.back_before, order.nodes.len()), (600_000.0, 60_000.0, 3));
-    assert_eq!((order.most.zone, order.most.region), (2, 1));
+    assert_eq!((order.out_duration, order.return_time, order.nodes.len()), (600_000.0, 60_000.0, 3));
+    assert_eq!((order.limits.zone, order.limits.region), (2, 1));
     let changes = parse_call(NIGHT.as_bytes()).unwrap();
     let entries: Vec<_> = changes
         .iter()
--- a/system/experiments/src/figures.rs
+++ b/system/experiments/src/figures.rs
@@ -2,7 +2,7 @@
 
 use crate::Fault;
 use crate::play::{FIGURES, Set};
-use fennelscale_simulation::Chance;
+use fennelscale_simulation::Rng;
 use std::collections::BTreeMap;
 
 /// Samples that are drawn again for an interval.
@@ -31,7 +31,7 @@
 impl Mean {
     /// Of values; by drawing them again (bootstrap, percentiles), the same for the same values.
     pub fn new(values: &[f64]) -> Self {
-        let (mut chance, many) = (Chance::new(values.len() as u64), values.len());
+        let (mut chance, many) = (Rng::new(values.len() as u64), values.len());
         let mut means: Vec<f64> = (0..DRAWS)
             .map(|_| (0..many).map(|_| values[chance.below(many)]).sum::<f64>() / many.max(1) as f64)
             .collect();
--- a/system/experiments/src/growth.rs
+++ b/system/experiments/src/growth.rs
@@ -1,6 +1,6 @@
 //! What grows with a deployment: bytes, time of the machines, what they hold.
 
-use fennelscale_simulation::{Config, World};
+use fennelscale_simulation::{Config, Simulation};
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
 
@@ -30,7 +30,7 @@
     let config =
         Config { proxies, backends, tenants, routes, rate: 20.0, measure: true, ..Config::default() };
     let cores = config.cores as f64;
-    let mut world = World::new(1, config);
+    let mut world = Simulation::new(1, config);
     world.run(3000.0);
     let (before, begun) = (world.bytes, Instant::now());
     world.run(SPAN);
@@ -42,7 +42,7 @@
         core: (sent[0] + sent[1]) / cores,
         proxy: sent[2] / many,
         time: took * 1e6 / seconds / many,
-        held: world.held().map(|held| held as f64),
+        held: world.state_sizes().map(|held| held as f64),
     }
 }
 
--- a/system/experiments/src/play.rs
+++ b/system/experiments/src/play.rs
@@ -2,7 +2,7 @@
 
 use crate::figures::mean_of;
 use crate::scenario::{Happens, Scenario};
-use fennelscale_simulation::World;
+use fennelscale_simulation::Simulation;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -46,10 +46,10 @@
     ("broken", "promises that did not hold", false),
 ];
 
-fn happen(world: &mut World, happens: Happens) {
+fn happen(world: &mut Simulation, happens: Happens) {
     match happens {
         Happens::Fault(fault) => world.fault(fault),
-        Happens::Change => world.operate(),
+        Happens::Change => world.change_route(),
     }
 }
 
@@ -57,11 +57,11 @@
 pub fn play(scenario: &Scenario, seed: u64) -> Run {
     let mut world = scenario.world(seed);
     world.run(CALM);
-    let (begun, bytes, first) = (world.now, world.bytes, world.times().len());
+    let (begun, bytes, first) = (world.now, world.bytes, world.change_times().len());
     let (all_served, all_refused) = (world.served, world.refused);
     let mut events = scenario.events.iter().peekable();
     let mut served = Vec::new();
-    while world.now - begun < scenario.lasts && world.broken.is_empty() {
+    while world.now - begun < scenario.lasts && world.violations.is_empty() {
         let at = world.now - begun;
         while let Some((_, happens)) = events.next_if(|(due, _)| *due <= at) {
             happen(&mut world, *happens);
@@ -81,7 +81,7 @@
     let (came, refused) = ((world.served - all_served) as f64, (world.refused - all_refused) as f64);
     let sent = [0, 1, 2].map(|n| (world.bytes[n] - bytes[n]) as f64 / seconds);
     world.run(BEHIND);
-    let times: Vec<(f64, Option<f64>)> = world.times().into_iter().skip(first).collect();
+    let times: Vec<(f64, Option<f64>)> = world.change_times().into_iter().skip(first).collect();
     let changes = scenario.events.iter().filter(|(_, happens)| *happens == Happens::Change).count();
     let whole = times.iter().filter(|(_, everywhere)| everywhere.is_some()).count();
     let figures = [
@@ -98,7 +98,7 @@
         ("open", changes.saturating_sub(whole) as f64),
         ("core_bytes", (sent[0] + sent[1]) / scenario.config.cores as f64),
         ("proxy_bytes", sent[2] / scenario.config.proxies as f64),
-        ("broken", world.broken.len() as f64),
+        ("broken", world.violations.len() as f64),
     ];
     Run { seed, figures: figures.map(|(name, value)| (name.to_owned(), value)).into(), served }
 }
--- a/system/experiments/src/scenario.rs
+++ b/system/experiments/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios: how large a world is, what is offered, what happens when.
 
 use crate::Fault;
-use fennelscale_simulation::{Config, World};
+use fennelscale_simulation::{Config, Simulation};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -124,18 +124,18 @@
     };
     match raw.r#do.as_str() {
         "kill-core" => each(cores, "core machines", &F::KillCore),
-        "wipe-core" => each(cores, "core machines", &F::WipeCore),
+        "wipe-core" => each(cores, "core machines", &F::LoseDisk),
         "start-core" => each(cores, "core machines", &F::StartCore),
-        "cut-core" => each(cores, "core machines", &F::CutCore),
-        "replace-core" => each(cores, "core machines", &F::Replace),
-        "dark" => each(cores, "core machines", &F::Dark),
+        "cut-core" => each(cores, "core machines", &F::DisconnectCore),
+        "replace-core" => each(cores, "core machines", &F::ReplaceCore),
+        "dark" => each(cores, "core machines", &F::PowerLoss),
         "freeze-core" => {
             let span = raw.for_ms.ok_or("for_ms: how long it stands still is wanted")?;
-            each(cores, "core machines", &|n| F::Freeze(n, span))
+            each(cores, "core machines", &|n| F::PauseCore(n, span))
         }
         "one-way" => match raw.of[..] {
             [from, to] if from < cores && to < cores && from != to => {
-                Ok(vec![Happens::Fault(F::OneWay(from, to))])
+                Ok(vec![Happens::Fault(F::DisconnectOneWay(from, to))])
             }
             _ => {
                 Err("of: two core machines are wanted: what the first sends does not reach the second".into())
@@ -143,14 +143,14 @@
         },
         "kill-proxy" => each(proxies, "proxies", &F::KillProxy),
         "start-proxy" => each(proxies, "proxies", &F::StartProxy),
-        "cut-proxy" => each(proxies, "proxies", &F::CutProxy),
-        "drain" => each(backends, "backends", &F::Drain),
+        "cut-proxy" => each(proxies, "proxies", &F::DisconnectProxy),
+        "drain" => each(backends, "backends", &F::DrainBackend),
         "flood" => {
             let times = raw.times.filter(|t| *t > 0.0).ok_or("times: how many times its usual is wanted")?;
-            each(tenants, "tenants", &|n| F::Flood(n, times))
+            each(tenants, "tenants", &|n| F::Overload(n, times))
         }
-        "heal" => Ok(vec![Happens::Fault(F::Heal)]),
-        "light" => Ok(vec![Happens::Fault(F::Light)]),
+        "heal" => Ok(vec![Happens::Fault(F::RestoreLinks)]),
+        "light" => Ok(vec![Happens::Fault(F::RestorePower)]),
         "change" => Ok(vec![Happens::Change]),
         other => Err(format!("do: {other}: one of {} is wanted", KINDS.join(", "))),
     }
@@ -226,7 +226,7 @@
 
 impl Scenario {
     /// Its world, with all that runs up.
-    pub fn world(&self, seed: u64) -> World {
-        World::new(seed, self.config.clone())
+    pub fn world(&self, seed: u64) -> Simulation {
+        Simulation::new(seed, self.config.clone())
     }
 }
--- a/system/fault-injection/src/desk.rs
+++ b/system/fault-injection/src/desk.rs
@@ -2,7 +2,7 @@
 
 use crate::order::{Caller, Limits, Order, State, What};
 use crate::{MOST_ORDERS, Millis};
-use fennelscale_maintenance::clock::Span;
+use fennelscale_maintenance::clock::TimeInterval;
 use std::collections::BTreeMap;
 
 /// Requests that are held at once by all orders together; more go their way untouched: they would take room from others.
@@ -121,7 +121,7 @@
     }
 
     /// What becomes of a request. Of several orders the first by name that names it counts.
-    pub fn meet(&mut self, now: Millis, time: Option<Span>, caller: &Caller<'_>) -> Verdict {
+    pub fn meet(&mut self, now: Millis, time: Option<TimeInterval>, caller: &Caller<'_>) -> Verdict {
         let (Some(limits), Some(time)) = (self.limits.as_ref(), time) else { return Verdict::Unnamed };
         let runs = |s: &&mut Standing| {
             s.order.state != State::Stopped && s.order.from <= time.earliest && time.latest < s.order.until
@@ -159,7 +159,7 @@
     }
 
     /// A request that no order names has ended.
-    pub fn ended(&mut self, time: Option<Span>, status: u16) {
+    pub fn ended(&mut self, time: Option<TimeInterval>, status: u16) {
         let Some(time) = time else { return };
         for standing in self.orders.values_mut().filter(|s| s.order.state != State::Stopped) {
             if time.latest < standing.order.from {
@@ -184,7 +184,7 @@
     use std::collections::BTreeSet;
     use std::time::Duration;
 
-    const AT: Span = Span { earliest: 10_000.0, latest: 10_500.0 };
+    const AT: TimeInterval = TimeInterval { earliest: 10_000.0, latest: 10_500.0 };
 
     fn limits() -> Limits {
         let kinds = What::NAMES.map(str::to_owned).into();
@@ -231,8 +231,8 @@
         let mut desk = desk(&[order("o", "choir", What::Refuse)]);
         assert_eq!(desk.meet(0.0, Some(AT), &caller("1", "seller")).met(), None);
         assert!(desk.meet(1.0, Some(AT), &caller("2", "choir")).met().is_some());
-        let early = Span { earliest: 9_999.0, latest: 10_400.0 };
-        let late = Span { earliest: 19_600.0, latest: 20_000.0 };
+        let early = TimeInterval { earliest: 9_999.0, latest: 10_400.0 };
+        let late = TimeInterval { earliest: 19_600.0, latest: 20_000.0 };
         for time in [None, Some(early), Some(late)] {
             assert_eq!(desk.meet(2.0, time, &caller("3", "choir")).met(), None, "{time:?}");
         }
--- a/system/maintenance/src/hours.rs
+++ b/system/maintenance/src/contract.rs
@@ -15,7 +15,7 @@
 
 /// From when to when; past midnight where it does not end after it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Between {
+pub struct TimeRange {
     /// It begins.
     pub from: Time,
     /// It ends.
@@ -28,7 +28,7 @@
     /// Days that it begins on.
     pub days: Vec<Weekday>,
     /// When.
-    pub between: Between,
+    pub between: TimeRange,
 }
 
 /// A contract.
@@ -37,11 +37,11 @@
     /// Its name.
     pub name: String,
     /// Its zone of time.
-    pub zone: TimeZone,
+    pub time_zone: TimeZone,
     /// The usual hours.
     pub rules: Vec<Rule>,
     /// On these dates these hours hold, and no others.
-    pub exceptions: BTreeMap<Date, Vec<Between>>,
+    pub exceptions: BTreeMap<Date, Vec<TimeRange>>,
     /// Zones and regions that it covers.
     pub places: BTreeSet<String>,
     /// Who has approved it; none: nothing may be drained by it.
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 /// When it is none.
-pub fn time(text: &str) -> Result<Time, String> {
+pub fn parse_time(text: &str) -> Result<Time, String> {
     let long = text.len() == 8 || text.len() == 5;
     text.parse().ok().filter(|_| long).ok_or_else(|| format!("{text}: a time like 23:30 is wanted"))
 }
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// When it is none.
-pub fn date(text: &str) -> Result<Date, String> {
+pub fn parse_date(text: &str) -> Result<Date, String> {
     text.parse()
         .ok()
         .filter(|_| text.len() == 10)
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 /// When it is none.
-pub fn day(text: &str) -> Result<Weekday, String> {
+pub fn parse_day(text: &str) -> Result<Weekday, String> {
     Ok(match text {
         "mon" => Weekday::Monday,
         "tue" => Weekday::Tuesday,
@@ -98,23 +98,24 @@
 ///
 /// # Errors
 /// When there is none.
-pub fn zone(name: &str) -> Result<TimeZone, String> {
+pub fn parse_zone(name: &str) -> Result<TimeZone, String> {
     TimeZone::get(name).map_err(|_| format!("{name}: a zone of time like Europe/Ljubljana is wanted"))
 }
 
 impl Contract {
     fn on(&self, date: Date) -> Vec<Window> {
-        let spans: Vec<Between> = match self.exceptions.get(&date) {
+        let spans: Vec<TimeRange> = match self.exceptions.get(&date) {
             Some(spans) => spans.clone(),
             None => {
                 let rules = self.rules.iter().filter(|rule| rule.days.contains(&date.weekday()));
                 rules.map(|rule| rule.between).collect()
             }
         };
-        let window = |span: &Between| {
+        let window = |span: &TimeRange| {
             let last = if span.to <= span.from { date.tomorrow().ok()? } else { date };
-            let from = self.zone.to_ambiguous_zoned_datetime(date.to_datetime(span.from)).later().ok()?;
-            let to = self.zone.to_ambiguous_zoned_datetime(last.to_datetime(span.to)).earlier().ok()?;
+            let from =
+                self.time_zone.to_ambiguous_zoned_datetime(date.to_datetime(span.from)).later().ok()?;
+            let to = self.time_zone.to_ambiguous_zoned_datetime(last.to_datetime(span.to)).earlier().ok()?;
             let ms = |at: Timestamp| at.as_millisecond() as f64;
             let window = Window { from: ms(from.timestamp()), to: ms(to.timestamp()) };
             (window.from < window.to).then_some(window)
@@ -124,7 +125,7 @@
 
     fn windows(&self, at: Millis, from: i64, to: i64) -> Vec<Window> {
         let Ok(stamp) = Timestamp::from_millisecond(at as i64) else { return Vec::new() };
-        let today = stamp.to_zoned_datetime(self.zone.clone()).date();
+        let today = stamp.to_zoned_datetime(self.time_zone.clone()).date();
         let dates = (from..=to).filter_map(|days| today.checked_add(Spell::new().days(days)).ok());
         let mut windows: Vec<Window> = dates.flat_map(|date| self.on(date)).collect();
         windows.sort_by(|a, b| a.from.total_cmp(&b.from));
@@ -140,12 +141,12 @@
     }
 
     /// The hours that hold at a moment.
-    pub fn window(&self, at: Millis) -> Option<Window> {
+    pub fn window_at(&self, at: Millis) -> Option<Window> {
         self.windows(at, -2, 2).into_iter().find(|window| window.from <= at && at < window.to)
     }
 
     /// When hours begin next.
-    pub fn next(&self, at: Millis) -> Option<Window> {
+    pub fn next_window(&self, at: Millis) -> Option<Window> {
         self.windows(at, -1, AHEAD).into_iter().find(|window| window.from > at)
     }
 
@@ -156,7 +157,7 @@
 }
 
 /// A moment as people read it, in the contract's zone.
-pub fn told(zone: &TimeZone, at: Millis) -> String {
+pub fn format_time(zone: &TimeZone, at: Millis) -> String {
     Timestamp::from_millisecond(at as i64).map_or_else(
         |_| "?".to_owned(),
         |stamp| stamp.to_zoned_datetime(zone.clone()).strftime("%a %Y-%m-%d %H:%M:%S %Z").to_string(),
@@ -168,11 +169,11 @@
     use super::*;
 
     fn contract(name: &str, from: &str, to: &str) -> Contract {
-        let days = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"].map(|d| day(d).unwrap()).to_vec();
-        let between = Between { from: time(from).unwrap(), to: time(to).unwrap() };
+        let days = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"].map(|d| parse_day(d).unwrap()).to_vec();
+        let between = TimeRange { from: parse_time(from).unwrap(), to: parse_time(to).unwrap() };
         Contract {
             name: "nights".into(),
-            zone: zone(name).unwrap(),
+            time_zone: parse_zone(name).unwrap(),
             rules: vec![Rule { days, between }],
             exceptions: BTreeMap::new(),
             places: ["ljubljana".to_owned()].into(),
@@ -185,7 +186,7 @@
     }
 
     fn hours(contract: &Contract, moment: &str) -> Option<f64> {
-        contract.window(at(moment)).map(|w| (w.to - w.from) / 3_600_000.0)
+        contract.window_at(at(moment)).map(|w| (w.to - w.from) / 3_600_000.0)
     }
 
     #[test]
@@ -195,19 +196,19 @@
         assert_eq!(hours(&contract, "2026-12-02T22:00:00Z"), Some(5.5));
         assert_eq!(hours(&contract, "2026-12-03T03:29:59Z"), Some(5.5));
         assert_eq!(hours(&contract, "2026-12-03T03:30:00Z"), None);
-        contract.rules[0].days = vec![day("wed").unwrap()];
+        contract.rules[0].days = vec![parse_day("wed").unwrap()];
         assert_eq!(hours(&contract, "2026-12-03T02:00:00Z"), Some(5.5), "begun on Wednesday");
         assert_eq!(hours(&contract, "2026-12-03T23:00:00Z"), None);
-        let next = contract.next(at("2026-12-03T12:00:00Z")).unwrap();
+        let next = contract.next_window(at("2026-12-03T12:00:00Z")).unwrap();
         assert_eq!(next.from, at("2026-12-09T22:00:00Z"));
     }
 
     #[test]
     fn an_exception_goes_before_the_rules_of_its_day() {
         let mut contract = contract("America/Costa_Rica", "01:00", "05:00");
-        contract.exceptions.insert(date("2026-12-24").unwrap(), Vec::new());
-        let short = Between { from: time("02:00").unwrap(), to: time("02:30").unwrap() };
-        contract.exceptions.insert(date("2026-12-25").unwrap(), vec![short]);
+        contract.exceptions.insert(parse_date("2026-12-24").unwrap(), Vec::new());
+        let short = TimeRange { from: parse_time("02:00").unwrap(), to: parse_time("02:30").unwrap() };
+        contract.exceptions.insert(parse_date("2026-12-25").unwrap(), vec![short]);
         assert_eq!(hours(&contract, "2026-12-23T08:00:00Z"), Some(4.0));
         assert_eq!(hours(&contract, "2026-12-24T08:10:00Z"), None);
         assert_eq!(hours(&contract, "2026-12-25T07:10:00Z"), None);
@@ -234,7 +235,7 @@
     #[test]
     fn hours_that_touch_are_one() {
         let mut contract = contract("UTC", "22:00", "00:00");
-        let early = Between { from: time("00:00").unwrap(), to: time("03:00").unwrap() };
+        let early = TimeRange { from: parse_time("00:00").unwrap(), to: parse_time("03:00").unwrap() };
         contract.rules.push(Rule { days: contract.rules[0].days.clone(), between: early });
         assert_eq!(hours(&contract, "2026-12-02T23:00:00Z"), Some(5.0));
     }
--- a/system/maintenance/src/order.rs
+++ b/system/maintenance/src/order.rs
@@ -5,9 +5,9 @@
 use std::str::FromStr;
 
 /// The most nodes of one order; guards the record's size.
-pub const MOST_NODES: usize = 64;
+pub const MAX_NODES: usize = 64;
 /// The most orders that stand; an order that has been dropped takes its record with it.
-pub const MOST_ORDERS: usize = 64;
+pub const MAX_ORDERS: usize = 64;
 
 /// What can be drained.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -48,7 +48,7 @@
 
 /// What is wanted of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum OrderState {
     /// Nothing yet: it can be rehearsed.
     Planned,
     /// Nothing yet, but somebody has approved it.
@@ -63,7 +63,7 @@
     Withdrawn,
 }
 
-impl Wanted {
+impl OrderState {
     /// All, with their names.
     pub const ALL: [(&'static str, Self); 6] = [
         ("planned", Self::Planned),
@@ -82,7 +82,7 @@
 
 /// How many nodes may be out at once, by plan or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Most {
+pub struct OutLimits {
     /// Of this order.
     pub order: usize,
     /// In one zone.
@@ -93,7 +93,7 @@
     pub service: usize,
 }
 
-impl Default for Most {
+impl Default for OutLimits {
     fn default() -> Self {
         Self { order: 1, zone: 1, region: 1, service: 1 }
     }
@@ -101,7 +101,7 @@
 
 /// A work order.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct WorkOrder {
     /// Its name.
     pub name: String,
     /// The contract whose hours it keeps.
@@ -109,13 +109,13 @@
     /// What is serviced, in this order.
     pub nodes: Vec<Node>,
     /// How long a node is out, in ms.
-    pub length: Millis,
+    pub out_duration: Millis,
     /// So long before the hours end all nodes are told to go back, in ms.
-    pub back_before: Millis,
+    pub return_time: Millis,
     /// How many at once.
-    pub most: Most,
+    pub limits: OutLimits,
     /// What is wanted of it.
-    pub wanted: Wanted,
+    pub state: OrderState,
     /// Who has approved it.
     pub approved_by: Option<String>,
 }
--- a/system/maintenance/src/night.rs
+++ b/system/maintenance/src/record.rs
@@ -22,7 +22,7 @@
 
 impl Phase {
     /// Whether the node gets nothing.
-    pub fn is_out(self) -> bool {
+    pub fn is_drained(self) -> bool {
         matches!(self, Self::Draining | Self::Out)
     }
 
@@ -52,43 +52,43 @@
 
 /// A night so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Night {
+pub struct MaintenanceRecord {
     /// The steps of each node, by its name.
     pub nodes: BTreeMap<String, Vec<Step>>,
     /// When the hours end that the nodes are out in, in ms since 1970.
     pub ends: Millis,
 }
 
-impl Night {
+impl MaintenanceRecord {
     /// Reads a record; none if it can't be.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         sonic_rs::from_str(text).ok()
     }
 
     /// The record as a text.
-    pub fn text(&self) -> String {
+    pub fn to_json(&self) -> String {
         sonic_rs::to_string(self).unwrap_or_default()
     }
 
     /// How far a node has come; none if it has not begun.
     pub fn phase(&self, node: &Node) -> Option<Phase> {
-        self.last(node).map(|step| step.phase)
+        self.last_step(node).map(|step| step.phase)
     }
 
     /// A node's last step.
-    pub fn last(&self, node: &Node) -> Option<&Step> {
+    pub fn last_step(&self, node: &Node) -> Option<&Step> {
         self.nodes.get(&node.to_string())?.last()
     }
 
     /// Nodes that get nothing.
-    pub fn out(&self) -> Vec<Node> {
-        let out = self.nodes.iter().filter(|(_, steps)| steps.last().is_some_and(|s| s.phase.is_out()));
+    pub fn drained_nodes(&self) -> Vec<Node> {
+        let out = self.nodes.iter().filter(|(_, steps)| steps.last().is_some_and(|s| s.phase.is_drained()));
         out.filter_map(|(node, _)| node.parse().ok()).collect()
     }
 
     /// What proxies are told; none while nothing is out.
     pub fn drain(&self) -> Option<Drain> {
-        let nodes: Vec<String> = self.out().iter().map(Node::to_string).collect();
+        let nodes: Vec<String> = self.drained_nodes().iter().map(Node::to_string).collect();
         (!nodes.is_empty()).then_some(Drain { nodes, ends: self.ends })
     }
 }
@@ -104,12 +104,12 @@
 
 impl Drain {
     /// Reads what an order has drained; none if it can't be.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         sonic_rs::from_str(text).ok()
     }
 
     /// As a text.
-    pub fn text(&self) -> String {
+    pub fn to_json(&self) -> String {
         sonic_rs::to_string(self).unwrap_or_default()
     }
 
--- a/system/maintenance/tests/nights.rs
+++ b/system/maintenance/tests/nights.rs
@@ -3,11 +3,11 @@
 //! every tick, by true time.
 
 use fennelscale_maintenance::clock::Clock;
-use fennelscale_maintenance::hours::{Between, Contract, Rule, day, time, zone};
-use fennelscale_maintenance::night::{Night, Phase};
-use fennelscale_maintenance::order::{Most, Node, Order, Wanted};
-use fennelscale_maintenance::plan::{Scene, next};
-use fennelscale_maintenance::seen;
+use fennelscale_maintenance::contract::{Contract, Rule, TimeRange, parse_day, parse_time, parse_zone};
+use fennelscale_maintenance::order::{Node, OrderState, OutLimits, WorkOrder};
+use fennelscale_maintenance::plan::{View, next_step};
+use fennelscale_maintenance::record::{MaintenanceRecord, Phase};
+use fennelscale_maintenance::view_hash;
 use fennelscale_messages::session::{Backend, ProxyInfo};
 use fennelscale_messages::store::Entry;
 use fennelscale_messages::{Host, mix};
@@ -35,8 +35,8 @@
 struct Store {
     entries: BTreeMap<String, Entry>,
     contracts: BTreeMap<String, Contract>,
-    orders: BTreeMap<String, Order>,
-    nights: BTreeMap<String, Night>,
+    orders: BTreeMap<String, WorkOrder>,
+    nights: BTreeMap<String, MaintenanceRecord>,
 }
 
 impl Store {
@@ -47,7 +47,7 @@
     }
 
     fn number(&self) -> u64 {
-        seen(self.entries.iter().map(|(name, entry)| (name.as_str(), entry)))
+        view_hash(self.entries.iter().map(|(name, entry)| (name.as_str(), entry)))
     }
 }
 
@@ -64,9 +64,9 @@
     /// What it has at work: node of the backend and until when.
     work: Vec<(String, f64)>,
     cut: bool,
-    copy: BTreeMap<String, Night>,
+    copy: BTreeMap<String, MaintenanceRecord>,
     quiet: Vec<String>,
-    time: Option<(f64, fennelscale_maintenance::clock::Span)>,
+    time: Option<(f64, fennelscale_maintenance::clock::TimeInterval)>,
 }
 
 struct World {
@@ -80,7 +80,7 @@
     proxies: Vec<Proxy>,
     store: Store,
     history: Vec<(f64, Store)>,
-    flights: Vec<(f64, u64, String, Night, Node, Phase)>,
+    flights: Vec<(f64, u64, String, MaintenanceRecord, Node, Phase)>,
     backends: Vec<Backend>,
     evacuated: BTreeSet<String>,
     changed: BTreeMap<String, f64>,
@@ -142,21 +142,21 @@
         world.contract(30.0, 40.0 + 200.0 * 0.999);
         for name in ["one", "two"] {
             let nodes = world.draw_nodes();
-            let most = Most {
+            let most = OutLimits {
                 order: 1 + world.below(3),
                 zone: 1 + world.below(2),
                 region: 1 + world.below(3),
                 service: 1 + world.below(3),
             };
             let length = 2000.0 + world.chance() * 15_000.0;
-            let order = Order {
+            let order = WorkOrder {
                 name: name.into(),
                 contract: "nights".into(),
                 nodes,
-                length,
-                back_before: 10_000.0,
-                most,
-                wanted: Wanted::Running,
+                out_duration: length,
+                return_time: 10_000.0,
+                limits: most,
+                state: OrderState::Running,
                 approved_by: Some("x".into()),
             };
             world.store.orders.insert(name.into(), order);
@@ -182,13 +182,13 @@
     fn contract(&mut self, from: f64, to: f64) {
         let clock = |s: f64| {
             let s = s as i64;
-            time(&format!("22:{:02}:{:02}", s / 60, s % 60)).unwrap()
+            parse_time(&format!("22:{:02}:{:02}", s / 60, s % 60)).unwrap()
         };
-        let between = Between { from: clock(from), to: clock(to) };
+        let between = TimeRange { from: clock(from), to: clock(to) };
         let contract = Contract {
             name: "nights".into(),
-            zone: zone("UTC").unwrap(),
-            rules: vec![Rule { days: vec![day("wed").unwrap()], between }],
+            time_zone: parse_zone("UTC").unwrap(),
+            rules: vec![Rule { days: vec![parse_day("wed").unwrap()], between }],
             exceptions: BTreeMap::new(),
             places: ["r0", "r1", "r2"].map(str::to_owned).into(),
             approved_by: Some("director".into()),
@@ -223,23 +223,23 @@
             .collect()
     }
 
-    fn scene(&self, gateway: usize, lag: f64) -> Scene {
+    fn scene(&self, gateway: usize, lag: f64) -> View {
         let store = self.as_of(lag);
-        Scene {
+        View {
             now: self.gateways[gateway].clock.now(self.now),
             contracts: store.contracts.clone(),
             orders: store.orders.clone(),
-            nights: store.nights.clone(),
-            zones: (0..SEATS).map(|n| (zone_name(n), region_of(&zone_name(n)))).collect(),
+            records: store.nights.clone(),
+            zone_regions: (0..SEATS).map(|n| (zone_name(n), region_of(&zone_name(n)))).collect(),
             backends: self.backends.clone(),
-            members: self.members(),
-            silent: self.proxies.iter().filter(|p| p.cut).count(),
-            unheard: (0..SEATS).filter(|n| self.seat_cut[*n]).map(zone_name).collect(),
-            evacuated: self.evacuated.clone(),
-            zones_may_go: 1,
-            regions_may_go: 1,
-            homes: vec![("pay".into(), vec!["r0".into(), "r1".into()])],
-            doubtful: false,
+            proxies: self.members(),
+            isolated_proxies: self.proxies.iter().filter(|p| p.cut).count(),
+            unreachable_zones: (0..SEATS).filter(|n| self.seat_cut[*n]).map(zone_name).collect(),
+            evacuated_zones: self.evacuated.clone(),
+            max_lost_zones: 1,
+            max_lost_regions: 1,
+            service_regions: vec![("pay".into(), vec!["r0".into(), "r1".into()])],
+            may_be_stale: false,
         }
     }
 
@@ -275,11 +275,15 @@
             }
             5 => {
                 let name = if self.chance() < 0.5 { "one" } else { "two" };
-                let wanted =
-                    [Wanted::Running, Wanted::Running, Wanted::Paused, Wanted::Ended, Wanted::Withdrawn]
-                        [self.below(5)];
+                let wanted = [
+                    OrderState::Running,
+                    OrderState::Running,
+                    OrderState::Paused,
+                    OrderState::Ended,
+                    OrderState::Withdrawn,
+                ][self.below(5)];
                 if let Some(order) = self.store.orders.get_mut(name) {
-                    order.wanted = wanted;
+                    order.state = wanted;
                     self.store.touch(&format!("w:{name}"), true);
                     self.changed.insert(name.into(), self.now);
                 }
@@ -319,9 +323,10 @@
 
     fn heeds(&self, proxy: usize) -> BTreeSet<String> {
         let proxy = &self.proxies[proxy];
-        let over = |ends: f64| proxy.time.is_some_and(|(at, span)| span.later(self.now - at).latest >= ends);
+        let over =
+            |ends: f64| proxy.time.is_some_and(|(at, span)| span.advanced_by(self.now - at).latest >= ends);
         let nights = proxy.copy.values().filter(|night| !over(night.ends));
-        nights.flat_map(|night| night.out().into_iter().map(|node| node.to_string())).collect()
+        nights.flat_map(|night| night.drained_nodes().into_iter().map(|node| node.to_string())).collect()
     }
 
     fn holds(node: &str, backend: &Backend) -> bool {
@@ -333,7 +338,7 @@
             if !self.proxies[n].cut {
                 let lag = self.chance() * 600.0;
                 let copy = self.as_of(lag).nights.clone();
-                let newest = |night: &Night| night.nodes.values().map(Vec::len).sum::<usize>();
+                let newest = |night: &MaintenanceRecord| night.nodes.values().map(Vec::len).sum::<usize>();
                 for (name, night) in copy {
                     let known = self.proxies[n].copy.get(&name);
                     if known.is_none_or(|known| newest(known) < newest(&night)) {
@@ -385,22 +390,22 @@
                     let (way, back) = (self.chance() * 150.0, self.chance() * 80.0);
                     let wall = self.truth() - back + self.walls[at];
                     let now = self.now;
-                    self.gateways[n].clock.heard(*seat, now - back - way, now, wall);
+                    self.gateways[n].clock.record_reading(*seat, now - back - way, now, wall);
                 }
             }
             let now = self.now;
-            self.gateways[n].clock.settle(now, &seats, 1);
+            self.gateways[n].clock.update(now, &seats, 1);
             if !self.gateways[n].holds || now < self.gateways[n].busy {
                 continue;
             }
             let lag = self.chance() * 500.0;
             let scene = self.scene(n, lag);
             let number = self.as_of(lag).number();
-            if let Some(step) = next(&scene, &format!("g{n}"), |_| true) {
+            if let Some(step) = next_step(&scene, &format!("g{n}"), |_| true) {
                 let delay = if self.chance() < 0.1 { 3000.0 } else { 100.0 + self.chance() * 300.0 };
                 self.gateways[n].busy = now + delay + 700.0;
                 if self.chance() > 0.05 {
-                    self.flights.push((now + delay, number, step.order, step.night, step.node, step.phase));
+                    self.flights.push((now + delay, number, step.order, step.record, step.node, step.phase));
                 }
             }
         }
@@ -421,12 +426,12 @@
                 let order = &self.store.orders[&name];
                 let contract = &self.store.contracts[&order.contract];
                 let truth = self.truth();
-                assert!(order.wanted == Wanted::Running && contract.approved_by.is_some(), "seed {seed}");
+                assert!(order.state == OrderState::Running && contract.approved_by.is_some(), "seed {seed}");
                 let window = contract
-                    .window(truth)
+                    .window_at(truth)
                     .unwrap_or_else(|| panic!("seed {seed}: {node} drained outside the hours"));
-                assert!(window.to - truth >= order.length, "seed {seed}: too late to begin");
-                assert!(night.out().len() <= order.most.order, "seed {seed}");
+                assert!(window.to - truth >= order.out_duration, "seed {seed}: too late to begin");
+                assert!(night.drained_nodes().len() <= order.limits.order, "seed {seed}");
             }
             if phase == Phase::Out && began {
                 self.assert_quiet(&node.to_string(), "released");
@@ -439,12 +444,13 @@
                 .store
                 .nights
                 .values()
-                .flat_map(Night::out)
+                .flat_map(MaintenanceRecord::drained_nodes)
                 .filter(|n| matches!(n, Node::Zone(_)))
                 .count();
             assert!(zones <= 1, "seed {seed}: more zones out than may be lost");
             for service in SERVICES {
-                let out: Vec<Node> = self.store.nights.values().flat_map(Night::out).collect();
+                let out: Vec<Node> =
+                    self.store.nights.values().flat_map(MaintenanceRecord::drained_nodes).collect();
                 let left = self.backends.iter().filter(|b| b.service == service);
                 let mut left = left.filter(|b| !out.iter().any(|n| Self::holds(&n.to_string(), b)));
                 assert!(left.next().is_some(), "seed {seed}: nothing is left of {service}");
@@ -471,20 +477,20 @@
         let (truth, seed) = (self.truth(), self.number);
         // Whoever is cut off: nobody heeds a drain beyond the hours that it was begun in.
         for n in 0..PROXIES {
-            for night in self.proxies[n].copy.values().filter(|night| !night.out().is_empty()) {
+            for night in self.proxies[n].copy.values().filter(|night| !night.drained_nodes().is_empty()) {
                 let heeds = self.heeds(n);
-                let still = night.out().iter().any(|node| heeds.contains(&node.to_string()));
+                let still = night.drained_nodes().iter().any(|node| heeds.contains(&node.to_string()));
                 assert!(!still || truth < night.ends, "seed {seed}: proxy {n} drains beyond the hours");
             }
         }
         // What operators want binds while a gateway holds the order.
         for (name, night) in &self.store.nights {
-            let Some(node) = night.out().first().cloned() else { continue };
+            let Some(node) = night.drained_nodes().first().cloned() else { continue };
             let order = self.store.orders.get(name);
             let contract = order.and_then(|order| self.store.contracts.get(&order.contract));
-            let runs = order.is_some_and(|o| matches!(o.wanted, Wanted::Running | Wanted::Paused));
+            let runs = order.is_some_and(|o| matches!(o.state, OrderState::Running | OrderState::Paused));
             let holds =
-                runs && contract.is_some_and(|c| c.approved_by.is_some() && c.window(truth).is_some());
+                runs && contract.is_some_and(|c| c.approved_by.is_some() && c.window_at(truth).is_some());
             let since = [name.as_str(), "nights"]
                 .iter()
                 .filter_map(|n| self.changed.get(*n))
@@ -531,7 +537,7 @@
         world.gateways.iter_mut().filter(|g| !g.holds).for_each(|g| (g.holds, g.since) = (true, now));
         world.walls = [0.0; SEATS];
         world.run(30.0, true);
-        let out: Vec<Node> = world.store.nights.values().flat_map(Night::out).collect();
+        let out: Vec<Node> = world.store.nights.values().flat_map(MaintenanceRecord::drained_nodes).collect();
         assert!(out.is_empty(), "seed {seed}: {out:?} is still out");
         world.reached.into_iter().for_each(|(phase, n)| *reached.entry(phase).or_default() += n);
     }
--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -6,12 +6,14 @@
 use crate::feed::{EventKind, Feed};
 use crate::{Millis, Output, RegistryState, duties};
 use fennelscale_config::{ItemCopy, ParsedItem, parse_item};
-use fennelscale_maintenance::clock::{Clock, Span};
-use fennelscale_maintenance::hours::{Contract, told};
-use fennelscale_maintenance::night::{Night, Phase};
-use fennelscale_maintenance::order::{Node, Order, Wanted};
-use fennelscale_maintenance::plan::{self, Next, Scene, Why};
-use fennelscale_maintenance::{CONTRACT, DRAIN, NIGHT, ORDER, counts};
+use fennelscale_maintenance::clock::{Clock, TimeInterval};
+use fennelscale_maintenance::contract::{Contract, format_time};
+use fennelscale_maintenance::order::{Node, OrderState, WorkOrder};
+use fennelscale_maintenance::plan::{self, PlannedStep, Reason, View};
+use fennelscale_maintenance::record::{MaintenanceRecord, Phase};
+use fennelscale_maintenance::{
+    CONTRACT_PREFIX, DRAIN_PREFIX, ORDER_PREFIX, RECORD_PREFIX, is_maintenance_item,
+};
 use fennelscale_messages::Host;
 use fennelscale_messages::store::{Entry, NamedEntry};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,8 +36,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MaintenanceState {
     contracts: BTreeMap<String, Contract>,
-    orders: BTreeMap<String, Order>,
-    nights: BTreeMap<String, Night>,
+    orders: BTreeMap<String, WorkOrder>,
+    nights: BTreeMap<String, MaintenanceRecord>,
     /// Records as they were chosen; proxies need none of them.
     records: ItemCopy,
     /// Failure orders that may run: they need the time, too.
@@ -47,8 +49,8 @@
     busy: Option<Millis>,
     look_at: Millis,
     zones: BTreeMap<String, String>,
-    zones_may_go: usize,
-    regions_may_go: usize,
+    max_lost_zones: usize,
+    max_lost_regions: usize,
     clocks_may_err: usize,
 }
 
@@ -91,14 +93,14 @@
             self.homes = None;
         }
         let what = || entry.body.as_deref().and_then(|body| parse_item(name, &entry.host, body).ok());
-        if let Some(name) = name.strip_prefix(CONTRACT) {
+        if let Some(name) = name.strip_prefix(CONTRACT_PREFIX) {
             match what() {
                 Some(ParsedItem::MaintenanceContract(contract)) => {
                     drop(self.contracts.insert(name.to_owned(), *contract))
                 }
                 _ => drop(self.contracts.remove(name)),
             }
-        } else if let Some(name) = name.strip_prefix(ORDER) {
+        } else if let Some(name) = name.strip_prefix(ORDER_PREFIX) {
             match what() {
                 Some(ParsedItem::WorkOrder(order)) => drop(self.orders.insert(name.to_owned(), *order)),
                 _ => drop(self.orders.remove(name)),
@@ -125,8 +127,8 @@
         if !self.records.merge(name, entry) {
             return;
         }
-        let order = &name[NIGHT.len()..];
-        let Some(night) = entry.body.as_deref().and_then(Night::read) else {
+        let order = &name[RECORD_PREFIX.len()..];
+        let Some(night) = entry.body.as_deref().and_then(MaintenanceRecord::parse) else {
             self.nights.remove(order);
             return;
         };
@@ -152,7 +154,7 @@
     pub(crate) fn is_active(&self) -> bool {
         !self.orders.is_empty()
             || !self.failures.is_empty()
-            || self.nights.values().any(|night| !night.out().is_empty())
+            || self.nights.values().any(|night| !night.drained_nodes().is_empty())
     }
 
     /// The own time of day, while there is anything to keep time for.
@@ -161,12 +163,12 @@
     }
 
     pub(crate) fn heard_time(&mut self, seat: Host, sent: Millis, now: Millis, wall: u64) {
-        self.clock.heard(seat, sent, now, wall as f64);
+        self.clock.record_reading(seat, sent, now, wall as f64);
     }
 
     /// True time as proxies should know it, while anything is drained.
-    pub(crate) fn time(&self, now: Millis) -> Option<Span> {
-        let drains = self.nights.values().any(|night| !night.out().is_empty());
+    pub(crate) fn time(&self, now: Millis) -> Option<TimeInterval> {
+        let drains = self.nights.values().any(|night| !night.drained_nodes().is_empty());
         if drains || !self.failures.is_empty() { self.clock.now(now) } else { None }
     }
 }
@@ -215,7 +217,7 @@
     ) {
         self.hours.zones = zones;
         self.hours.clocks_may_err = machines;
-        (self.hours.zones_may_go, self.hours.regions_may_go) = may_go;
+        (self.hours.max_lost_zones, self.hours.max_lost_regions) = may_go;
     }
 
     /// The machine's time of day, in ms since 1970: it may jump.
@@ -223,11 +225,11 @@
         self.hours.wall = Some(wall - now);
         if self.hours.is_active() {
             let me = self.me;
-            self.hours.clock.heard(me, now, now, wall);
+            self.hours.clock.record_reading(me, now, now, wall);
         }
     }
 
-    fn scene(&mut self, now: Millis) -> Scene {
+    fn scene(&mut self, now: Millis) -> View {
         let doubtful = !self.vouched.holds(now) || self.is_cut(now) || self.listing.stamp.0 == 0;
         let silent = self.counted(now).silent;
         let unheard =
@@ -236,21 +238,21 @@
         let homes = self.hours.homes.get_or_insert_with(|| homes(&self.items)).clone();
         let evacuated = self.items.entries().iter().filter(|(_, entry)| entry.body.is_some());
         let evacuated = evacuated.filter_map(|(name, _)| name.strip_prefix("e:").map(str::to_owned));
-        Scene {
+        View {
             now: self.hours.clock.now(now),
             contracts: self.hours.contracts.clone(),
             orders: self.hours.orders.clone(),
-            nights: self.hours.nights.clone(),
-            zones: self.hours.zones.clone(),
+            records: self.hours.nights.clone(),
+            zone_regions: self.hours.zones.clone(),
             backends: self.listing.backends.clone(),
-            members: self.members.all(now),
-            silent: silent as usize,
-            unheard,
-            evacuated: evacuated.collect(),
-            zones_may_go: self.hours.zones_may_go,
-            regions_may_go: self.hours.regions_may_go,
-            homes,
-            doubtful,
+            proxies: self.members.all(now),
+            isolated_proxies: silent as usize,
+            unreachable_zones: unheard,
+            evacuated_zones: evacuated.collect(),
+            max_lost_zones: self.hours.max_lost_zones,
+            max_lost_regions: self.hours.max_lost_regions,
+            service_regions: homes,
+            may_be_stale: doubtful,
         }
     }
 
@@ -262,7 +264,7 @@
         self.hours.look_at = now + LOOK;
         let seats: Vec<Host> = self.seats.members.iter().map(|seat| seat.host).collect();
         let wrong = self.hours.clocks_may_err;
-        self.hours.clock.settle(now, &seats, wrong);
+        self.hours.clock.update(now, &seats, wrong);
         if self.hours.busy.is_some_and(|since| now - since < UNANSWERED) {
             return;
         }
@@ -274,24 +276,29 @@
         let scene = self.scene(now);
         let me = self.me.to_string();
         let mine = |name: &str| held & duties::bit_of(name) != 0;
-        if let Some(Next { order, night, node, phase }) = plan::next(&scene, &me, mine) {
-            let why = night.last(&node).map(|step| step.why.clone()).unwrap_or_default();
+        if let Some(PlannedStep { order, record, node, phase }) = plan::next_step(&scene, &me, mine) {
+            let why = record.last_step(&node).map(|step| step.why.clone()).unwrap_or_default();
             let about = format!("order={order} node={node} phase={} why={why:?}", phase.name());
             self.out.push(Output::Log("maintenance-step", about));
-            let drain = night.drain().map(|drain| drain.text());
-            let records =
-                vec![(format!("{NIGHT}{order}"), Some(night.text())), (format!("{DRAIN}{order}"), drain)];
+            let drain = record.drain().map(|drain| drain.to_json());
+            let records = vec![
+                (format!("{RECORD_PREFIX}{order}"), Some(record.to_json())),
+                (format!("{DRAIN_PREFIX}{order}"), drain),
+            ];
             self.step(now, records);
         } else if let Some(name) = over(&scene).find(|name| mine(name)) {
             // An order that was dropped takes its record with it.
-            self.step(now, vec![(format!("{NIGHT}{name}"), None), (format!("{DRAIN}{name}"), None)]);
+            self.step(
+                now,
+                vec![(format!("{RECORD_PREFIX}{name}"), None), (format!("{DRAIN_PREFIX}{name}"), None)],
+            );
         }
     }
 
     fn step(&mut self, now: Millis, records: Vec<(String, Option<String>)>) {
-        let items = self.items.entries().iter().filter(|(name, _)| counts(name));
+        let items = self.items.entries().iter().filter(|(name, _)| is_maintenance_item(name));
         let all = items.chain(self.hours.records.entries());
-        let seen = fennelscale_maintenance::seen(all.map(|(name, entry)| (name.as_str(), entry)));
+        let seen = fennelscale_maintenance::view_hash(all.map(|(name, entry)| (name.as_str(), entry)));
         self.hours.busy = Some(now);
         self.out.push(Output::WriteMaintenanceStep(StepWrite { view_hash: seen, records }));
     }
@@ -304,7 +311,7 @@
     }
 
     /// What would stand in the way of orders that a call brings, however long one waits. `changed`: items of the call.
-    pub fn check_orders(&mut self, now: Millis, changed: &[NamedEntry]) -> Vec<(String, Node, Why)> {
+    pub fn check_orders(&mut self, now: Millis, changed: &[NamedEntry]) -> Vec<(String, Node, Reason)> {
         let mut scene = self.scene(now);
         let mut hours = MaintenanceState {
             contracts: std::mem::take(&mut scene.contracts),
@@ -312,36 +319,40 @@
         };
         changed.iter().for_each(|(name, entry)| hours.item(name, entry));
         scene.contracts = hours.contracts;
-        let asks = |order: &&Order| matches!(order.wanted, Wanted::Approved | Wanted::Running);
-        let orders: Vec<Order> = hours.orders.into_values().filter(|order| asks(&order)).collect();
-        let check = |order: &Order| {
+        let asks = |order: &&WorkOrder| matches!(order.state, OrderState::Approved | OrderState::Running);
+        let orders: Vec<WorkOrder> = hours.orders.into_values().filter(|order| asks(&order)).collect();
+        let check = |order: &WorkOrder| {
             let name = order.name.clone();
             scene
-                .rehearse(order)
+                .check_order(order)
                 .into_iter()
                 .map(move |(node, why)| (name.clone(), node, why))
                 .collect::<Vec<_>>()
         };
-        orders.iter().flat_map(check).filter(|(.., why)| why.lasting).collect()
+        orders.iter().flat_map(check).filter(|(.., why)| why.is_permanent).collect()
     }
 
     /// All orders, for people: how far each node is, and why it is or is not drained now.
-    pub fn maintenance_status(&mut self, now: Millis) -> (Option<Span>, Vec<OrderStatus>) {
+    pub fn maintenance_status(&mut self, now: Millis) -> (Option<TimeInterval>, Vec<OrderStatus>) {
         let scene = self.scene(now);
         let orders = scene.orders.values().map(|order| {
-            let zone = scene.contracts.get(&order.contract).map(|contract| contract.zone.clone());
+            let zone = scene.contracts.get(&order.contract).map(|contract| contract.time_zone.clone());
             let moment = |at: Millis| match &zone {
-                Some(zone) if at > 0.0 => told(zone, at),
+                Some(zone) if at > 0.0 => format_time(zone, at),
                 _ => String::new(),
             };
-            let holds =
-                scene.contracts.get(&order.contract).and_then(|contract| contract.window(scene.now?.latest));
+            let holds = scene
+                .contracts
+                .get(&order.contract)
+                .and_then(|contract| contract.window_at(scene.now?.latest));
             let hours = match holds {
                 Some(window) => format!("until {}", moment(window.to)),
-                None => scene.begins(order).map_or_else(String::new, |from| format!("from {from}")),
+                None => {
+                    scene.next_window_start(order).map_or_else(String::new, |from| format!("from {from}"))
+                }
             };
             let node = |node: &Node| {
-                let last = scene.nights.get(&order.name).and_then(|night| night.last(node));
+                let last = scene.records.get(&order.name).and_then(|night| night.last_step(node));
                 let state = |phase, since, why, waits_for| NodeStatus {
                     node: node.to_string(),
                     phase,
@@ -352,7 +363,7 @@
                 match last {
                     Some(step) => {
                         let waits = step.phase == Phase::Draining;
-                        let waits = if waits { scene.waits_for(node) } else { Vec::new() };
+                        let waits = if waits { scene.busy_proxies(node) } else { Vec::new() };
                         let waits = waits.iter().map(Host::to_string).collect();
                         state(step.phase.name(), moment(step.at), step.why.clone(), waits)
                     }
@@ -366,7 +377,7 @@
             let holder = self.holder(now, duties::bit_of(&order.name));
             OrderStatus {
                 name: order.name.clone(),
-                state: order.wanted.name(),
+                state: order.state.name(),
                 contract: order.contract.clone(),
                 holder: holder.map_or_else(String::new, |host| host.to_string()),
                 hours,
@@ -379,8 +390,9 @@
 }
 
 /// Records of orders that are there no more, with nothing out.
-fn over(scene: &Scene) -> impl Iterator<Item = &str> {
-    let gone =
-        |(name, night): &(&String, &Night)| !scene.orders.contains_key(*name) && night.out().is_empty();
-    scene.nights.iter().filter(gone).map(|(name, _)| name.as_str())
+fn over(scene: &View) -> impl Iterator<Item = &str> {
+    let gone = |(name, night): &(&String, &MaintenanceRecord)| {
+        !scene.orders.contains_key(*name) && night.drained_nodes().is_empty()
+    };
+    scene.records.iter().filter(gone).map(|(name, _)| name.as_str())
 }
--- a/system/membership/src/proxy_updates.rs
+++ b/system/membership/src/proxy_updates.rs
@@ -29,7 +29,7 @@
             if name.strip_prefix("m:") == Some(crate::PROXY_COUNT_NAME) {
                 self.noted = entry.body.as_deref().and_then(|body| body.parse().ok()).unwrap_or(0.0);
             }
-            if name.starts_with(fennelscale_maintenance::NIGHT) {
+            if name.starts_with(fennelscale_maintenance::RECORD_PREFIX) {
                 self.hours.record(now, &name, &entry, &mut self.feed);
                 continue;
             }
@@ -43,7 +43,7 @@
             }
             self.sums.superseded(now, sum);
             self.hours.item(&name, &entry);
-            if !name.starts_with(fennelscale_maintenance::DRAIN) {
+            if !name.starts_with(fennelscale_maintenance::DRAIN_PREFIX) {
                 self.note_item(now, &name, &entry);
             }
             fresh.push((name, entry));
--- a/system/membership/tests/nights/mod.rs
+++ b/system/membership/tests/nights/mod.rs
@@ -2,7 +2,7 @@
 //! jumps, steps are held up. What the store wrote is compared with true time.
 
 use crate::world::{TRUE, World, backend};
-use fennelscale_maintenance::night::{Night, Phase};
+use fennelscale_maintenance::record::{MaintenanceRecord, Phase};
 use fennelscale_membership::feed::{EventKind, EventQuery};
 use fennelscale_messages::Host;
 use fennelscale_messages::session::{ProxyInfo, ProxyToRegistry, RegistryToProxy};
@@ -12,8 +12,12 @@
 const FROM: f64 = 20_000.0;
 const TO: f64 = 120_000.0;
 
-fn night(world: &World) -> Night {
-    world.store.get("n:o").and_then(|entry| Night::read(entry.body.as_deref()?)).unwrap_or_default()
+fn night(world: &World) -> MaintenanceRecord {
+    world
+        .store
+        .get("n:o")
+        .and_then(|entry| MaintenanceRecord::parse(entry.body.as_deref()?))
+        .unwrap_or_default()
 }
 
 /// Two proxies in each region, with sessions at the registries that are up.
@@ -55,10 +59,10 @@
 
 fn go(world: &mut World, until: f64) {
     while world.now < until {
-        let quiet: Vec<String> = night(world).out().iter().map(ToString::to_string).collect();
+        let quiet: Vec<String> = night(world).drained_nodes().iter().map(ToString::to_string).collect();
         proxies(world, &quiet);
         world.run(200.0);
-        let out = !night(world).out().is_empty();
+        let out = !night(world).drained_nodes().is_empty();
         assert!(!out || (FROM..TO).contains(&world.now), "something is out at {}", world.now);
     }
 }
@@ -141,7 +145,7 @@
 #[test]
 fn an_order_that_is_dropped_gives_its_nodes_back_and_takes_its_record_with_it() {
     let mut world = begin(5);
-    let begun = |world: &World| !night(world).out().is_empty();
+    let begun = |world: &World| !night(world).drained_nodes().is_empty();
     while !begun(&world) && world.now < TO {
         let until = world.now + 200.0;
         go(&mut world, until);
--- a/system/membership/tests/world/mod.rs
+++ b/system/membership/tests/world/mod.rs
@@ -229,7 +229,7 @@
         self.steps = later;
         for (_, from, write) in due {
             let all = self.store.iter().map(|(name, entry)| (name.as_str(), entry));
-            if fennelscale_maintenance::seen(all) == write.view_hash {
+            if fennelscale_maintenance::view_hash(all) == write.view_hash {
                 for (name, body) in write.records {
                     self.put(&name, body.as_deref());
                     self.written.push((self.now, name));
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -14,7 +14,7 @@
 use fennelscale_host::link::Writer;
 use fennelscale_host::start::{self, Signals};
 use fennelscale_host::{call, spawn};
-use fennelscale_maintenance::clock::Span;
+use fennelscale_maintenance::clock::TimeInterval;
 use fennelscale_messages::Host;
 use fennelscale_messages::session::{
     ProxyInfo, ProxyMessage, ProxyToRegistry, RegistryInfo, RegistryToProxy,
@@ -491,7 +491,7 @@
                 self.carry_out(out, told);
             }
             RegistryToProxy::Time(earliest, latest) => {
-                self.held.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
+                self.held.borrow_mut().set_true_time(self.now(), TimeInterval { earliest, latest });
             }
             RegistryToProxy::LookUpRequest(question, id) => {
                 let known = self.trail.borrow().recall(self.now(), id);
--- a/system/proxy/src/routing_state.rs
+++ b/system/proxy/src/routing_state.rs
@@ -3,9 +3,9 @@
 
 use crate::cold_owners::ColdOwners;
 use fennelscale_config::{ItemCopy, RoutingTable, parse_item};
-use fennelscale_maintenance::clock::Span;
-use fennelscale_maintenance::night::Drain;
+use fennelscale_maintenance::clock::TimeInterval;
 use fennelscale_maintenance::order::Node;
+use fennelscale_maintenance::record::Drain;
 use fennelscale_messages::Host;
 use fennelscale_messages::session::{Backend, BackendList, ProxyInfo};
 use fennelscale_messages::store::NamedEntry;
@@ -92,7 +92,7 @@
     /// Nodes that are drained now by work orders.
     drained_nodes: BTreeSet<Node>,
     /// True time and the local time at which it was received; drains end by it.
-    true_time: Option<(f64, Span)>,
+    true_time: Option<(f64, TimeInterval)>,
     /// All proxies.
     pub proxies: Vec<ProxyInfo>,
     /// Which proxy sends to each cold backend.
@@ -199,13 +199,13 @@
     }
 
     /// Sets the true time that a registry confirms as of now.
-    pub fn set_true_time(&mut self, now: f64, time: Span) {
+    pub fn set_true_time(&mut self, now: f64, time: TimeInterval) {
         self.true_time = Some((now, time));
     }
 
     /// The true time now, extrapolated from when it was received.
-    pub fn true_time(&self, now: f64) -> Option<Span> {
-        self.true_time.map(|(at, span)| span.later(now - at))
+    pub fn true_time(&self, now: f64) -> Option<TimeInterval> {
+        self.true_time.map(|(at, span)| span.advanced_by(now - at))
     }
 
     /// Updates which nodes are drained now: those of the work orders whose maintenance window has not ended.
@@ -214,7 +214,7 @@
     /// changed.
     pub fn update_drains(&mut self, now: f64) -> bool {
         let has_ended =
-            |ends: f64| self.true_time.is_some_and(|(at, span)| span.later(now - at).latest >= ends);
+            |ends: f64| self.true_time.is_some_and(|(at, span)| span.advanced_by(now - at).latest >= ends);
         let drains = self.table.drains.values().filter(|drain| !has_ended(drain.ends));
         let drained_nodes: BTreeSet<Node> = drains.flat_map(Drain::nodes).collect();
         if drained_nodes == self.drained_nodes {
--- a/system/proxy/src/routing_state/tests.rs
+++ b/system/proxy/src/routing_state/tests.rs
@@ -121,7 +121,10 @@
 fn a_disconnected_proxy_ends_drains_with_the_maintenance_window() {
     let mut state = new_state();
     set_drain(&mut state, 0.0, 1, r#""backend:x""#);
-    state.set_true_time(1000.0, Span { earliest: WINDOW_END - 30_500.0, latest: WINDOW_END - 30_000.0 });
+    state.set_true_time(
+        1000.0,
+        TimeInterval { earliest: WINDOW_END - 30_500.0, latest: WINDOW_END - 30_000.0 },
+    );
     assert!(!state.update_drains(30_000.0), "a second before the end, by the latest possible true time");
     assert_eq!(ready_backends(&mut state, 30_000.0), ["y", "z"]);
     assert!(state.update_drains(31_000.0));
--- a/system/registry/src/api.rs
+++ b/system/registry/src/api.rs
@@ -8,7 +8,7 @@
 use fennelscale_host::call::{Asked, Call, Done, Json, Serves, handle};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_maintenance::order::Node;
-use fennelscale_maintenance::plan::Why;
+use fennelscale_maintenance::plan::Reason;
 use fennelscale_membership::maintenance::{NodeStatus, OrderStatus};
 use fennelscale_messages::store::{Change, Entry, StoreRequest, StoreResponse};
 use http_body_util::Full;
@@ -168,10 +168,10 @@
 }
 
 /// What stands in the way of a call's work orders for good. A call without any costs nothing.
-fn rehearse(registry: &Rc<Registry>, changes: &[Change]) -> Vec<(String, Node, Why)> {
+fn rehearse(registry: &Rc<Registry>, changes: &[Change]) -> Vec<(String, Node, Reason)> {
     let maintenance = |name: &str| {
-        name.starts_with(fennelscale_maintenance::CONTRACT)
-            || name.starts_with(fennelscale_maintenance::ORDER)
+        name.starts_with(fennelscale_maintenance::CONTRACT_PREFIX)
+            || name.starts_with(fennelscale_maintenance::ORDER_PREFIX)
     };
     let named = changes.iter().filter(|change| maintenance(&change.name)).map(|change| {
         let Change { name, revision, host, body } = change.clone();
--- a/system/replication/src/writer.rs
+++ b/system/replication/src/writer.rs
@@ -351,7 +351,7 @@
             }
             StoreRequest::MaintenanceStep(seen, records) => {
                 let all = self.items.keys().filter_map(|name| Some((name.as_str(), self.view(name)?)));
-                if fennelscale_maintenance::seen(all) != seen {
+                if fennelscale_maintenance::view_hash(all) != seen {
                     // Something that had a say in it has changed since it was decided: this is the fence.
                     let told = StoreResponse::Conflict("decided from an older view".into());
                     return self.confirm(now, ticket, Reply::Refusal(told));
--- a/system/replication/tests/schedules.rs
+++ b/system/replication/tests/schedules.rs
@@ -460,7 +460,7 @@
     let id = world.call(reader, StoreRequest::Read);
     world.run(3000.0);
     let Some(StoreResponse::Items(items)) = world.told(id) else { panic!("no answer to a reader") };
-    let seen = fennelscale_maintenance::seen(items.iter().map(|(name, entry)| (name.as_str(), entry)));
+    let seen = fennelscale_maintenance::view_hash(items.iter().map(|(name, entry)| (name.as_str(), entry)));
     let records = items.into_iter().filter(|(name, _)| name.starts_with("n:"));
     (seen, records.map(|(name, entry)| (name, entry.body)).collect())
 }
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -40,7 +40,7 @@
     /// Whose requests were let in since it was last asked.
     pub(crate) admitted: Vec<String>,
     pub(crate) refused: usize,
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
 impl Proxy {
@@ -68,7 +68,7 @@
             next: 0,
             admitted: Vec::new(),
             refused: 0,
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -152,7 +152,7 @@
                         continue;
                     }
                     if entry.revision < *seen {
-                        self.broken.push(format!("{name} goes back from {seen} to {}", entry.revision));
+                        self.violations.push(format!("{name} goes back from {seen} to {}", entry.revision));
                     }
                     *seen = entry.revision;
                 }
--- a/system/simulation/src/world.rs
+++ b/system/simulation/src/world.rs
@@ -5,7 +5,7 @@
 
 use crate::core::{Core, Does};
 use crate::proxy::Proxy;
-use crate::{APPLY, CONTACT, Chance, DRAIN, Millis, QUOTA};
+use crate::{APPLY_TIMEOUT, DRAIN_TIMEOUT, Millis, QUOTA_LIMITS, RECOVERY_TIME, Rng};
 use fennelscale_membership::{Output, RegistryState};
 use fennelscale_messages::Host;
 use fennelscale_messages::registry::RegistryMessage;
@@ -72,7 +72,7 @@
     /// A core machine's processes die.
     KillCore(usize),
     /// Its disk is lost as well.
-    WipeCore(usize),
+    LoseDisk(usize),
     /// It is there again.
     StartCore(usize),
     /// A proxy dies.
@@ -80,25 +80,25 @@
     /// It is there again.
     StartProxy(usize),
     /// A core machine hears no other and is heard by none.
-    CutCore(usize),
+    DisconnectCore(usize),
     /// What the first core machine sends does not reach the second; the other way all is well.
-    OneWay(usize, usize),
+    DisconnectOneWay(usize, usize),
     /// A core machine stands still for so many ms; what it is sent meanwhile arrives when it goes on.
-    Freeze(usize, u32),
+    PauseCore(usize, u32),
     /// A core machine is gone for good; an empty one at another address starts in its zone.
-    Replace(usize),
+    ReplaceCore(usize),
     /// All power is lost at once, and the disks of one core machine with it.
-    Dark(usize),
+    PowerLoss(usize),
     /// Power is back: all machines start.
-    Light,
+    RestorePower,
     /// A proxy hears no core machine.
-    CutProxy(usize),
+    DisconnectProxy(usize),
     /// All links are whole again.
-    Heal,
+    RestoreLinks,
     /// A tenant sends so many times its usual.
-    Flood(usize, f64),
+    Overload(usize, f64),
     /// A backend drains.
-    Drain(usize),
+    DrainBackend(usize),
     /// All backends of a zone come back, cold, each with another id at its address.
     RestartBackends(usize),
 }
@@ -134,11 +134,11 @@
 type Input<'a> = Box<dyn FnOnce(&mut RegistryState, Millis) + 'a>;
 
 /// The whole system.
-pub struct World {
+pub struct Simulation {
     /// Virtual time.
     pub now: Millis,
     config: Config,
-    chance: Chance,
+    chance: Rng,
     cores: Vec<Core>,
     proxies: Vec<Proxy>,
     wire: BTreeMap<(u64, u64), Sent>,
@@ -174,10 +174,10 @@
     /// Bytes between stores, between registries, and between these and proxies.
     pub bytes: [usize; 3],
     /// What did not hold.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     /// All machines start at once on empty disks; the first configuration is acknowledged.
     pub fn new(seed: u64, config: Config) -> Self {
         let zones: BTreeMap<String, String> =
@@ -193,7 +193,7 @@
         });
         let mut world = Self {
             now: 0.0,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             cores: (0..config.cores).map(|n| Core::new(n, config.zones, 3)).collect(),
             proxies: (0..config.proxies).map(|n| Proxy::new(n, &zones, config.pressure > 0)).collect(),
             wire: BTreeMap::new(),
@@ -218,7 +218,7 @@
             served: 0,
             refused: 0,
             bytes: [0; 3],
-            broken: Vec::new(),
+            violations: Vec::new(),
             config,
         };
         for n in 0..world.cores.len() {
@@ -231,7 +231,7 @@
         world.first_config();
         world.run(6000.0);
         if world.calls[0].acknowledged.is_none() {
-            world.broken.push("the first configuration was never acknowledged".into());
+            world.violations.push("the first configuration was never acknowledged".into());
         }
         world
     }
@@ -260,7 +260,7 @@
     }
 
     /// An operator sends a new version of some route, and again until it has a clear answer.
-    pub fn operate(&mut self) {
+    pub fn change_route(&mut self) {
         let n = self.chance.below(self.config.routes);
         let name = format!("r:r{n}");
         // One operator for each item: the next version after the last has a clear answer.
@@ -300,34 +300,34 @@
         self.trouble = self.now;
         match fault {
             Fault::KillCore(n) => self.cores[n].kill(),
-            Fault::WipeCore(n) => self.cores[n].wipe(),
+            Fault::LoseDisk(n) => self.cores[n].wipe(),
             Fault::StartCore(n) => self.start_core(n, false),
             Fault::KillProxy(n) => self.proxies[n].kill(),
             Fault::StartProxy(n) => self.proxies[n].start(self.now),
-            Fault::CutCore(n) => drop(self.cut_cores.insert(n)),
-            Fault::CutProxy(n) => drop(self.cut_proxies.insert(n)),
-            Fault::OneWay(from, to) => drop(self.one_way.insert((from, to))),
-            Fault::Freeze(n, span) => drop(self.frozen.insert(n, self.now + f64::from(span))),
-            Fault::Replace(n) => self.replace(n),
-            Fault::Dark(n) => {
+            Fault::DisconnectCore(n) => drop(self.cut_cores.insert(n)),
+            Fault::DisconnectProxy(n) => drop(self.cut_proxies.insert(n)),
+            Fault::DisconnectOneWay(from, to) => drop(self.one_way.insert((from, to))),
+            Fault::PauseCore(n, span) => drop(self.frozen.insert(n, self.now + f64::from(span))),
+            Fault::ReplaceCore(n) => self.replace(n),
+            Fault::PowerLoss(n) => {
                 self.cores[n].wipe();
                 self.cores.iter_mut().for_each(Core::kill);
                 self.proxies.iter_mut().for_each(Proxy::kill);
                 self.frozen.clear();
             }
-            Fault::Light => {
+            Fault::RestorePower => {
                 (0..self.cores.len()).for_each(|n| self.start_core(n, false));
                 let now = self.now;
                 self.proxies.iter_mut().for_each(|proxy| proxy.start(now));
             }
-            Fault::Heal => {
+            Fault::RestoreLinks => {
                 self.one_way.clear();
                 self.cut_cores.clear();
                 self.cut_proxies.clear();
             }
-            Fault::Flood(n, x) => drop(self.floods.insert(n, x)),
+            Fault::Overload(n, x) => drop(self.floods.insert(n, x)),
             Fault::RestartBackends(zone) => self.restart_backends(zone),
-            Fault::Drain(n) => {
+            Fault::DrainBackend(n) => {
                 self.backends[n].draining = true;
                 self.drained.entry(self.backends[n].id.clone()).or_insert(self.now);
             }
@@ -344,11 +344,11 @@
         self.start_core(fresh, false);
     }
 
-    /// A fault by chance out of those that [`Self::some_fault`] leaves out: within what is to be borne, one at a time.
-    pub fn some_hard_fault(&mut self) {
+    /// A fault by chance out of those that [`Self::random_fault`] leaves out: within what is to be borne, one at a time.
+    pub fn random_hard_fault(&mut self) {
         let here = |n: &usize| !self.gone.contains(n);
         let there: Vec<usize> = (0..self.cores.len()).filter(here).collect();
-        let calm = self.now - self.trouble > CONTACT
+        let calm = self.now - self.trouble > RECOVERY_TIME
             && self.cut_cores.is_empty()
             && self.one_way.is_empty()
             && there.iter().all(|n| self.cores[*n].book.is_some());
@@ -356,23 +356,23 @@
         let to = there[self.chance.below(there.len())];
         match self.chance.below(5) {
             0 => {
-                let span = 100 + (self.chance.share() * 2500.0) as u32;
-                self.fault(Fault::Freeze(n, span));
+                let span = 100 + (self.chance.fraction() * 2500.0) as u32;
+                self.fault(Fault::PauseCore(n, span));
             }
-            1 | 2 if calm && n != to => self.fault(Fault::OneWay(n, to)),
-            3 if calm && self.cores.len() < 10 => self.fault(Fault::Replace(n)),
+            1 | 2 if calm && n != to => self.fault(Fault::DisconnectOneWay(n, to)),
+            3 if calm && self.cores.len() < 10 => self.fault(Fault::ReplaceCore(n)),
             4 if calm => {
-                self.fault(Fault::Dark(n));
-                let span = 100.0 + self.chance.share() * 2000.0;
+                self.fault(Fault::PowerLoss(n));
+                let span = 100.0 + self.chance.fraction() * 2000.0;
                 self.run(span);
-                self.fault(Fault::Light);
+                self.fault(Fault::RestorePower);
             }
             _ => {}
         }
     }
 
     /// A fault by chance. A region's worth of core machines at the most is down at once, and one disk lost.
-    pub fn some_fault(&mut self) {
+    pub fn random_fault(&mut self) {
         let (cores, proxies) = (self.cores.len(), self.proxies.len());
         let here = |n: &usize| !self.gone.contains(n);
         let down: Vec<usize> = (0..cores).filter(here).filter(|n| self.cores[*n].book.is_none()).collect();
@@ -383,18 +383,18 @@
         let p = self.chance.below(proxies);
         let fault = match self.chance.below(10) {
             0 | 1 if down.len() + self.cut_cores.len() < 2 => Fault::KillCore(n),
-            2 if down.is_empty() && self.cut_cores.is_empty() && self.now - self.trouble > CONTACT => {
-                Fault::WipeCore(n)
+            2 if down.is_empty() && self.cut_cores.is_empty() && self.now - self.trouble > RECOVERY_TIME => {
+                Fault::LoseDisk(n)
             }
-            3 if down.len() + self.cut_cores.len() < 2 => Fault::CutCore(n),
-            4 => Fault::CutProxy(p),
+            3 if down.len() + self.cut_cores.len() < 2 => Fault::DisconnectCore(n),
+            4 => Fault::DisconnectProxy(p),
             5 => Fault::KillProxy(p),
-            6 => Fault::Heal,
-            7 => Fault::Flood(
+            6 => Fault::RestoreLinks,
+            7 => Fault::Overload(
                 self.chance.below(self.config.tenants),
-                if self.chance.share() < 0.5 { 6.0 } else { 1.0 },
+                if self.chance.fraction() < 0.5 { 6.0 } else { 1.0 },
             ),
-            8 if self.drained.len() < 3 => Fault::Drain(self.chance.below(self.backends.len())),
+            8 if self.drained.len() < 3 => Fault::DrainBackend(self.chance.below(self.backends.len())),
             _ => match down.first() {
                 Some(n) => Fault::StartCore(*n),
                 None => match (0..proxies).find(|p| !self.proxies[*p].up) {
@@ -430,7 +430,7 @@
     }
 
     fn way(&mut self, near: bool) -> Millis {
-        (if near { NEAR } else { FAR }) * (1.0 + 0.3 * self.chance.share())
+        (if near { NEAR } else { FAR }) * (1.0 + 0.3 * self.chance.fraction())
     }
 
     fn send(&mut self, line: (usize, usize, u8), near: bool, sent: Sent) {
@@ -488,7 +488,9 @@
             match told {
                 StoreResponse::Done => call.acknowledged = Some(now),
                 StoreResponse::Unclear => call.asked = None,
-                other => self.broken.push(format!("{} {} was answered {other:?}", call.name, call.revision)),
+                other => {
+                    self.violations.push(format!("{} {} was answered {other:?}", call.name, call.revision))
+                }
             }
         }
     }
@@ -676,7 +678,7 @@
             let x = self.floods.get(&t).copied().unwrap_or(1.0);
             let mut expected = rate * load * x * TICK / 1000.0;
             while expected > 0.0 {
-                if self.chance.share() < expected {
+                if self.chance.fraction() < expected {
                     let p = self.chance.below(self.proxies.len());
                     let mut ups = Vec::new();
                     self.proxies[p].request(self.now, &format!("t{t}"), &mut ups);
@@ -690,21 +692,21 @@
     fn look(&mut self) {
         let now = self.now;
         for proxy in &mut self.proxies {
-            self.broken.append(&mut proxy.broken);
+            self.violations.append(&mut proxy.violations);
             self.refused += std::mem::take(&mut proxy.refused);
             for tenant in std::mem::take(&mut proxy.admitted) {
                 self.served += 1;
                 self.admitted.entry(tenant).or_default().push_back(now);
             }
         }
-        let (window, over, slack) = QUOTA;
+        let (window, over, slack) = QUOTA_LIMITS;
         let most = (self.config.rate * window / 1000.0 + self.config.rate) * (1.0 + over) + slack;
         for (tenant, times) in &mut self.admitted {
             while times.front().is_some_and(|at| now - at >= window) {
                 times.pop_front();
             }
             if times.len() as f64 > most {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{} of {tenant} were let in within {window} ms, {most} are borne",
                     times.len()
                 ));
@@ -713,12 +715,12 @@
         let mut held = 0;
         for round in self.cores.iter().filter_map(|core| core.round.as_ref()) {
             if held & round.held_duties(now) != 0 {
-                self.broken.push("two hold a duty".into());
+                self.violations.push("two hold a duty".into());
             }
             held |= round.held_duties(now);
         }
         self.look_everywhere();
-        if now - self.trouble > CONTACT {
+        if now - self.trouble > RECOVERY_TIME {
             self.look_in_touch();
         }
     }
@@ -737,13 +739,14 @@
     fn look_in_touch(&mut self) {
         let now = self.now;
         let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
-        let due = self.calls.iter().filter(|call| call.acknowledged.is_some_and(|at| now - at > APPLY));
+        let due =
+            self.calls.iter().filter(|call| call.acknowledged.is_some_and(|at| now - at > APPLY_TIMEOUT));
         for call in due.filter(|call| call.name != "s:s") {
             let known = newest.entry(&call.name).or_default();
             *known = call.revision.max(*known);
         }
         let drained =
-            self.drained.iter().filter(|(_, at)| now - **at > DRAIN + LAG).map(|(id, _)| id.clone());
+            self.drained.iter().filter(|(_, at)| now - **at > DRAIN_TIMEOUT + LAG).map(|(id, _)| id.clone());
         let drained: Vec<String> = drained.collect();
         let mut broken = Vec::new();
         let cut = &self.cut_proxies;
@@ -766,13 +769,13 @@
                 broken.push(format!("{} still sends to {late:?}", proxy.host));
             }
         }
-        self.broken.append(&mut broken);
+        self.violations.append(&mut broken);
     }
 
     /// Time passes.
     pub fn run(&mut self, span: Millis) {
         let end = self.now + span;
-        while self.now < end && self.broken.is_empty() {
+        while self.now < end && self.violations.is_empty() {
             let tick = self.now + TICK;
             while let Some(entry) = self.wire.first_entry() {
                 let due = entry.key().0 as f64 / 1000.0;
@@ -818,7 +821,7 @@
     pub fn run_to_acknowledged(&mut self, most: Millis) -> Option<usize> {
         let (begun, before) = (self.now, self.acknowledged());
         self.stops = true;
-        while self.acknowledged() == before && self.now - begun < most && self.broken.is_empty() {
+        while self.acknowledged() == before && self.now - begun < most && self.violations.is_empty() {
             self.run(TICK);
         }
         self.stops = false;
@@ -830,7 +833,7 @@
     pub fn run_until(&mut self, most: Millis, met: impl Fn(&Self) -> bool) -> Option<Millis> {
         let begun = self.now;
         while !met(self) {
-            if self.now - begun > most || !self.broken.is_empty() {
+            if self.now - begun > most || !self.violations.is_empty() {
                 return None;
             }
             self.run(TICK / 2.0);
@@ -839,7 +842,7 @@
     }
 
     /// All duties that are held by a machine that is there.
-    pub fn hands(&self) -> u64 {
+    pub fn held_duties(&self) -> u64 {
         let rounds = self.cores.iter().filter_map(|core| core.round.as_ref());
         rounds.fold(0, |all, round| all | round.held_duties(self.now))
     }
@@ -863,7 +866,7 @@
 
     /// All is well again: everything that was acknowledged must be in force everywhere, and all calls have their answers.
     pub fn settle(&mut self) {
-        self.fault(Fault::Heal);
+        self.fault(Fault::RestoreLinks);
         self.floods.clear();
         for n in 0..self.cores.len() {
             self.start_core(n, false);
@@ -871,14 +874,14 @@
         for p in 0..self.proxies.len() {
             self.proxies[p].start(self.now);
         }
-        self.run(CONTACT + APPLY + 6000.0);
+        self.run(RECOVERY_TIME + APPLY_TIMEOUT + 6000.0);
         let open = self.calls.iter().filter(|call| call.acknowledged.is_none()).count();
         if open > 0 {
-            self.broken.push(format!("{open} calls never had a clear answer"));
+            self.violations.push(format!("{open} calls never had a clear answer"));
         }
         let unready = self.proxies.iter().filter(|p| !p.held.is_ready()).count();
         if unready > 0 {
-            self.broken.push(format!("{unready} proxies never were ready again"));
+            self.violations.push(format!("{unready} proxies never were ready again"));
         }
     }
 }
--- a/system/simulation/src/world/cold.rs
+++ b/system/simulation/src/world/cold.rs
@@ -1,6 +1,6 @@
 //! Backends that come back cold under more requests than all of them bear, and what each of them gets.
 
-use super::{Call, Fault, World};
+use super::{Call, Fault, Simulation};
 use crate::Millis;
 use doorcourse::Outcome;
 use fennelscale_messages::session::Backend;
@@ -44,7 +44,7 @@
     format!(r#"{{"name":"s","coldStart":"3s","coldPerS":{per_s},"revision":"00000001"}}"#)
 }
 
-impl World {
+impl Simulation {
     /// Requests that cold backends got.
     pub fn cold_arrivals(&self) -> usize {
         self.cold.count
@@ -106,7 +106,7 @@
                 let stands = self.backends.iter().any(|backend| *backend.id == *sent.backend);
                 let (outcome, after) = if stands {
                     self.arrives_at(&sent.backend, p);
-                    (Outcome::Served, WORK.0 + self.chance.share() * WORK.1)
+                    (Outcome::Served, WORK.0 + self.chance.fraction() * WORK.1)
                 } else {
                     (Outcome::Misdirected, self.way(false) * 2.0)
                 };
@@ -114,7 +114,7 @@
             }
             let without_terms = self.proxies[p].sent_without_terms();
             if without_terms > 0 {
-                self.broken.push(format!("{without_terms} requests were sent to backends without terms"));
+                self.violations.push(format!("{without_terms} requests were sent to backends without terms"));
             }
         }
     }
@@ -139,14 +139,14 @@
                 *by_proxy.entry(arrival.proxy).or_default() += 1;
             }
             let count = arrived.len();
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "cold backend {id} got {count} requests in a second, {most} are borne; from proxies {by_proxy:?}"
             ));
         }
     }
 
     /// Something goes wrong, or right again, where backends come back cold: by chance.
-    pub fn some_cold_fault(&mut self) {
+    pub fn random_cold_fault(&mut self) {
         let (zones, proxies) = (self.config.zones, self.proxies.len());
         let zone = self.chance.below(zones);
         let proxy = self.chance.below(proxies);
@@ -154,11 +154,11 @@
             0..=2 => self.fault(Fault::RestartBackends(zone)),
             3 => self.restart_core(),
             4 => self.restart_proxies(proxy),
-            5 => self.fault(Fault::CutProxy(proxy)),
-            6 => self.fault(Fault::Heal),
+            5 => self.fault(Fault::DisconnectProxy(proxy)),
+            6 => self.fault(Fault::RestoreLinks),
             _ => {
                 self.evacuate(zone, true);
-                let span = 500.0 + self.chance.share() * 3000.0;
+                let span = 500.0 + self.chance.fraction() * 3000.0;
                 self.run(span);
                 self.evacuate(zone, false);
             }
@@ -168,7 +168,7 @@
     /// All core machines die at once, and come back.
     fn restart_core(&mut self) {
         (0..self.cores.len()).for_each(|n| self.fault(Fault::KillCore(n)));
-        let span = 100.0 + self.chance.share() * 1500.0;
+        let span = 100.0 + self.chance.fraction() * 1500.0;
         self.run(span);
         (0..self.cores.len()).for_each(|n| self.fault(Fault::StartCore(n)));
     }
@@ -177,7 +177,7 @@
     fn restart_proxies(&mut self, first: usize) {
         let some: Vec<usize> = (0..self.proxies.len()).filter(|p| p % 2 == first % 2).collect();
         some.iter().for_each(|p| self.fault(Fault::KillProxy(*p)));
-        let span = 50.0 + self.chance.share() * 500.0;
+        let span = 50.0 + self.chance.fraction() * 500.0;
         self.run(span);
         some.iter().for_each(|p| self.fault(Fault::StartProxy(*p)));
     }
--- a/system/simulation/src/world/figures.rs
+++ b/system/simulation/src/world/figures.rs
@@ -1,12 +1,12 @@
 //! What a world tells of itself when it has been played: times, sizes, and the state of each machine.
 
-use super::{Call, World};
+use super::{Call, Simulation};
 use crate::Millis;
 use crate::proxy::Proxy;
 
-impl World {
+impl Simulation {
     /// Of changes that were acknowledged: how long that took from the first try, and from then until every proxy held them.
-    pub fn times(&self) -> Vec<(Millis, Option<Millis>)> {
+    pub fn change_times(&self) -> Vec<(Millis, Option<Millis>)> {
         let done = self.calls.iter().filter(|call| call.name != "s:s");
         let times = |call: &Call| {
             let at = call.acknowledged?;
@@ -16,7 +16,7 @@
     }
 
     /// How long the text of all that the largest store, registry, list of items and cache hold is: what grows there grows here.
-    pub fn held(&self) -> [usize; 4] {
+    pub fn state_sizes(&self) -> [usize; 4] {
         let largest = |sizes: Vec<usize>| sizes.into_iter().max().unwrap_or(0);
         let text = |it: &dyn std::fmt::Debug| format!("{it:?}").len();
         let stores = self.cores.iter().filter_map(|core| core.book.as_ref()).map(|book| text(book));
--- a/system/simulation/tests/long.rs
+++ b/system/simulation/tests/long.rs
@@ -2,24 +2,24 @@
 //! `WORLD_MINUTES` is how long the soak is; the whole hour is played by `WORLD_MINUTES=60`.
 
 use fennelscale_replication::versions::HISTORY_LIMIT;
-use fennelscale_simulation::{APPLY, Chance, Config, Fault, World};
+use fennelscale_simulation::{APPLY_TIMEOUT, Config, Fault, Rng, Simulation};
 
 fn number(name: &str, usual: u64) -> u64 {
     std::env::var(name).map_or(usual, |n| n.parse().unwrap())
 }
 
 /// A quarter of a minute in which an item changes, a tenant floods, a proxy and a core machine die and come back.
-fn stretch(world: &mut World, chance: &mut Chance) {
+fn stretch(world: &mut Simulation, chance: &mut Rng) {
     let (proxy, core, tenant) = (chance.below(6), chance.below(6), chance.below(2));
-    world.operate();
-    world.fault(Fault::Flood(tenant, 5.0));
+    world.change_route();
+    world.fault(Fault::Overload(tenant, 5.0));
     world.fault(Fault::KillProxy(proxy));
     world.run(4000.0);
-    world.fault(Fault::Flood(tenant, 1.0));
+    world.fault(Fault::Overload(tenant, 1.0));
     world.fault(Fault::StartProxy(proxy));
     world.fault(Fault::KillCore(core));
     world.run(3000.0);
-    world.operate();
+    world.change_route();
     world.fault(Fault::StartCore(core));
     world.run(8000.0);
 }
@@ -27,10 +27,10 @@
 #[test]
 fn nothing_piles_up_over_a_long_time() {
     let config = Config { proxies: 6, tenants: 2, routes: 4, rate: 20.0, ..Config::default() };
-    let (mut world, mut chance) = (World::new(3, config), Chance::new(7));
+    let (mut world, mut chance) = (Simulation::new(3, config), Rng::new(7));
     // What is remembered of each item is bounded by a number of versions: filled first, so that any growth after it shows.
     for _ in 0..3 * HISTORY_LIMIT * 4 {
-        world.operate();
+        world.change_route();
         world.run(700.0);
     }
     // Registries begin anew, with empty feeds.
@@ -44,10 +44,14 @@
     let mut sizes = Vec::new();
     for at in 0..stretches {
         stretch(&mut world, &mut chance);
-        assert_eq!(world.broken, Vec::<String>::new(), "at {}", world.now);
+        assert_eq!(world.violations, Vec::<String>::new(), "at {}", world.now);
         if (at + 1) % (stretches / 4).max(1) == 0 {
-            println!("after {:.0} s: store, registry, items, cache: {:?}", world.now / 1000.0, world.held());
-            sizes.push(world.held());
+            println!(
+                "after {:.0} s: store, registry, items, cache: {:?}",
+                world.now / 1000.0,
+                world.state_sizes()
+            );
+            sizes.push(world.state_sizes());
         }
     }
     // The first quarter fills what is bounded; from then on nothing grows but digits.
@@ -65,16 +69,16 @@
 fn changes_are_acknowledged_and_everywhere_soon() {
     let (mut agreed, mut held) = (Vec::new(), Vec::new());
     for seed in 0..number("WORLD_SEEDS", 4) {
-        let mut world = World::new(seed, Config::default());
-        let mut chance = Chance::new(seed);
+        let mut world = Simulation::new(seed, Config::default());
+        let mut chance = Rng::new(seed);
         for _ in 0..25 {
-            world.operate();
-            let span = 300.0 + chance.share() * 1500.0;
+            world.change_route();
+            let span = 300.0 + chance.fraction() * 1500.0;
             world.run(span);
         }
-        world.run(APPLY);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        for (acknowledged, everywhere) in world.times() {
+        world.run(APPLY_TIMEOUT);
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
+        for (acknowledged, everywhere) in world.change_times() {
             agreed.push(acknowledged);
             held.push(everywhere.expect("a change that is acknowledged is everywhere in the end"));
         }
@@ -86,7 +90,7 @@
         println!("{} changes {what}: half {half:.0}, 99 of 100 {most:.0}, all {all:.0} ms", times.len());
     }
     assert!(quantile(&agreed, 1.0) < 1000.0, "an operator's patience");
-    assert!(quantile(&held, 1.0) < APPLY / 4.0, "a quarter of what is allowed");
+    assert!(quantile(&held, 1.0) < APPLY_TIMEOUT / 4.0, "a quarter of what is allowed");
 }
 
 /// What is waited for after a loss, each with what it is allowed, in parts of `configApply`.
@@ -101,16 +105,16 @@
         Self { what, most, times: Vec::new() }
     }
 
-    fn took(&mut self, world: &mut World, met: impl Fn(&World) -> bool) {
-        let took = world.run_until(10.0 * APPLY, met);
-        assert_eq!(world.broken, Vec::<String>::new(), "{} at {}", self.what, world.now);
+    fn took(&mut self, world: &mut Simulation, met: impl Fn(&Simulation) -> bool) {
+        let took = world.run_until(10.0 * APPLY_TIMEOUT, met);
+        assert_eq!(world.violations, Vec::<String>::new(), "{} at {}", self.what, world.now);
         self.times.push(took.unwrap_or(f64::INFINITY));
     }
 
     fn told(mut self) {
         self.times.sort_by(f64::total_cmp);
         let [half, all] = [0.5, 1.0].map(|part| quantile(&self.times, part));
-        let (what, ratio) = (self.what, all / APPLY);
+        let (what, ratio) = (self.what, all / APPLY_TIMEOUT);
         println!(
             "{what}: half {half:.0} ms, all {all:.0} ms, {ratio:.2} of configApply, {:.2} allowed",
             self.most
@@ -133,40 +137,40 @@
     let mut light = Recovery::new("power is back, a disk lost: all proxies serve", 0.5);
     let mut dark = Recovery::new("and a change is everywhere", 0.25);
     for seed in 0..number("WORLD_SEEDS", 6) {
-        let mut world = World::new(seed, Config::default());
+        let mut world = Simulation::new(seed, Config::default());
         world.run(seed as f64 * 70.0);
         let first = world.holder(LIST).expect("somebody reads the list");
         world.fault(Fault::KillCore(first));
-        hands.took(&mut world, |world| world.hands() == ALL);
+        hands.took(&mut world, |world| world.held_duties() == ALL);
         world.fault(Fault::StartCore(first));
         world.run(8000.0);
 
         let region_of = [first, (first + 3) % 6];
         region_of.into_iter().for_each(|n| world.fault(Fault::KillCore(n)));
-        world.operate();
-        region.took(&mut world, World::all_in_force);
+        world.change_route();
+        region.took(&mut world, Simulation::all_in_force);
         region_of.into_iter().for_each(|n| world.fault(Fault::StartCore(n)));
         world.run(8000.0);
 
         world.fault(Fault::KillProxy(seed as usize % 10));
         world.run(3000.0);
         world.fault(Fault::StartProxy(seed as usize % 10));
-        proxy.took(&mut world, World::all_serve);
+        proxy.took(&mut world, Simulation::all_serve);
         world.run(6000.0);
 
         (0..6).for_each(|n| world.fault(Fault::KillCore(n)));
         world.run(1000.0);
         (0..6).for_each(|n| world.fault(Fault::StartCore(n)));
-        world.operate();
-        core.took(&mut world, World::all_in_force);
+        world.change_route();
+        core.took(&mut world, Simulation::all_in_force);
         world.run(8000.0);
 
-        world.fault(Fault::Dark(seed as usize % 6));
+        world.fault(Fault::PowerLoss(seed as usize % 6));
         world.run(1000.0);
-        world.fault(Fault::Light);
-        world.operate();
-        light.took(&mut world, World::all_serve);
-        dark.took(&mut world, World::all_in_force);
+        world.fault(Fault::RestorePower);
+        world.change_route();
+        light.took(&mut world, Simulation::all_serve);
+        dark.took(&mut world, Simulation::all_in_force);
     }
     for recovery in [hands, region, proxy, core, light, dark] {
         recovery.told();
