--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -450,8 +450,11 @@
                     // The counter has just come back: its total may lack what others spent.
                     let recent = now - health.recovered_at < Customer::refill_time(plan) * IDLE_REFILLS;
                     let reset = plan.ceiling_rate > 0.0 && health.recovered_at > 0.0 && recent;
-                    let most =
-                        if reset { customer.new_slice(0.0, now, &silence, plan).capacity } else { f64::INFINITY };
+                    let most = if reset {
+                        customer.new_slice(0.0, now, &silence, plan).capacity
+                    } else {
+                        f64::INFINITY
+                    };
                     customer.balance = Customer::initial_balance(plan).min(most) - total;
                     customer.has_total = true;
                 }
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -108,7 +108,8 @@
             known_silent: told,
             silent_since: silent_at,
             recovered_at: back_at,
-            last_probe: probed, } = health;
+            last_probe: probed,
+        } = health;
         (calls, waiting, silences, told).hash(state);
         floats(state, &[*ease, *heard, *silent_at, *back_at, *probed]);
     }
@@ -163,11 +164,15 @@
         } = self;
         (plan, position, salt, window, counter, has_total, waiting, in_flight).hash(state);
         floats(state, &[*gateway_count, *lease, *balance, *balance_at]);
-        floats(state, &[ledger.added, ledger.last_total, ledger.uncertain, share.own, share.total, share.updated_at],);
+        floats(
+            state,
+            &[ledger.added, ledger.last_total, ledger.uncertain, share.own, share.total, share.updated_at],
+        );
         floats(state, &[*last_total_at, *owed, *demand, *demand_at]);
         (call.is_some(), slice.is_some()).hash(state);
         let (window, requested, owed) = call.unwrap_or_default();
-        let LocalBucket { units: held, updated_at: at, rate_per_s: rate, capacity: most } = slice.unwrap_or_default();
+        let LocalBucket { units: held, updated_at: at, rate_per_s: rate, capacity: most } =
+            slice.unwrap_or_default();
         state.write_u64(window);
         floats(state, &[requested, owed, held, at, rate, most]);
     }
--- a/system/config/src/config_index.rs
+++ b/system/config/src/config_index.rs
@@ -4,7 +4,7 @@
 //! The rules are those of [`check_consistency`](crate::check_consistency), which looks at all items; the
 //! tests compare the two.
 
-use crate::{InvalidConfig, MOST_ORDERS, ParsedItem};
+use crate::{InvalidConfig, MAX_ORDERS, ParsedItem};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The items that a call changes: their new content, none where an item is removed.
@@ -68,7 +68,7 @@
 
 /// The item name of a maintenance contract.
 fn contract_item(contract: &str) -> String {
-    format!("{}{contract}", fennelscale_maintenance::CONTRACT)
+    format!("{}{contract}", fennelscale_maintenance::CONTRACT_PREFIX)
 }
 
 impl ConfigIndex {
@@ -182,11 +182,11 @@
             {
                 return Err(missing_service(route, service));
             }
-            if let Some(contract) = name.strip_prefix(fennelscale_maintenance::CONTRACT)
+            if let Some(contract) = name.strip_prefix(fennelscale_maintenance::CONTRACT_PREFIX)
                 && let Some(order) = self.orders_by_contract.holder(&contract.to_owned(), changes)
             {
                 return Err(missing_contract(
-                    order.strip_prefix(fennelscale_maintenance::ORDER).unwrap_or(order),
+                    order.strip_prefix(fennelscale_maintenance::ORDER_PREFIX).unwrap_or(order),
                     contract,
                 ));
             }
@@ -206,7 +206,7 @@
             return Err(too_many_failure_orders(failure_orders));
         }
         let work_orders = after(self.work_orders, |item| matches!(item, ParsedItem::WorkOrder(_)));
-        if work_orders > MOST_ORDERS {
+        if work_orders > MAX_ORDERS {
             return Err(too_many_work_orders(work_orders));
         }
         Ok(())
@@ -237,5 +237,5 @@
 }
 
 pub(crate) fn too_many_work_orders(work_orders: usize) -> InvalidConfig {
-    InvalidConfig(format!("{work_orders} work orders would stand, at most {MOST_ORDERS}: drop old ones"))
+    InvalidConfig(format!("{work_orders} work orders would stand, at most {MAX_ORDERS}: drop old ones"))
 }
--- a/system/config/src/failure_order.rs
+++ b/system/config/src/failure_order.rs
@@ -2,7 +2,7 @@
 
 use crate::InvalidConfig;
 use crate::item::ItemJson;
-use fennelscale_fault_injection::{FailureKind,Order, RequestSelector, State};
+use fennelscale_fault_injection::{FailureKind, Order, RequestSelector, State};
 use jiff::Timestamp;
 use std::collections::BTreeSet;
 
@@ -79,7 +79,10 @@
         "lose-answer" => FailureKind::LoseAnswer,
         "cut-answer" => FailureKind::CutAnswer(share(0.5)?),
         "slow-answer" => FailureKind::SlowAnswer(time()?),
-        _ => { return Err(item.invalid("what.kind", &format!("one of {} is wanted", FailureKind::NAMES.join(", "))));
+        _ => {
+            return Err(
+                item.invalid("what.kind", &format!("one of {} is wanted", FailureKind::NAMES.join(", ")))
+            );
         }
     })
 }
@@ -107,8 +110,7 @@
         from,
         until,
         max_requests: most as u64,
-        max_per_s:
-        per_s,
+        max_per_s: per_s,
         state: state.ok_or_else(|| item.invalid("state", "one of dry, running, stopped is wanted"))?,
         sharing_proxies: proxies.split_whitespace().map(str::to_owned).collect(),
     })
--- a/system/config/src/lib.rs
+++ b/system/config/src/lib.rs
@@ -19,7 +19,7 @@
 pub use item::{Limits, ParsedItem, Route, RouteKind, Service, Tenant, parse_item};
 pub use routing_table::RoutingTable;
 
-use fennelscale_maintenance::order::MOST_ORDERS;
+use fennelscale_maintenance::order::MAX_ORDERS;
 use fennelscale_messages::store::{DIGEST_PARTS, Entry, NamedEntry};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -115,7 +115,7 @@
     if failure_orders > fennelscale_fault_injection::MAX_ORDERS {
         return Err(config_index::too_many_failure_orders(failure_orders));
     }
-    if work_orders.len() > MOST_ORDERS {
+    if work_orders.len() > MAX_ORDERS {
         return Err(config_index::too_many_work_orders(work_orders.len()));
     }
     match work_orders.iter().find(|order| !contracts.contains(order.contract.as_str())) {
--- a/system/membership/src/lib.rs
+++ b/system/membership/src/lib.rs
@@ -587,7 +587,7 @@
             }
             RegistryMessage::RequestUnits { from: proxy, tenant, units, next_window, demand } => {
                 let grant =
-                    self.grant_quota(now, UnitRequest { tenant: &tenant, proxy, units, next_window: next: next_window, demand });
+                    self.grant_quota(now, UnitRequest { tenant: &tenant, proxy, units, next_window, demand });
                 self.outputs.push(Output::SendToRegistry(from, RegistryMessage::Grant(proxy, grant)));
             }
             RegistryMessage::RequestUnitsFromRelay { from: proxy, tenant, units, next_window, demand } => {
--- a/system/membership/src/proxy_updates.rs
+++ b/system/membership/src/proxy_updates.rs
@@ -30,7 +30,7 @@
                 self.stored_proxy_count =
                     entry.body.as_deref().and_then(|body| body.parse().ok()).unwrap_or(0.0);
             }
-            if name.starts_with(fennelscale_maintenance::NIGHT) {
+            if name.starts_with(fennelscale_maintenance::RECORD_PREFIX) {
                 self.maintenance.on_record(now, &name, &entry, &mut self.feed);
                 continue;
             }
@@ -44,7 +44,7 @@
             }
             self.recent_checksums.supersede(now, checksum);
             self.maintenance.on_item(&name, &entry);
-            if !name.starts_with(fennelscale_maintenance::DRAIN) {
+            if !name.starts_with(fennelscale_maintenance::DRAIN_PREFIX) {
                 self.record_item_event(now, &name, &entry);
             }
             new_entries.push((name, entry));
--- a/system/membership/src/quota_grants.rs
+++ b/system/membership/src/quota_grants.rs
@@ -74,8 +74,10 @@
         let from = self.local_host;
         match self.duty_holder(now, duties::shard_bit(&tenant)) {
             Some(host) if host == self.local_host => {
-                let grant = self.grant_quota(now,
-                    UnitRequest { tenant: &tenant, proxy: from, units, next_window: next, demand },);
+                let grant = self.grant_quota(
+                    now,
+                    UnitRequest { tenant: &tenant, proxy: from, units, next_window: next, demand },
+                );
                 self.on_relay_grant(now, grant);
             }
             Some(host) => self.outputs.push(Output::SendToRegistry(
@@ -117,7 +119,8 @@
         let counts = self.proxy_counts(now);
         // During the waiting period of a new holder all proxies spent without grants, and it takes a while
         // until they report that they no longer do.
-        let settled = now > since + QuotaCounter::TAKEOVER_WINDOWS as f64 * terms.window_length() + SELF_GRANT_REPORT_DELAY;
+        let settled = now
+            > since + QuotaCounter::TAKEOVER_WINDOWS as f64 * terms.window_length() + SELF_GRANT_REPORT_DELAY;
         let self_granted = if settled { self.proxies.self_granted_count(bit) } else { 0.0 };
         let grant = self.quota_counts.request_units(
             now,
--- a/system/membership/tests/maintenance/mod.rs
+++ b/system/membership/tests/maintenance/mod.rs
@@ -2,7 +2,7 @@
 //! crashes, a clock jumps, steps are delayed. What the store wrote is compared with the true time.
 
 use crate::world::{START_TIME, World, backend};
-use fennelscale_maintenance::night::{Night, Phase};
+use fennelscale_maintenance::record::{MaintenanceRecord, Phase};
 use fennelscale_membership::feed::{EventKind, EventQuery};
 use fennelscale_messages::Host;
 use fennelscale_messages::session::{ProxyInfo, ProxyToRegistry, RegistryToProxy};
@@ -12,8 +12,12 @@
 const FROM: f64 = 20_000.0;
 const TO: f64 = 120_000.0;
 
-fn record(world: &World) -> Night {
-    world.store.get("n:o").and_then(|entry| Night::read(entry.body.as_deref()?)).unwrap_or_default()
+fn record(world: &World) -> MaintenanceRecord {
+    world
+        .store
+        .get("n:o")
+        .and_then(|entry| MaintenanceRecord::parse(entry.body.as_deref()?))
+        .unwrap_or_default()
 }
 
 /// Sends the messages of two proxies in each region, which have sessions at the registries that are running.
@@ -59,10 +63,10 @@
 
 fn run_until(world: &mut World, until: f64) {
     while world.now < until {
-        let idle_nodes: Vec<String> = record(world).out().iter().map(ToString::to_string).collect();
+        let idle_nodes: Vec<String> = record(world).drained_nodes().iter().map(ToString::to_string).collect();
         send_proxy_messages(world, &idle_nodes);
         world.run(200.0);
-        let out = !record(world).out().is_empty();
+        let out = !record(world).drained_nodes().is_empty();
         assert!(!out || (FROM..TO).contains(&world.now), "a node is out at {}", world.now);
     }
 }
@@ -145,7 +149,7 @@
 #[test]
 fn a_dropped_order_releases_its_nodes_and_drops_its_record() {
     let mut world = start(5);
-    let begun = |world: &World| !record(world).out().is_empty();
+    let begun = |world: &World| !record(world).drained_nodes().is_empty();
     while !begun(&world) && world.now < TO {
         let until = world.now + 200.0;
         run_until(&mut world, until);
--- a/system/proxy/src/failure_injection.rs
+++ b/system/proxy/src/failure_injection.rs
@@ -204,7 +204,10 @@
             tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
         runtime.block_on(async {
             assert_eq!(received(FailureKind::LoseAnswer, "abcdefgh").await, (None, Vec::new(), true));
-            assert_eq!(received(FailureKind::CutAnswer(0.5), "abcdefgh").await, (Some(8), b"abcd".to_vec(), true));
+            assert_eq!(
+                received(FailureKind::CutAnswer(0.5), "abcdefgh").await,
+                (Some(8), b"abcd".to_vec(), true)
+            );
             // Also if the order leaves the whole body.
             assert_eq!(
                 received(FailureKind::CutAnswer(1.0), "abcdefgh").await,
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -15,7 +15,7 @@
 use fennelscale_host::link::Writer;
 use fennelscale_host::start::{self, Signals};
 use fennelscale_host::{call, spawn};
-use fennelscale_maintenance::clock::Span;
+use fennelscale_maintenance::clock::TimeInterval;
 use fennelscale_messages::Host;
 use fennelscale_messages::session::{
     ProxyInfo, ProxyMessage, ProxyToRegistry, RegistryInfo, RegistryToProxy,
@@ -120,8 +120,10 @@
     let services =
         ServiceEngines::new(&settings.zone, budget.backends, retry, incarnation, trace.clone(), started_at);
     let grace = settings.bounds.grace;
-    let failure_orders =
-        FaultInjector::new(settings.failures.clone(), fennelscale_fault_injection::proxy_id(host, incarnation));
+    let failure_orders = FaultInjector::new(
+        settings.failures.clone(),
+        fennelscale_fault_injection::proxy_id(host, incarnation),
+    );
     let proxy = Rc::new(Proxy {
         seeds: RefCell::new(settings.seeds.clone()),
         settings,
@@ -238,7 +240,9 @@
     /// Counts a finished request that no failure order selected.
     pub fn record_unaffected(&self, status: u16) {
         if !self.failure_orders.borrow().is_empty() {
-            self.failure_orders.borrow_mut().record_outcome(self.routing_state.borrow().true_time(self.now()), status);
+            self.failure_orders
+                .borrow_mut()
+                .record_outcome(self.routing_state.borrow().true_time(self.now()), status);
         }
     }
 
@@ -514,7 +518,7 @@
                 self.apply_cache_output(messages, admissions);
             }
             RegistryToProxy::Time(earliest, latest) => {
-                self.routing_state.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
+                self.routing_state.borrow_mut().set_true_time(self.now(), TimeInterval { earliest, latest });
             }
             RegistryToProxy::LookUpRequest(query, id) => {
                 let record = self.trace.borrow().to_json(self.now(), id);
