--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -1,5 +1,5 @@
-//! A gateway as others may look at it: its counts, and the whole of it for a checker to compare (every
-//! field, each map in its order, floats by their bits). Nothing is decided here.
+//! Read access to the state of a gateway: its counts, and a hash of the complete state for a model checker
+//! (every field, each map in its order, floats by their bits). No decisions are made here.
 
 use super::{Backend, Counter, Customer, Gateway, Request};
 use crate::interface::Millis;
@@ -8,27 +8,30 @@
 use std::hash::{Hash, Hasher};
 
 impl Gateway {
-    /// How many backends are remembered.
+    /// The number of known backends.
     pub fn backend_count(&self) -> usize {
         self.backends.len()
     }
 
-    /// How many customers are remembered.
+    /// The number of known customers.
     pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
-    /// What is counted as out: attempts at all backends, and attempts of all customers.
+    /// Attempts counted as in flight: those of all backends, and those of all customers.
     pub fn in_flight(&self) -> (u32, u32) {
-        (self.backends.values().map(|b| b.out).sum(), self.customers.values().map(|c| c.open).sum())
+        (
+            self.backends.values().map(|b| b.in_flight).sum(),
+            self.customers.values().map(|c| c.in_flight).sum(),
+        )
     }
 
-    /// How many requests were sent, by what was known of their backends.
+    /// Requests sent, by the known state of their backends.
     pub fn send_counts(&self) -> SendCounts {
-        self.mesh.sends()
+        self.topology.send_counts()
     }
 
-    /// Requests that are held because no backend may be sent one.
+    /// Requests in the queue because no backend may be sent one.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
@@ -38,66 +41,66 @@
         self.counters.iter().any(|counter| counter.health.silent_since > 0.0)
     }
 
-    /// Units of all customers: in blocks in hand, and used but not yet added to the shared count (negative:
-    /// to be given back).
+    /// Units of all customers: those left in leases, and those used but not yet added to the shared count
+    /// (negative: to be returned).
     pub fn leased_and_owed(&self) -> (f64, f64) {
         let sum = |of: fn(&Customer) -> f64| self.customers.values().map(of).sum();
         (sum(|c| c.lease), sum(|c| c.owed))
     }
 }
 
-/// Feeds floats by their bits: two states are the same only if each figure is exactly the same.
+/// Hashes floats by their bits: two states are equal only if each value is exactly equal.
 fn floats<H: Hasher>(state: &mut H, values: &[f64]) {
     values.iter().for_each(|value| state.write_u64(value.to_bits()));
 }
 
-fn maybe<H: Hasher>(state: &mut H, value: Option<Millis>) {
+fn optional<H: Hasher>(state: &mut H, value: Option<Millis>) {
     state.write_u8(value.is_some().into());
     floats(state, &[value.unwrap_or_default()]);
 }
 
 impl Hash for Gateway {
-    /// All but the settings, which never change. Whoever compares gateways of different settings must add
-    /// these.
+    /// Hashes everything but the settings, which never change. To compare gateways of different settings,
+    /// hash those as well.
     fn hash<H: Hasher>(&self, state: &mut H) {
-        // Taken apart whole, so that no field can be forgotten.
+        // A full destructuring, so that no field can be forgotten.
         let Self {
             settings: _,
             random,
             now,
-            born,
+            started_at,
             backends,
-            mesh,
+            topology,
             customers,
             requests,
             queue,
             partition,
             counters,
-            swept,
-            plan_odds,
-            told,
+            last_visited,
+            plan_probability,
+            probabilities,
             class_latency,
-            late,
-            sweeping,
-            ending,
+            late_share,
+            started,
+            shutting_down,
         } = self;
-        (random, backends, mesh, customers, requests, queue, counters).hash(state);
-        // A partition changes only when operators say so; who compares gateways gives them the same.
-        (partition.addresses(), swept, sweeping, ending).hash(state);
-        floats(state, &[*now, *born, *late]);
-        plan_odds.iter().for_each(|odds| floats(state, odds));
+        (random, backends, topology, customers, requests, queue, counters).hash(state);
+        // A partition changes only by the operators' configuration; compared gateways have the same one.
+        (partition.addresses(), last_visited, started, shutting_down).hash(state);
+        floats(state, &[*now, *started_at, *late_share]);
+        plan_probability.iter().for_each(|probability| floats(state, probability));
         floats(state, class_latency);
-        state.write_usize(told.len());
-        for (salt, (odds, at)) in told {
+        state.write_usize(probabilities.len());
+        for (salt, (probability, at)) in probabilities {
             state.write_u64(*salt);
-            floats(state, &[*odds, *at]);
+            floats(state, &[*probability, *at]);
         }
     }
 }
 
 impl Hash for Counter {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        let Self { health, calls, line } = self;
+        let Self { health, calls, waiting } = self;
         let CounterHealth {
             call_share: ease,
             missed_weight: silences,
@@ -107,7 +110,7 @@
             recovered_at: back_at,
             last_probe: probed,
         } = health;
-        (calls, line, silences, told).hash(state);
+        (calls, waiting, silences, told).hash(state);
         floats(state, &[*ease, *heard, *silent_at, *back_at, *probed]);
     }
 }
@@ -119,18 +122,19 @@
             cell,
             ready,
             gone,
-            departed,
+            address_reused,
             started,
-            out,
-            room,
+            in_flight,
+            limit,
             failures,
-            told,
-            heard,
+            ejection_logged,
+            limit_adjusted,
             eject_until,
         } = self;
-        (zone, cell, ready, gone, departed, out, failures, told, heard).hash(state);
-        maybe(state, *started);
-        floats(state, &[*room, *eject_until]);
+        (zone, cell, ready, gone, address_reused, in_flight, failures, ejection_logged, limit_adjusted)
+            .hash(state);
+        optional(state, *started);
+        floats(state, &[*limit, *eject_until]);
     }
 }
 
@@ -138,39 +142,39 @@
     fn hash<H: Hasher>(&self, state: &mut H) {
         let Self {
             plan,
-            spread,
-            place,
+            gateway_count,
+            position,
             salt,
             window,
             counter,
             lease,
             ledger,
             share,
-            store,
-            store_at,
-            known,
-            heard,
+            balance,
+            balance_at,
+            has_total,
+            last_total_at,
             owed,
             call,
             waiting,
             demand,
             demand_at,
             slice,
-            open,
+            in_flight,
         } = self;
-        (plan, place, salt, window, counter, known, waiting, open).hash(state);
-        floats(state, &[*spread, *lease, *store, *store_at]);
+        (plan, position, salt, window, counter, has_total, waiting, in_flight).hash(state);
+        floats(state, &[*gateway_count, *lease, *balance, *balance_at]);
         floats(
             state,
             &[ledger.added, ledger.last_total, ledger.uncertain, share.own, share.total, share.updated_at],
         );
-        floats(state, &[*heard, *owed, *demand, *demand_at]);
+        floats(state, &[*last_total_at, *owed, *demand, *demand_at]);
         (call.is_some(), slice.is_some()).hash(state);
-        let (window, block, owed) = call.unwrap_or_default();
+        let (window, requested, owed) = call.unwrap_or_default();
         let LocalBucket { units: held, updated_at: at, rate_per_s: rate, capacity: most } =
             slice.unwrap_or_default();
         state.write_u64(window);
-        floats(state, &[block, owed, held, at, rate, most]);
+        floats(state, &[requested, owed, held, at, rate, most]);
     }
 }
 
@@ -181,22 +185,23 @@
             plan,
             class,
             units,
-            blind,
-            repeat,
+            without_total,
+            is_retry,
             arrived,
             deadline,
-            hold_until,
+            wait_until,
             stage,
             attempts,
             misdirected,
             may_have_run,
-            bound,
+            constraints,
             sent_at,
         } = self;
-        (customer, plan, class, blind, repeat, *stage as u8, attempts, misdirected, bound).hash(state);
-        floats(state, &[*units, *arrived, *deadline, *hold_until, *sent_at]);
+        (customer, plan, class, without_total, is_retry, *stage as u8, attempts, misdirected, constraints)
+            .hash(state);
+        floats(state, &[*units, *arrived, *deadline, *wait_until, *sent_at]);
         let run = may_have_run.as_ref();
         run.map(|(_, zone, cell)| (zone, cell)).hash(state);
-        maybe(state, run.map(|(at, ..)| *at));
+        optional(state, run.map(|(at, ..)| *at));
     }
 }
--- a/system/fault-injection/src/injector.rs
+++ b/system/fault-injection/src/injector.rs
@@ -2,7 +2,7 @@
 
 use crate::order::{Caller, FailureKind, Limits, Order, State};
 use crate::{MAX_ORDERS, Millis};
-use fennelscale_maintenance::clock::Span;
+use fennelscale_maintenance::clock::TimeInterval;
 use std::collections::BTreeMap;
 
 /// Limit on requests held at once by all orders together, so that they leave slots to other requests. Above
@@ -122,7 +122,7 @@
     }
 
     /// Decides on one request. If several orders select it, the first by name applies.
-    pub fn decide(&mut self, now: Millis, time: Option<Span>, caller: &Caller<'_>) -> Verdict {
+    pub fn decide(&mut self, now: Millis, time: Option<TimeInterval>, caller: &Caller<'_>) -> Verdict {
         let (Some(limits), Some(time)) = (self.limits.as_ref(), time) else { return Verdict::Unmatched };
         let is_running = |s: &&mut ActiveOrder| {
             s.order.state != State::Stopped && s.order.from <= time.earliest && time.latest < s.order.until
@@ -163,7 +163,7 @@
     }
 
     /// Records the outcome of a request that no order selects.
-    pub fn record_outcome(&mut self, time: Option<Span>, status: u16) {
+    pub fn record_outcome(&mut self, time: Option<TimeInterval>, status: u16) {
         let Some(time) = time else { return };
         for active in self.orders.values_mut().filter(|s| s.order.state != State::Stopped) {
             if time.latest < active.order.from {
@@ -189,7 +189,7 @@
     use std::collections::BTreeSet;
     use std::time::Duration;
 
-    const AT: Span = Span { earliest: 10_000.0, latest: 10_500.0 };
+    const AT: TimeInterval = TimeInterval { earliest: 10_000.0, latest: 10_500.0 };
 
     fn limits() -> Limits {
         let kinds = FailureKind::NAMES.map(str::to_owned).into();
@@ -237,8 +237,8 @@
         let mut injector = injector(&[order("o", "choir", FailureKind::Refuse)]);
         assert_eq!(injector.decide(0.0, Some(AT), &caller("1", "seller")).into_fault(), None);
         assert!(injector.decide(1.0, Some(AT), &caller("2", "choir")).into_fault().is_some());
-        let early = Span { earliest: 9_999.0, latest: 10_400.0 };
-        let late = Span { earliest: 19_600.0, latest: 20_000.0 };
+        let early = TimeInterval { earliest: 9_999.0, latest: 10_400.0 };
+        let late = TimeInterval { earliest: 19_600.0, latest: 20_000.0 };
         for time in [None, Some(early), Some(late)] {
             assert_eq!(injector.decide(2.0, time, &caller("3", "choir")).into_fault(), None, "{time:?}");
         }
