--- a/system/maintenance/src/clock.rs
+++ b/system/maintenance/src/clock.rs
@@ -1,41 +1,43 @@
-//! A time of day that can be trusted although single clocks jump.
+//! A fault-tolerant time of day, although single clocks jump.
 //!
-//! Each seat's clock is read by question and answer: a question sent at `s` and answered with time of day `w` at `r` (both by
-//! the own steady clock) says that true time less steady time lies in `[w - r - E, w - s + E]`, where `E` ([`MAX_CLOCK_ERROR`]) is what a
-//! clock in order may be wrong. With `n` seats of which `k` may be wrong at once, `h` of them heard: true time lies where at
-//! least `h - k` of these spans overlap, as long as no more than `k` are wrong. That is asked for a majority: `h - k > n / 2`,
-//! else nothing is said. (For six seats and one wrong clock: five heard, four agree.) Between readings the span grows by
-//! [`MAX_DRIFT`] of the time since; a reading that contradicts it leaves nothing to trust until readings agree for
+//! Each core member's clock is read by request and response: a request sent at `s` and answered with the time of day `w`
+//! at `r` (both by the local monotonic clock) shows that true time minus monotonic time lies in `[w - r - E, w - s + E]`,
+//! where `E` ([`MAX_CLOCK_ERROR`]) is the largest error of a correct clock. With `n` members, of which `k` may be wrong
+//! at once and `h` have answered, true time lies where at least `h - k` of these intervals overlap, as long as no more
+//! than `k` are wrong. A majority must agree: if `h - k` is not more than `n / 2`, there is no result. (With six members
+//! and one wrong clock: five answer, four agree.) Between readings the interval grows by [`MAX_DRIFT`] of the elapsed
+//! time. A reading that contradicts the interval makes the time untrusted until readings agree for
 //! [`DISTRUST_PERIOD`].
 
 use crate::Millis;
 use fennelscale_messages::Host;
 use std::collections::BTreeMap;
 
-/// A clock in order is no more than this from true time, in ms.
+/// The largest error of a correct clock, in ms.
 pub const MAX_CLOCK_ERROR: Millis = 300.0;
-/// Steady clocks run apart by no more than this part.
+/// The largest relative drift between two monotonic clocks.
 pub const MAX_DRIFT: f64 = 0.001;
-/// A seat's answer counts for so long.
+/// How long the answer of a core member is used, in ms.
 const MAX_READING_AGE: Millis = 4000.0;
-/// Without a new reading the last one is carried on for so long: a proxy's minute without a registry, a core's without a majority.
+/// How long the last interval is extrapolated without a new one, in ms: a proxy may be without a registry, or the
+/// core without a majority, for a minute.
 pub const MAX_EXTRAPOLATION: Millis = 60_000.0;
-/// After a contradiction nothing is trusted until readings agree for so long.
+/// After a contradiction, no time is trusted until the readings have agreed for this long, in ms.
 pub const DISTRUST_PERIOD: Millis = 10_000.0;
-/// A span wider than this tells too little to drain by.
+/// An interval wider than this is too uncertain to drain by, in ms.
 const MAX_INTERVAL: Millis = 5000.0;
 
-/// A span that true time lies in, as ms since 1970.
+/// An interval that contains true time, in ms since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimeInterval {
-    /// Not before.
+    /// The earliest possible time.
     pub earliest: Millis,
-    /// Not after.
+    /// The latest possible time.
     pub latest: Millis,
 }
 
 impl TimeInterval {
-    /// The same span so many steady ms later.
+    /// The interval after `by` ms of a monotonic clock have passed.
     pub fn advanced_by(self, by: Millis) -> Self {
         let by = by.max(0.0);
         Self {
@@ -44,64 +46,75 @@
         }
     }
 
-    fn meets(self, other: Self) -> Option<Self> {
-        let met = Self { earliest: self.earliest.max(other.earliest), latest: self.latest.min(other.latest) };
-        (met.earliest <= met.latest).then_some(met)
+    fn intersection(self, other: Self) -> Option<Self> {
+        let common =
+            Self { earliest: self.earliest.max(other.earliest), latest: self.latest.min(other.latest) };
+        (common.earliest <= common.latest).then_some(common)
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     at: Millis,
-    span: TimeInterval,
+    interval: TimeInterval,
 }
 
-/// What one machine knows of true time.
+/// One machine's estimate of true time.
 #[derive(Clone, Debug, Default)]
 pub struct Clock {
-    seats: BTreeMap<Host, Reading>,
-    fix: Option<Reading>,
-    against: Option<Millis>,
+    readings: BTreeMap<Host, Reading>,
+    estimate: Option<Reading>,
+    /// Since when readings contradict the estimate.
+    contradicted_since: Option<Millis>,
 }
 
 impl Clock {
-    /// A seat's time of day `wall`, read after `sent` and before `now` by the own steady clock.
-    pub fn record_reading(&mut self, seat: Host, sent: Millis, now: Millis, wall: Millis) {
-        let span = TimeInterval {
+    /// Records a core member's time of day `wall`, read between `sent` and `now` of the local monotonic clock.
+    pub fn record_reading(&mut self, member: Host, sent: Millis, now: Millis, wall: Millis) {
+        let interval = TimeInterval {
             earliest: wall - MAX_CLOCK_ERROR,
             latest: wall + (now - sent).max(0.0) + MAX_CLOCK_ERROR,
         };
-        self.seats.insert(seat, Reading { at: now, span });
+        self.readings.insert(member, Reading { at: now, interval });
     }
 
-    /// Looks at all readings; to be called now and then. `seats` vote, `wrong` of them may be wrong at once.
-    pub fn update(&mut self, now: Millis, seats: &[Host], wrong: usize) {
-        self.seats.retain(|seat, reading| seats.contains(seat) && now - reading.at < MAX_READING_AGE);
-        let Some(fresh) = self.agreed(now, seats.len(), wrong) else { return };
-        let before = self.fix.filter(|fix| now - fix.at < MAX_EXTRAPOLATION);
-        let met = before.map(|fix| fix.span.advanced_by(now - fix.at).meets(fresh));
-        match met {
+    /// Updates the estimate from all readings; to be called regularly. `members` are the members of the core, of
+    /// which `max_faulty` may have a wrong clock at once.
+    pub fn update(&mut self, now: Millis, members: &[Host], max_faulty: usize) {
+        self.readings
+            .retain(|member, reading| members.contains(member) && now - reading.at < MAX_READING_AGE);
+        let Some(fresh) = self.agreed(now, members.len(), max_faulty) else { return };
+        let previous = self.estimate.filter(|estimate| now - estimate.at < MAX_EXTRAPOLATION);
+        let combined =
+            previous.map(|estimate| estimate.interval.advanced_by(now - estimate.at).intersection(fresh));
+        match combined {
             Some(None) => {
-                let since = *self.against.get_or_insert(now);
+                let since = *self.contradicted_since.get_or_insert(now);
                 if now - since >= DISTRUST_PERIOD {
-                    (self.fix, self.against) = (Some(Reading { at: now, span: fresh }), None);
+                    (self.estimate, self.contradicted_since) =
+                        (Some(Reading { at: now, interval: fresh }), None);
                 }
             }
-            Some(Some(met)) => {
-                (self.fix, self.against) = (Some(Reading { at: now, span: met }), None);
+            Some(Some(combined)) => {
+                (self.estimate, self.contradicted_since) =
+                    (Some(Reading { at: now, interval: combined }), None);
+            }
+            None => {
+                (self.estimate, self.contradicted_since) = (Some(Reading { at: now, interval: fresh }), None)
             }
-            None => (self.fix, self.against) = (Some(Reading { at: now, span: fresh }), None),
         }
     }
 
-    /// The span in which enough seats agree.
-    fn agreed(&self, now: Millis, seats: usize, wrong: usize) -> Option<TimeInterval> {
-        // Of three seats one may be wrong, of one or two none: a majority must be left in any case.
-        let wrong = wrong.max(1).min(seats.saturating_sub(1) / 2);
-        let wanted = self.seats.len().checked_sub(wrong).filter(|agree| *agree > seats / 2)?;
-        let spans: Vec<TimeInterval> = self.seats.values().map(|r| r.span.advanced_by(now - r.at)).collect();
-        let covers = |at: Millis| spans.iter().filter(|s| s.earliest <= at && at <= s.latest).count();
-        let edges = spans.iter().flat_map(|s| [s.earliest, s.latest]).filter(|at| covers(*at) >= wanted);
+    /// The interval on which enough members agree.
+    fn agreed(&self, now: Millis, members: usize, max_faulty: usize) -> Option<TimeInterval> {
+        // Of three members one may be wrong, of one or two none: a majority must remain in any case.
+        let max_faulty = max_faulty.max(1).min(members.saturating_sub(1) / 2);
+        let required = self.readings.len().checked_sub(max_faulty).filter(|agree| *agree > members / 2)?;
+        let intervals: Vec<TimeInterval> =
+            self.readings.values().map(|r| r.interval.advanced_by(now - r.at)).collect();
+        let covers = |at: Millis| intervals.iter().filter(|s| s.earliest <= at && at <= s.latest).count();
+        let edges =
+            intervals.iter().flat_map(|s| [s.earliest, s.latest]).filter(|at| covers(*at) >= required);
         let (mut earliest, mut latest) = (f64::MAX, f64::MIN);
         for at in edges {
             (earliest, latest) = (earliest.min(at), latest.max(at));
@@ -109,11 +122,13 @@
         (earliest <= latest).then_some(TimeInterval { earliest, latest })
     }
 
-    /// The span that true time lies in now; none where nothing can be trusted.
+    /// The interval that contains true time now; `None` if no time can be trusted.
     pub fn now(&self, now: Millis) -> Option<TimeInterval> {
-        let fix = self.fix.filter(|fix| self.against.is_none() && now - fix.at < MAX_EXTRAPOLATION)?;
-        let span = fix.span.advanced_by(now - fix.at);
-        (span.latest - span.earliest <= MAX_INTERVAL).then_some(span)
+        let estimate = self
+            .estimate
+            .filter(|estimate| self.contradicted_since.is_none() && now - estimate.at < MAX_EXTRAPOLATION)?;
+        let interval = estimate.interval.advanced_by(now - estimate.at);
+        (interval.latest - interval.earliest <= MAX_INTERVAL).then_some(interval)
     }
 }
 
@@ -122,35 +137,35 @@
     use super::*;
     use proptest::prelude::*;
 
-    const TRUE: Millis = 1_800_000_000_000.0;
+    const TRUE_TIME: Millis = 1_800_000_000_000.0;
 
-    /// A core of `n` clocks, of which some jump: `wall = true + error`, `steady = true - TRUE`.
-    fn play(n: u32, wrong: usize, errors: &[f64], jumps: &[(usize, u32, f64)], delays: &[f64]) {
-        let seats: Vec<Host> = (0..n).map(Host).collect();
+    /// Checks a core of `n` clocks, of which some jump: `wall = true + error`, `monotonic = true - TRUE_TIME`.
+    fn check_clocks(n: u32, wrong: usize, errors: &[f64], jumps: &[(usize, u32, f64)], delays: &[f64]) {
+        let members: Vec<Host> = (0..n).map(Host).collect();
         let mut clock = Clock::default();
-        let mut off = vec![0.0; n as usize];
+        let mut offsets = vec![0.0; n as usize];
         for step in 0..400_usize {
             let now = step as f64 * 300.0;
             for (_, seat, by) in jumps.iter().filter(|(at, ..)| *at == step) {
-                // No more than may be wrong at once.
-                if off.iter().filter(|o| **o != 0.0).count() < wrong || off[*seat as usize] != 0.0 {
-                    off[*seat as usize] = *by;
+                // No more clocks are wrong at once than tolerated.
+                if offsets.iter().filter(|o| **o != 0.0).count() < wrong || offsets[*seat as usize] != 0.0 {
+                    offsets[*seat as usize] = *by;
                 }
             }
-            for (at, seat) in seats.iter().enumerate() {
+            for (at, member) in members.iter().enumerate() {
                 let delay = delays[(step + at) % delays.len()];
                 let back = delays[(step * 7 + at) % delays.len()];
                 if delay > 900.0 {
                     continue;
                 }
                 let read_at = now - back;
-                let wall = TRUE + read_at + errors[at % errors.len()] * MAX_CLOCK_ERROR + off[at];
-                clock.record_reading(*seat, read_at - delay, now, wall);
+                let wall = TRUE_TIME + read_at + errors[at % errors.len()] * MAX_CLOCK_ERROR + offsets[at];
+                clock.record_reading(*member, read_at - delay, now, wall);
             }
-            clock.update(now, &seats, wrong);
-            if let Some(span) = clock.now(now) {
-                let truth = TRUE + now;
-                assert!(span.earliest <= truth && truth <= span.latest, "{span:?} at {truth}");
+            clock.update(now, &members, wrong);
+            if let Some(interval) = clock.now(now) {
+                let truth = TRUE_TIME + now;
+                assert!(interval.earliest <= truth && truth <= interval.latest, "{interval:?} at {truth}");
             }
         }
     }
@@ -158,54 +173,56 @@
     proptest! {
         #![proptest_config(ProptestConfig::with_cases(300))]
         #[test]
-        fn true_time_is_in_the_span_while_no_more_clocks_jump_than_may(
+        fn the_interval_contains_true_time_while_few_enough_clocks_jump(
             n in 3_u32..8,
             errors in prop::collection::vec(-1.0..1.0_f64, 8),
             jumps in prop::collection::vec((0_usize..400, 0_u32..3, -9000.0..9000.0_f64), 0..8),
             delays in prop::collection::vec(0.5..1000.0_f64, 5..12),
         ) {
-            play(n, 1, &errors, &jumps, &delays);
+            check_clocks(n, 1, &errors, &jumps, &delays);
         }
     }
 
     #[test]
-    fn without_enough_seats_nothing_is_said_and_a_fix_is_carried_on_for_a_while() {
-        let seats: Vec<Host> = (0..6).map(Host).collect();
+    fn too_few_members_give_no_time_and_an_estimate_is_extrapolated_for_a_while() {
+        let members: Vec<Host> = (0..6).map(Host).collect();
         let mut clock = Clock::default();
-        for seat in &seats[..4] {
-            clock.record_reading(*seat, 0.0, 10.0, TRUE);
+        for member in &members[..4] {
+            clock.record_reading(*member, 0.0, 10.0, TRUE_TIME);
         }
-        clock.update(10.0, &seats, 1);
-        assert_eq!(clock.now(10.0), None, "four of six, of which one may be wrong, are too few");
-        clock.record_reading(seats[4], 0.0, 10.0, TRUE);
-        clock.update(10.0, &seats, 1);
+        clock.update(10.0, &members, 1);
+        assert_eq!(clock.now(10.0), None, "four of six members are too few if one may be wrong");
+        clock.record_reading(members[4], 0.0, 10.0, TRUE_TIME);
+        clock.update(10.0, &members, 1);
         assert!(clock.now(10.0).is_some());
         assert!(clock.now(MAX_EXTRAPOLATION).is_some() && clock.now(MAX_EXTRAPOLATION + 20.0).is_none());
     }
 
     #[test]
-    fn a_core_that_contradicts_itself_is_not_trusted_until_it_agrees_for_a_while() {
-        let seats: Vec<Host> = (0..3).map(Host).collect();
+    fn a_contradiction_is_not_trusted_until_the_readings_agree_for_a_while() {
+        let members: Vec<Host> = (0..3).map(Host).collect();
         let mut clock = Clock::default();
-        let mut hear = |at: f64, jump: f64| {
-            seats.iter().for_each(|seat| clock.record_reading(*seat, at - 1.0, at, TRUE + at + jump));
-            clock.update(at, &seats, 1);
+        let mut read_all = |at: f64, jump: f64| {
+            members
+                .iter()
+                .for_each(|member| clock.record_reading(*member, at - 1.0, at, TRUE_TIME + at + jump));
+            clock.update(at, &members, 1);
             clock.now(at)
         };
-        assert!(hear(0.0, 0.0).is_some());
-        assert_eq!(hear(300.0, 60_000.0), None, "all clocks jump at once");
-        assert_eq!(hear(600.0, 60_000.0), None);
-        assert!(hear(900.0 + DISTRUST_PERIOD, 60_000.0).is_some());
+        assert!(read_all(0.0, 0.0).is_some());
+        assert_eq!(read_all(300.0, 60_000.0), None, "all clocks jump at once");
+        assert_eq!(read_all(600.0, 60_000.0), None);
+        assert!(read_all(900.0 + DISTRUST_PERIOD, 60_000.0).is_some());
     }
 
     #[test]
-    fn two_wrong_clocks_of_six_leave_nothing_to_trust_rather_than_a_wrong_time() {
-        let seats: Vec<Host> = (0..6).map(Host).collect();
+    fn two_wrong_clocks_of_six_give_no_time_rather_than_a_wrong_one() {
+        let members: Vec<Host> = (0..6).map(Host).collect();
         let mut clock = Clock::default();
-        for (n, seat) in seats.iter().enumerate() {
-            clock.record_reading(*seat, 0.0, 1.0, TRUE + if n < 2 { 60_000.0 } else { 0.0 });
+        for (n, member) in members.iter().enumerate() {
+            clock.record_reading(*member, 0.0, 1.0, TRUE_TIME + if n < 2 { 60_000.0 } else { 0.0 });
         }
-        clock.update(1.0, &seats, 1);
+        clock.update(1.0, &members, 1);
         assert_eq!(clock.now(1.0), None);
     }
 }
--- a/system/maintenance/src/contract.rs
+++ b/system/maintenance/src/contract.rs
@@ -1,75 +1,78 @@
-//! Contracts: the hours in which nodes may be drained, in a named zone of time, with exceptions by date.
+//! Maintenance contracts: the hours in which nodes may be drained, in a named time zone, with exceptions by date.
 //!
-//! A span of hours belongs to the day that it begins on and may run past midnight. Where summer time begins or ends, a moment
-//! that is not there or is there twice is read so that the hours are the shorter: a beginning as late, an end as early as it
-//! can be.
+//! A range of hours belongs to the day on which it begins and may run past midnight. At a daylight saving change, a
+//! local time that does not exist or exists twice is resolved so that the window is the shorter one: the latest
+//! possible beginning and the earliest possible end.
 
 use crate::Millis;
 use jiff::civil::{Date, Time, Weekday};
 use jiff::tz::TimeZone;
-use jiff::{Span as Spell, Timestamp};
+use jiff::{Span, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far ahead the next hours are looked for, in days.
-const AHEAD: i64 = 400;
+/// How far ahead the next window is searched for, in days.
+const MAX_DAYS_AHEAD: i64 = 400;
 
-/// From when to when; past midnight where it does not end after it begins.
+/// A range of times of day. It runs past midnight if its end is not after its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeRange {
-    /// It begins.
+    /// The beginning.
     pub from: Time,
-    /// It ends.
+    /// The end, exclusive.
     pub to: Time,
 }
 
-/// A rule: on these days, between these times.
+/// Weekly recurring hours.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// Days that it begins on.
+    /// The days on which the hours begin.
     pub days: Vec<Weekday>,
-    /// When.
+    /// The times of day.
     pub between: TimeRange,
 }
 
-/// A contract.
+/// A maintenance contract.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contract {
     /// Its name.
     pub name: String,
-    /// Its zone of time.
+    /// Its time zone.
     pub time_zone: TimeZone,
-    /// The usual hours.
+    /// The regular hours.
     pub rules: Vec<Rule>,
-    /// On these dates these hours hold, and no others.
+    /// Hours that replace the regular ones on these dates.
     pub exceptions: BTreeMap<Date, Vec<TimeRange>>,
-    /// Zones and regions that it covers.
+    /// The zones and regions that it covers.
     pub places: BTreeSet<String>,
-    /// Who has approved it; none: nothing may be drained by it.
+    /// Who has approved it; with `None`, nothing may be drained under it.
     pub approved_by: Option<String>,
 }
 
-/// Hours that hold, as ms since 1970.
+/// A maintenance window, in ms since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
-    /// They begin.
+    /// The beginning.
     pub from: Millis,
-    /// They end.
+    /// The end, exclusive.
     pub to: Millis,
 }
 
-/// A time of day like `23:30` or `23:30:15`.
+/// Parses a time of day like `23:30` or `23:30:15`.
 ///
 /// # Errors
-/// When it is none.
+/// Fails if the text is not such a time.
 pub fn parse_time(text: &str) -> Result<Time, String> {
-    let long = text.len() == 8 || text.len() == 5;
-    text.parse().ok().filter(|_| long).ok_or_else(|| format!("{text}: a time like 23:30 is wanted"))
+    let has_valid_length = text.len() == 8 || text.len() == 5;
+    text.parse()
+        .ok()
+        .filter(|_| has_valid_length)
+        .ok_or_else(|| format!("{text}: a time like 23:30 is wanted"))
 }
 
-/// A date like `2026-12-24`.
+/// Parses a date like `2026-12-24`.
 ///
 /// # Errors
-/// When it is none.
+/// Fails if the text is not such a date.
 pub fn parse_date(text: &str) -> Result<Date, String> {
     text.parse()
         .ok()
@@ -77,10 +80,10 @@
         .ok_or_else(|| format!("{text}: a date like 2026-12-24 is wanted"))
 }
 
-/// A day like `mon`.
+/// Parses a weekday like `mon`.
 ///
 /// # Errors
-/// When it is none.
+/// Fails if the text is not a weekday.
 pub fn parse_day(text: &str) -> Result<Weekday, String> {
     Ok(match text {
         "mon" => Weekday::Monday,
@@ -94,73 +97,75 @@
     })
 }
 
-/// A zone of time by its name.
+/// Looks up a time zone by its IANA name.
 ///
 /// # Errors
-/// When there is none.
+/// Fails if there is no such time zone.
 pub fn parse_zone(name: &str) -> Result<TimeZone, String> {
     TimeZone::get(name).map_err(|_| format!("{name}: a zone of time like Europe/Ljubljana is wanted"))
 }
 
 impl Contract {
-    fn on(&self, date: Date) -> Vec<Window> {
-        let spans: Vec<TimeRange> = match self.exceptions.get(&date) {
-            Some(spans) => spans.clone(),
+    /// The windows that begin on a date.
+    fn windows_on(&self, date: Date) -> Vec<Window> {
+        let ranges: Vec<TimeRange> = match self.exceptions.get(&date) {
+            Some(ranges) => ranges.clone(),
             None => {
                 let rules = self.rules.iter().filter(|rule| rule.days.contains(&date.weekday()));
                 rules.map(|rule| rule.between).collect()
             }
         };
-        let window = |span: &TimeRange| {
-            let last = if span.to <= span.from { date.tomorrow().ok()? } else { date };
+        let window = |range: &TimeRange| {
+            let last = if range.to <= range.from { date.tomorrow().ok()? } else { date };
             let from =
-                self.time_zone.to_ambiguous_zoned_datetime(date.to_datetime(span.from)).later().ok()?;
-            let to = self.time_zone.to_ambiguous_zoned_datetime(last.to_datetime(span.to)).earlier().ok()?;
+                self.time_zone.to_ambiguous_zoned_datetime(date.to_datetime(range.from)).later().ok()?;
+            let to = self.time_zone.to_ambiguous_zoned_datetime(last.to_datetime(range.to)).earlier().ok()?;
             let ms = |at: Timestamp| at.as_millisecond() as f64;
             let window = Window { from: ms(from.timestamp()), to: ms(to.timestamp()) };
             (window.from < window.to).then_some(window)
         };
-        spans.iter().filter_map(window).collect()
+        ranges.iter().filter_map(window).collect()
     }
 
+    /// All windows that begin from day `from` to day `to`, counted from the date at `at`.
     fn windows(&self, at: Millis, from: i64, to: i64) -> Vec<Window> {
-        let Ok(stamp) = Timestamp::from_millisecond(at as i64) else { return Vec::new() };
-        let today = stamp.to_zoned_datetime(self.time_zone.clone()).date();
-        let dates = (from..=to).filter_map(|days| today.checked_add(Spell::new().days(days)).ok());
-        let mut windows: Vec<Window> = dates.flat_map(|date| self.on(date)).collect();
+        let Ok(timestamp) = Timestamp::from_millisecond(at as i64) else { return Vec::new() };
+        let today = timestamp.to_zoned_datetime(self.time_zone.clone()).date();
+        let dates = (from..=to).filter_map(|days| today.checked_add(Span::new().days(days)).ok());
+        let mut windows: Vec<Window> = dates.flat_map(|date| self.windows_on(date)).collect();
         windows.sort_by(|a, b| a.from.total_cmp(&b.from));
-        // Hours that touch are one.
-        let mut joined: Vec<Window> = Vec::new();
+        // Adjacent windows are merged.
+        let mut merged: Vec<Window> = Vec::new();
         for window in windows {
-            match joined.last_mut().filter(|last| window.from <= last.to) {
+            match merged.last_mut().filter(|last| window.from <= last.to) {
                 Some(last) => last.to = last.to.max(window.to),
-                None => joined.push(window),
+                None => merged.push(window),
             }
         }
-        joined
+        merged
     }
 
-    /// The hours that hold at a moment.
+    /// The window that contains a moment.
     pub fn window_at(&self, at: Millis) -> Option<Window> {
         self.windows(at, -2, 2).into_iter().find(|window| window.from <= at && at < window.to)
     }
 
-    /// When hours begin next.
+    /// The next window that begins after a moment.
     pub fn next_window(&self, at: Millis) -> Option<Window> {
-        self.windows(at, -1, AHEAD).into_iter().find(|window| window.from > at)
+        self.windows(at, -1, MAX_DAYS_AHEAD).into_iter().find(|window| window.from > at)
     }
 
-    /// Whether a zone is covered.
+    /// Whether a zone is covered, by itself or through its region.
     pub fn covers(&self, zone: &str, region: &str) -> bool {
         self.places.contains(zone) || self.places.contains(region)
     }
 }
 
-/// A moment as people read it, in the contract's zone.
+/// Formats a moment for display in a time zone.
 pub fn format_time(zone: &TimeZone, at: Millis) -> String {
     Timestamp::from_millisecond(at as i64).map_or_else(
         |_| "?".to_owned(),
-        |stamp| stamp.to_zoned_datetime(zone.clone()).strftime("%a %Y-%m-%d %H:%M:%S %Z").to_string(),
+        |timestamp| timestamp.to_zoned_datetime(zone.clone()).strftime("%a %Y-%m-%d %H:%M:%S %Z").to_string(),
     )
 }
 
@@ -170,11 +175,11 @@
 
     fn contract(name: &str, from: &str, to: &str) -> Contract {
         let days = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"].map(|d| parse_day(d).unwrap()).to_vec();
-        let between = TimeRange { from: parse_time(from).unwrap(), to: parse_time(to).unwrap() };
+        let range = TimeRange { from: parse_time(from).unwrap(), to: parse_time(to).unwrap() };
         Contract {
             name: "nights".into(),
             time_zone: parse_zone(name).unwrap(),
-            rules: vec![Rule { days, between }],
+            rules: vec![Rule { days, between: range }],
             exceptions: BTreeMap::new(),
             places: ["ljubljana".to_owned()].into(),
             approved_by: Some("a".into()),
@@ -190,21 +195,21 @@
     }
 
     #[test]
-    fn hours_past_midnight_belong_to_the_day_they_begin_on() {
+    fn a_window_past_midnight_belongs_to_the_day_it_begins_on() {
         let mut contract = contract("Europe/Ljubljana", "23:00", "04:30");
         assert_eq!(hours(&contract, "2026-12-02T21:59:59Z"), None);
         assert_eq!(hours(&contract, "2026-12-02T22:00:00Z"), Some(5.5));
         assert_eq!(hours(&contract, "2026-12-03T03:29:59Z"), Some(5.5));
         assert_eq!(hours(&contract, "2026-12-03T03:30:00Z"), None);
         contract.rules[0].days = vec![parse_day("wed").unwrap()];
-        assert_eq!(hours(&contract, "2026-12-03T02:00:00Z"), Some(5.5), "begun on Wednesday");
+        assert_eq!(hours(&contract, "2026-12-03T02:00:00Z"), Some(5.5), "the window began on Wednesday");
         assert_eq!(hours(&contract, "2026-12-03T23:00:00Z"), None);
         let next = contract.next_window(at("2026-12-03T12:00:00Z")).unwrap();
         assert_eq!(next.from, at("2026-12-09T22:00:00Z"));
     }
 
     #[test]
-    fn an_exception_goes_before_the_rules_of_its_day() {
+    fn an_exception_replaces_the_rules_of_its_date() {
         let mut contract = contract("America/Costa_Rica", "01:00", "05:00");
         contract.exceptions.insert(parse_date("2026-12-24").unwrap(), Vec::new());
         let short = TimeRange { from: parse_time("02:00").unwrap(), to: parse_time("02:30").unwrap() };
@@ -216,24 +221,28 @@
     }
 
     #[test]
-    fn where_summer_time_changes_the_hours_are_the_shorter() {
-        // 2026-03-29 02:00 becomes 03:00; 2026-10-25 03:00 becomes 02:00 again.
+    fn a_daylight_saving_change_never_lengthens_a_window() {
+        // The clock goes from 02:00 to 03:00 on 2026-03-29 and from 03:00 back to 02:00 on 2026-10-25.
         let whole = contract("Europe/Ljubljana", "01:00", "05:00");
         assert_eq!(hours(&whole, "2026-03-29T01:30:00Z"), Some(3.0));
         assert_eq!(hours(&whole, "2026-10-25T01:30:00Z"), Some(5.0));
         let gap = contract("Europe/Ljubljana", "02:30", "04:00");
-        assert_eq!(hours(&gap, "2026-03-29T01:10:00Z"), None, "02:30 is not there: it begins at 03:30");
+        assert_eq!(
+            hours(&gap, "2026-03-29T01:10:00Z"),
+            None,
+            "02:30 does not exist: the window begins at 03:30"
+        );
         assert_eq!(hours(&gap, "2026-03-29T01:40:00Z"), Some(0.5));
         let twice = contract("Europe/Ljubljana", "02:30", "04:00");
-        assert_eq!(hours(&twice, "2026-10-25T00:40:00Z"), None, "the second 02:30 begins it");
+        assert_eq!(hours(&twice, "2026-10-25T00:40:00Z"), None, "the window begins at the second 02:30");
         assert_eq!(hours(&twice, "2026-10-25T01:40:00Z"), Some(1.5));
         let ends = contract("Europe/Ljubljana", "01:00", "02:30");
         assert_eq!(hours(&ends, "2026-10-25T00:29:00Z"), Some(1.5));
-        assert_eq!(hours(&ends, "2026-10-25T00:31:00Z"), None, "the first 02:30 ends it");
+        assert_eq!(hours(&ends, "2026-10-25T00:31:00Z"), None, "the window ends at the first 02:30");
     }
 
     #[test]
-    fn hours_that_touch_are_one() {
+    fn adjacent_windows_are_merged() {
         let mut contract = contract("UTC", "22:00", "00:00");
         let early = TimeRange { from: parse_time("00:00").unwrap(), to: parse_time("03:00").unwrap() };
         contract.rules.push(Rule { days: contract.rules[0].days.clone(), between: early });
--- a/system/maintenance/src/lib.rs
+++ b/system/maintenance/src/lib.rs
@@ -1,20 +1,21 @@
-//! Maintenance windows (the post's shutter): contracts that approve hours, work orders that name nodes, a time that can be
-//! trusted, and what is done next: which node is drained, which is released, which goes back.
+//! Maintenance windows: contracts that approve hours, work orders that name nodes, a fault-tolerant time of day, and
+//! the decision which node to drain, to release or to return to service next.
 //!
-//! # What holds
+//! # Guarantees
 //!
-//! - A node is drained only while the hours of an approved contract hold by a time that a majority of the core vouches for,
-//!   with its whole uncertainty inside them ([`clock`], [`contract`]); it is told to go back before they end, and each proxy by
-//!   itself stops heeding the drain when they end.
-//! - Never more is out at once than the order and the deployment's tolerance leave, planned and unplanned together
-//!   ([`plan`]). Each step is decided from one view of everything and written only if that view still stands ([`view_hash`]): two
-//!   gateways can't both spend the same room.
-//! - A node is released only when each proxy says that it has nothing at work there, and no proxy is silent.
+//! - A node is drained only within the hours of an approved contract, by a time that a majority of the core confirms
+//!   and with its whole uncertainty inside them ([`clock`], [`contract`]). It is told to return before the hours end,
+//!   and each proxy by itself stops applying the drain when they end.
+//! - No more nodes are out at once than the order's limits and the deployment's fault tolerance allow, planned and
+//!   unplanned together ([`plan`]). Each step is decided from one view and written only if that view is still current
+//!   ([`view_hash`]), so two registries cannot both use the same capacity.
+//! - A node is released only when every proxy reports that it has no work in progress there and no proxy is
+//!   unreachable.
 //!
-//! # What the caller owes
+//! # Obligations of the caller
 //!
-//! No I/O, no clock: times come in as milliseconds, steady ones never go back. A step of [`plan::next`] is written with the
-//! number of the view that it was decided from.
+//! The crate does no I/O and reads no clock: times are passed in as milliseconds, and monotonic times never go back.
+//! A step of [`plan::next_step`] is written together with the hash of the view that it was decided from.
 
 pub mod clock;
 pub mod contract;
@@ -24,30 +25,30 @@
 
 use fennelscale_messages::store::Entry;
 
-/// Milliseconds; of a steady clock or since 1970, as said where it stands.
+/// Milliseconds: of a monotonic clock, or since the Unix epoch where the documentation says so.
 pub type Millis = f64;
 
-/// Names of contracts begin so, ...
+/// Prefix of the names of maintenance contracts.
 pub const CONTRACT_PREFIX: &str = "c:";
-/// ... those of work orders so, ...
+/// Prefix of the names of work orders.
 pub const ORDER_PREFIX: &str = "w:";
-/// ... what an order has drained now, for proxies, so, ...
+/// Prefix of the items that tell proxies what a work order drains now.
 pub const DRAIN_PREFIX: &str = "d:";
-/// ... and the record of its night, for the core alone, so.
+/// Prefix of the maintenance records of work orders, which only the core reads.
 pub const RECORD_PREFIX: &str = "n:";
 
-/// Whether an item has a say in what may be drained.
+/// Whether an item affects what may be drained.
 pub fn is_maintenance_item(name: &str) -> bool {
-    [CONTRACT_PREFIX, ORDER_PREFIX, DRAIN_PREFIX, RECORD_PREFIX].iter().any(|kind| name.starts_with(kind))
+    [CONTRACT_PREFIX, ORDER_PREFIX, DRAIN_PREFIX, RECORD_PREFIX].iter().any(|prefix| name.starts_with(prefix))
 }
 
-/// All items that have a say in what may be drained, in one number: a step that was decided from one view is written only
-/// where the number is still the same. Versions say enough, since one version never has two contents.
+/// A hash of all items that affect what may be drained. A step that was decided from a view is written only if
+/// the hash is still the same. Hashing revisions is enough, since one revision never has two contents.
 pub fn view_hash<'a>(entries: impl Iterator<Item = (&'a str, &'a Entry)>) -> u64 {
-    entries.filter(|(name, _)| is_maintenance_item(name)).fold(0, |all, (name, entry)| {
-        let stands = u64::from(entry.body.is_some());
-        all ^ fennelscale_messages::mix(
-            fennelscale_messages::hash(name.as_bytes()) ^ (entry.revision << 1 | stands),
+    entries.filter(|(name, _)| is_maintenance_item(name)).fold(0, |hash, (name, entry)| {
+        let exists = u64::from(entry.body.is_some());
+        hash ^ fennelscale_messages::mix(
+            fennelscale_messages::hash(name.as_bytes()) ^ (entry.revision << 1 | exists),
         )
     })
 }
--- a/system/maintenance/src/order.rs
+++ b/system/maintenance/src/order.rs
@@ -1,22 +1,23 @@
-//! Work orders: which nodes, by which contract, for how long, in which order, how many at once, and what is wanted of it now.
+//! Work orders: which nodes are serviced, by which contract, for how long, how many at once, and the state that
+//! operators set.
 
 use crate::Millis;
 use std::fmt;
 use std::str::FromStr;
 
-/// The most nodes of one order; guards the record's size.
+/// The most nodes of one order; limits the size of its record.
 pub const MAX_NODES: usize = 64;
-/// The most orders that stand; an order that has been dropped takes its record with it.
+/// The most orders at once; removing an order also removes its record.
 pub const MAX_ORDERS: usize = 64;
 
-/// What can be drained.
+/// A unit that can be drained.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
     /// A backend, by its id.
     Backend(String),
     /// A proxy, by its address.
     Proxy(fennelscale_messages::Host),
-    /// A zone: its backends and its proxies.
+    /// A zone, with its backends and its proxies.
     Zone(String),
 }
 
@@ -33,38 +34,38 @@
 impl FromStr for Node {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("{text}: backend:ID, proxy:ADDRESS or zone:NAME is wanted");
-        match text.split_once(':').filter(|(_, name)| !name.is_empty()).ok_or_else(wrong)? {
+        let invalid = || format!("{text}: backend:ID, proxy:ADDRESS or zone:NAME is wanted");
+        match text.split_once(':').filter(|(_, name)| !name.is_empty()).ok_or_else(invalid)? {
             ("backend", id) => Ok(Self::Backend(id.to_owned())),
             ("zone", zone) => Ok(Self::Zone(zone.to_owned())),
-            ("proxy", at) => {
-                let ip = at.parse().ok().and_then(fennelscale_messages::Host::from_ip);
-                ip.map(Self::Proxy).ok_or_else(wrong)
+            ("proxy", address) => {
+                let ip = address.parse().ok().and_then(fennelscale_messages::Host::from_ip);
+                ip.map(Self::Proxy).ok_or_else(invalid)
             }
-            _ => Err(wrong()),
+            _ => Err(invalid()),
         }
     }
 }
 
-/// What is wanted of an order.
+/// The state that operators set for an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderState {
-    /// Nothing yet: it can be rehearsed.
+    /// Not yet approved; it can be checked.
     Planned,
-    /// Nothing yet, but somebody has approved it.
+    /// Approved but not started.
     Approved,
-    /// Its nodes are serviced in the contract's hours.
+    /// Its nodes are serviced within the contract's hours.
     Running,
-    /// No further node is drained; those that are out finish.
+    /// No further node is drained; nodes that are out finish.
     Paused,
-    /// All nodes go back; it does not go on.
+    /// All nodes return to service; the order does not continue.
     Ended,
-    /// As ended; its approval was taken back.
+    /// Like `Ended`; its approval was withdrawn.
     Withdrawn,
 }
 
 impl OrderState {
-    /// All, with their names.
+    /// All states with their names.
     pub const ALL: [(&'static str, Self); 6] = [
         ("planned", Self::Planned),
         ("approved", Self::Approved),
@@ -74,22 +75,22 @@
         ("withdrawn", Self::Withdrawn),
     ];
 
-    /// Its name.
+    /// The name that operators see.
     pub fn name(self) -> &'static str {
-        Self::ALL.iter().find(|(_, wanted)| *wanted == self).map_or("", |(name, _)| name)
+        Self::ALL.iter().find(|(_, state)| *state == self).map_or("", |(name, _)| name)
     }
 }
 
-/// How many nodes may be out at once, by plan or not.
+/// How many nodes may be out at once, planned or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutLimits {
-    /// Of this order.
+    /// Nodes of this order.
     pub order: usize,
-    /// In one zone.
+    /// Nodes in one zone.
     pub zone: usize,
-    /// In one region.
+    /// Nodes in one region.
     pub region: usize,
-    /// Of one service.
+    /// Backends of one service.
     pub service: usize,
 }
 
@@ -104,17 +105,17 @@
 pub struct WorkOrder {
     /// Its name.
     pub name: String,
-    /// The contract whose hours it keeps.
+    /// The contract whose hours apply.
     pub contract: String,
-    /// What is serviced, in this order.
+    /// The nodes to service, in this sequence.
     pub nodes: Vec<Node>,
-    /// How long a node is out, in ms.
+    /// How long each node is out, in ms.
     pub out_duration: Millis,
-    /// So long before the hours end all nodes are told to go back, in ms.
+    /// How long before the end of the hours all nodes are told to return to service, in ms.
     pub return_time: Millis,
-    /// How many at once.
+    /// How many nodes may be out at once.
     pub limits: OutLimits,
-    /// What is wanted of it.
+    /// The state that operators set.
     pub state: OrderState,
     /// Who has approved it.
     pub approved_by: Option<String>,
--- a/system/maintenance/src/record.rs
+++ b/system/maintenance/src/record.rs
@@ -1,32 +1,32 @@
-//! The record of an order's night: what was drained when and why, and what proxies are told of it. Both are written by one
-//! step, whole.
+//! The maintenance record of a work order: what was drained when and why, and what proxies are told of it. Both are
+//! written in full by one step.
 
 use crate::Millis;
 use crate::order::Node;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far a node has come.
+/// The phase of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// New work goes elsewhere; what is at work ends.
+    /// New work is sent elsewhere; work in progress finishes.
     Draining,
-    /// Nothing is at work there: it may be serviced.
+    /// No work is in progress there: the node may be serviced.
     Out,
-    /// It was out for its time and is back.
+    /// It was out for its full time and is back in service.
     Serviced,
-    /// It is back and was not out for its time.
+    /// It is back in service without having been out for its full time.
     Unserviced,
 }
 
 impl Phase {
-    /// Whether the node gets nothing.
+    /// Whether the node gets no new work.
     pub fn is_drained(self) -> bool {
         matches!(self, Self::Draining | Self::Out)
     }
 
-    /// Its name.
+    /// The name that records and operators see.
     pub fn name(self) -> &'static str {
         match self {
             Self::Draining => "draining",
@@ -37,83 +37,84 @@
     }
 }
 
-/// One step of one node.
+/// The begin of a phase of one node, or a note within it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// What began.
+    /// The phase.
     pub phase: Phase,
-    /// Not after this moment, in ms since 1970; 0 where no time could be trusted.
+    /// The latest possible time of the step, in ms since the Unix epoch; 0 if no trusted time was available.
     pub at: Millis,
-    /// Which gateway decided it.
+    /// The registry that decided it.
     pub by: String,
-    /// Why, and what was waited for.
+    /// The reason, and what was waited for.
     pub why: String,
 }
 
-/// A night so far.
+/// The record of the maintenance of a work order so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceRecord {
     /// The steps of each node, by its name.
     pub nodes: BTreeMap<String, Vec<Step>>,
-    /// When the hours end that the nodes are out in, in ms since 1970.
+    /// When the current maintenance window ends, in ms since the Unix epoch.
     pub ends: Millis,
 }
 
 impl MaintenanceRecord {
-    /// Reads a record; none if it can't be.
+    /// Parses a record; `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         sonic_rs::from_str(text).ok()
     }
 
-    /// The record as a text.
+    /// The record as JSON.
     pub fn to_json(&self) -> String {
         sonic_rs::to_string(self).unwrap_or_default()
     }
 
-    /// How far a node has come; none if it has not begun.
+    /// The current phase of a node; `None` if it has not begun.
     pub fn phase(&self, node: &Node) -> Option<Phase> {
         self.last_step(node).map(|step| step.phase)
     }
 
-    /// A node's last step.
+    /// The last step of a node.
     pub fn last_step(&self, node: &Node) -> Option<&Step> {
         self.nodes.get(&node.to_string())?.last()
     }
 
-    /// Nodes that get nothing.
+    /// Nodes that get no new work now.
     pub fn drained_nodes(&self) -> Vec<Node> {
-        let out = self.nodes.iter().filter(|(_, steps)| steps.last().is_some_and(|s| s.phase.is_drained()));
-        out.filter_map(|(node, _)| node.parse().ok()).collect()
+        let drained =
+            self.nodes.iter().filter(|(_, steps)| steps.last().is_some_and(|s| s.phase.is_drained()));
+        drained.filter_map(|(node, _)| node.parse().ok()).collect()
     }
 
-    /// What proxies are told; none while nothing is out.
+    /// What proxies are told; `None` while no node is drained.
     pub fn drain(&self) -> Option<Drain> {
         let nodes: Vec<String> = self.drained_nodes().iter().map(Node::to_string).collect();
         (!nodes.is_empty()).then_some(Drain { nodes, ends: self.ends })
     }
 }
 
-/// What an order has drained now.
+/// The nodes that a work order drains now, as proxies are told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Nodes that get nothing.
+    /// Nodes that get no new work.
     pub nodes: Vec<String>,
-    /// Whatever else is heard, not beyond this moment, in ms since 1970.
+    /// The drain ends at this time in any case, in ms since the Unix epoch.
     pub ends: Millis,
 }
 
 impl Drain {
-    /// Reads what an order has drained; none if it can't be.
+    /// Parses a drain; `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         sonic_rs::from_str(text).ok()
     }
 
-    /// As a text.
+    /// The drain as JSON.
     pub fn to_json(&self) -> String {
         sonic_rs::to_string(self).unwrap_or_default()
     }
 
-    /// The nodes.
+    /// The nodes that can be parsed.
     pub fn nodes(&self) -> impl Iterator<Item = Node> {
         self.nodes.iter().filter_map(|node| node.parse().ok())
     }
