--- a/system/maintenance/src/clock.rs
+++ b/system/maintenance/src/clock.rs
@@ -1,13 +1,13 @@
 //! A fault-tolerant time of day, although single clocks jump.
 //!
-//! Each core member's clock is read by request and response: a request sent at `s` and answered with the time of day `w`
-//! at `r` (both by the local monotonic clock) shows that true time minus monotonic time lies in `[w - r - E, w - s + E]`,
-//! where `E` ([`MAX_CLOCK_ERROR`]) is the largest error of a correct clock. With `n` members, of which `k` may be wrong
-//! at once and `h` have answered, true time lies where at least `h - k` of these intervals overlap, as long as no more
-//! than `k` are wrong. A majority must agree: if `h - k` is not more than `n / 2`, there is no result. (With six members
-//! and one wrong clock: five answer, four agree.) Between readings the interval grows by [`MAX_DRIFT`] of the elapsed
-//! time. A reading that contradicts the interval makes the time untrusted until readings agree for
-//! [`DISTRUST_PERIOD`].
+//! Each core member's clock is read by request and response: a request sent at `s` and answered with the time
+//! of day `w` at `r` (both by the local monotonic clock) shows that true time minus monotonic time lies in
+//! `[w - r - E, w - s + E]`, where `E` ([`MAX_CLOCK_ERROR`]) is the largest error of a correct clock. With `n`
+//! members, of which `k` may be wrong at once and `h` have answered, true time lies where at least `h - k` of
+//! these intervals overlap, as long as no more than `k` are wrong. A majority must agree: if `h - k` is not more
+//! than `n / 2`, there is no result. (With six members and one wrong clock: five answer, four agree.) Between
+//! readings the interval grows by [`MAX_DRIFT`] of the elapsed time. A reading that contradicts the interval
+//! makes the time untrusted until readings agree for [`DISTRUST_PERIOD`].
 
 use crate::Millis;
 use fennelscale_messages::Host;
@@ -19,8 +19,8 @@
 pub const MAX_DRIFT: f64 = 0.001;
 /// How long the answer of a core member is used, in ms.
 const MAX_READING_AGE: Millis = 4000.0;
-/// How long the last interval is extrapolated without a new one, in ms: a proxy may be without a registry, or the
-/// core without a majority, for a minute.
+/// How long the last interval is extrapolated without a new one, in ms: a proxy may be without a registry, or
+/// the core without a majority, for a minute.
 pub const MAX_EXTRAPOLATION: Millis = 60_000.0;
 /// After a contradiction, no time is trusted until the readings have agreed for this long, in ms.
 pub const DISTRUST_PERIOD: Millis = 10_000.0;
@@ -69,7 +69,8 @@
 }
 
 impl Clock {
-    /// Records a core member's time of day `wall`, read between `sent` and `now` of the local monotonic clock.
+    /// Records a core member's time of day `wall`, read between `sent` and `now` of the local monotonic
+    /// clock.
     pub fn record_reading(&mut self, member: Host, sent: Millis, now: Millis, wall: Millis) {
         let interval = TimeInterval {
             earliest: wall - MAX_CLOCK_ERROR,
@@ -78,8 +79,8 @@
         self.readings.insert(member, Reading { at: now, interval });
     }
 
-    /// Updates the estimate from all readings; to be called regularly. `members` are the members of the core, of
-    /// which `max_faulty` may have a wrong clock at once.
+    /// Updates the estimate from all readings; to be called regularly. `members` are the members of the core,
+    /// of which `max_faulty` may have a wrong clock at once.
     pub fn update(&mut self, now: Millis, members: &[Host], max_faulty: usize) {
         self.readings
             .retain(|member, reading| members.contains(member) && now - reading.at < MAX_READING_AGE);
@@ -139,7 +140,8 @@
 
     const TRUE_TIME: Millis = 1_800_000_000_000.0;
 
-    /// Checks a core of `n` clocks, of which some jump: `wall = true + error`, `monotonic = true - TRUE_TIME`.
+    /// Checks a core of `n` clocks, of which some jump: `wall = true + error`, `monotonic = true -
+    /// TRUE_TIME`.
     fn check_clocks(n: u32, wrong: usize, errors: &[f64], jumps: &[(usize, u32, f64)], delays: &[f64]) {
         let members: Vec<Host> = (0..n).map(Host).collect();
         let mut clock = Clock::default();
--- a/system/maintenance/src/contract.rs
+++ b/system/maintenance/src/contract.rs
@@ -1,8 +1,9 @@
-//! Maintenance contracts: the hours in which nodes may be drained, in a named time zone, with exceptions by date.
+//! Maintenance contracts: the hours in which nodes may be drained, in a named time zone, with exceptions by
+//! date.
 //!
-//! A range of hours belongs to the day on which it begins and may run past midnight. At a daylight saving change, a
-//! local time that does not exist or exists twice is resolved so that the window is the shorter one: the latest
-//! possible beginning and the earliest possible end.
+//! A range of hours belongs to the day on which it begins and may run past midnight. At a daylight saving
+//! change, a local time that does not exist or exists twice is resolved so that the window is the shorter
+//! one: the latest possible beginning and the earliest possible end.
 
 use crate::Millis;
 use jiff::civil::{Date, Time, Weekday};
--- a/system/maintenance/src/order.rs
+++ b/system/maintenance/src/order.rs
@@ -1,5 +1,5 @@
-//! Work orders: which nodes are serviced, by which contract, for how long, how many at once, and the state that
-//! operators set.
+//! Work orders: which nodes are serviced, by which contract, for how long, how many at once, and the state
+//! that operators set.
 
 use crate::Millis;
 use std::fmt;
--- a/system/maintenance/src/plan.rs
+++ b/system/maintenance/src/plan.rs
@@ -1,19 +1,21 @@
-//! What is done next: which node is drained, which is released, which goes back, and why not.
+//! The next maintenance step: which node is drained, released or returned to service, and why not.
 //!
-//! Everything is decided from one [`View`]; a step is written only if nothing in it that counts has changed
-//! ([`crate::view_hash`]). Going back is decided before all else and needs no time that can be trusted; draining needs everything.
+//! Every decision is made from one [`View`]; a step is written only if no relevant item has changed since
+//! ([`crate::view_hash`]). Returns to service are decided first and need no trusted time; a drain needs all
+//! conditions.
 //!
-//! # How the hours are kept
+//! # How the window is kept
 //!
-//! True time lies in `[earliest, latest]`. A node begins to drain only if the whole span lies in the hours and `latest` leaves
-//! room for the order's length, for going back, and for a step that is chosen late ([`MAX_STEP_DELAY`]). It goes back once `latest` is
-//! within `back_before` of the end. What is told to proxies ends with the hours at each proxy by itself, wherever it is cut off.
-//! A gateway that has no time to trust for [`crate::clock::MAX_EXTRAPOLATION`] takes back all that is out.
+//! True time lies in `[earliest, latest]`. A node begins to drain only if the whole interval lies in the
+//! window and `latest` leaves room for the order's `out_duration`, for the return, and for a step that is
+//! written late ([`MAX_STEP_DELAY`]). It returns once `latest` is within `return_time` of the end. Each proxy
+//! by itself ends a drain when the window ends, even if it is isolated. A registry without a trusted time for
+//! [`crate::clock::MAX_EXTRAPOLATION`] returns all drained nodes to service.
 //!
-//! # What a loss does
+//! # What a failure does
 //!
-//! While a seat or a proxy is silent, a zone evacuated or a backend drained by the platform, these count as out; while a seat or
-//! a proxy outside of what is serviced is silent nothing further is drained.
+//! Unreachable core members and proxies, evacuated zones and backends that the platform drains count as out.
+//! While a core member outside the drained zones, or any proxy, is unreachable, nothing further is drained.
 
 use crate::Millis;
 use crate::clock::TimeInterval;
@@ -25,48 +27,49 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A step that was decided is chosen within this, or not at all: the time of a call to the store, and as much again.
+/// A decided step is written within this, in ms, or not at all: the time of a call to the store, and the same
+/// again.
 pub const MAX_STEP_DELAY: Millis = 8000.0;
 
-/// What one gateway sees.
+/// The state that one registry decides from.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// True time.
+    /// True time, if it is trusted.
     pub now: Option<TimeInterval>,
-    /// Contracts that stand.
+    /// Existing contracts.
     pub contracts: BTreeMap<String, Contract>,
-    /// Orders that stand.
+    /// Existing orders.
     pub orders: BTreeMap<String, WorkOrder>,
-    /// Records, also of orders that have been dropped since.
+    /// Maintenance records, including those of orders that have since been removed.
     pub records: BTreeMap<String, MaintenanceRecord>,
     /// The region of each zone.
     pub zone_regions: BTreeMap<String, String>,
-    /// The platform's list.
+    /// The platform's backend list.
     pub backends: Vec<Backend>,
-    /// Proxies with a session; [`ProxyInfo::quiet`] says where each has nothing at work.
+    /// Proxies with a session; [`ProxyInfo::idle_nodes`] are the nodes where each has no work in progress.
     pub proxies: Vec<ProxyInfo>,
-    /// Proxies that went silent and may still serve: how many.
+    /// The number of proxies that stopped responding and may still serve.
     pub isolated_proxies: usize,
-    /// Zones of seats that are not heard.
+    /// The zones of core members that cannot be reached.
     pub unreachable_zones: Vec<String>,
-    /// Zones that are to get nothing.
+    /// Evacuated zones.
     pub evacuated_zones: BTreeSet<String>,
-    /// Zones that may be lost at once.
+    /// How many zones may be lost at once.
     pub max_lost_zones: usize,
-    /// Regions that may be lost at once.
+    /// How many regions may be lost at once.
     pub max_lost_regions: usize,
-    /// Where requests may go: a service, and the regions of a route that names it; empty for all.
+    /// Where requests may go: each service with the regions of a route that names it; empty for all regions.
     pub service_regions: Vec<(String, Vec<String>)>,
-    /// The copy is not a quorum's, or this gateway is cut off.
+    /// The local copy is not confirmed by a quorum, or this registry is isolated.
     pub may_be_stale: bool,
 }
 
-/// Why a node is not drained now. `lasting`: it won't be, however long one waits.
+/// Why a node is not drained now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reason {
-    /// In words, with what is missing.
+    /// The reason as operators see it, with what is missing.
     pub text: String,
-    /// The order can't be carried out as it stands.
+    /// Waiting does not help: the order cannot be carried out as it is.
     pub is_permanent: bool,
 }
 
@@ -76,24 +79,24 @@
     }
 }
 
-fn later(text: impl Into<String>) -> Reason {
+fn temporary(text: impl Into<String>) -> Reason {
     Reason { text: text.into(), is_permanent: false }
 }
 
-fn never(text: impl Into<String>) -> Reason {
+fn permanent(text: impl Into<String>) -> Reason {
     Reason { text: text.into(), is_permanent: true }
 }
 
-/// A step that is to be written.
+/// A step to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedStep {
-    /// Of which order.
+    /// The name of the order.
     pub order: String,
-    /// The record with the step.
+    /// The record with the step added.
     pub record: MaintenanceRecord,
-    /// The node and what begins for it, for the log.
+    /// The node of the step.
     pub node: Node,
-    /// What begins.
+    /// The phase of the step.
     pub phase: Phase,
 }
 
@@ -102,8 +105,8 @@
         self.zone_regions.get(zone).map_or("", String::as_str)
     }
 
-    /// All that is out by plan.
-    fn planned(&self) -> Vec<Node> {
+    /// All nodes that work orders drain now.
+    fn drained_nodes(&self) -> Vec<Node> {
         self.records.values().flat_map(MaintenanceRecord::drained_nodes).collect()
     }
 
@@ -111,11 +114,13 @@
         match node {
             Node::Zone(zone) => self.zone_regions.get_key_value(zone).map(|(zone, _)| zone.as_str()),
             Node::Backend(id) => self.backends.iter().find(|b| b.id == *id).map(|b| b.zone.as_str()),
-            Node::Proxy(host) => self.proxies.iter().find(|m| m.host == *host).map(|m| m.zone.as_str()),
+            Node::Proxy(host) => {
+                self.proxies.iter().find(|proxy| proxy.host == *host).map(|m| m.zone.as_str())
+            }
         }
     }
 
-    fn holds(node: &Node, backend: &Backend) -> bool {
+    fn contains_backend(node: &Node, backend: &Backend) -> bool {
         match node {
             Node::Backend(id) => *id == backend.id,
             Node::Zone(zone) => *zone == backend.zone,
@@ -123,91 +128,96 @@
         }
     }
 
-    fn holds_proxy(node: &Node, member: &ProxyInfo) -> bool {
+    fn contains_proxy(node: &Node, proxy: &ProxyInfo) -> bool {
         match node {
-            Node::Proxy(host) => *host == member.host,
-            Node::Zone(zone) => *zone == member.zone,
+            Node::Proxy(host) => *host == proxy.host,
+            Node::Zone(zone) => *zone == proxy.zone,
             Node::Backend(_) => false,
         }
     }
 
-    /// The hours of an order that hold with certainty now.
-    fn window(&self, order: &WorkOrder, contract: &Contract) -> Result<Window, Reason> {
-        let Some(now) = self.now else { return Err(later("no time of day can be trusted now")) };
+    /// The order's current maintenance window, if the whole interval of true time lies in it.
+    fn current_window(&self, order: &WorkOrder, contract: &Contract) -> Result<Window, Reason> {
+        let Some(now) = self.now else { return Err(temporary("no time of day can be trusted now")) };
         let hours = contract.window_at(now.earliest).filter(|window| now.latest < window.to);
-        hours.ok_or_else(|| later(format!("outside the hours of {}", order.contract)))
+        hours.ok_or_else(|| temporary(format!("outside the hours of {}", order.contract)))
     }
 
-    /// When the hours of an order's contract begin next, as people read it; nothing where there are none, or no time.
+    /// When the next window of an order's contract begins, formatted for display; `None` if there is no next
+    /// window or no trusted time.
     pub fn next_window_start(&self, order: &WorkOrder) -> Option<String> {
         let contract = self.contracts.get(&order.contract)?;
         let next = contract.next_window(self.now?.latest)?;
         Some(crate::contract::format_time(&contract.time_zone, next.from))
     }
 
-    fn contract(&self, order: &WorkOrder) -> Result<&Contract, Reason> {
+    fn approved_contract(&self, order: &WorkOrder) -> Result<&Contract, Reason> {
         let contract = self
             .contracts
             .get(&order.contract)
-            .ok_or_else(|| never(format!("there is no contract {}", order.contract)))?;
+            .ok_or_else(|| permanent(format!("there is no contract {}", order.contract)))?;
         match contract.approved_by {
             Some(_) => Ok(contract),
-            None => Err(later(format!("contract {} is not approved", order.contract))),
+            None => Err(temporary(format!("contract {} is not approved", order.contract))),
         }
     }
 
-    /// Whether what is out may stay out; until when if so.
-    fn stands(&self, name: &str) -> Result<Millis, Reason> {
-        let order = self.orders.get(name).ok_or_else(|| never("the order was dropped"))?;
+    /// Whether drained nodes of an order may stay out, and until when.
+    fn may_stay_out(&self, name: &str) -> Result<Millis, Reason> {
+        let order = self.orders.get(name).ok_or_else(|| permanent("the order was dropped"))?;
         match order.state {
             OrderState::Running | OrderState::Paused => {}
-            other => return Err(never(format!("the order is {}", other.name()))),
+            other => return Err(permanent(format!("the order is {}", other.name()))),
         }
-        let contract = self.contract(order)?;
-        let window = self.window(order, contract)?;
+        let contract = self.approved_contract(order)?;
+        let window = self.current_window(order, contract)?;
         match self.now {
             Some(now) if window.to - now.latest > order.return_time => Ok(window.to),
-            _ => Err(later("the hours end")),
+            _ => Err(temporary("the hours end")),
         }
     }
 
-    /// Whether a node is part of what is there, and covered.
-    fn known(&self, order: &WorkOrder, node: &Node) -> Result<(), Reason> {
+    /// Whether a node exists and the contract covers it.
+    fn check_node(&self, order: &WorkOrder, node: &Node) -> Result<(), Reason> {
         let zone = self.zone_of(node).ok_or_else(|| match node {
-            Node::Zone(zone) => never(format!("there is no zone {zone}")),
-            Node::Backend(id) => later(format!("backend {id} is not on the platform's list")),
-            Node::Proxy(host) => later(format!("proxy {host} has no session")),
+            Node::Zone(zone) => permanent(format!("there is no zone {zone}")),
+            Node::Backend(id) => temporary(format!("backend {id} is not on the platform's list")),
+            Node::Proxy(host) => temporary(format!("proxy {host} has no session")),
         })?;
         let contract = self.contracts.get(&order.contract);
         if contract.is_some_and(|contract| !contract.covers(zone, self.region(zone))) {
-            return Err(never(format!("contract {} does not cover zone {zone}", order.contract)));
+            return Err(permanent(format!("contract {} does not cover zone {zone}", order.contract)));
         }
         Ok(())
     }
 
-    /// Whether enough is left without a node and all that is out.
-    fn leaves_enough(&self, node: &Node) -> Result<(), Reason> {
-        let out = self.planned();
-        let gone = |backend: &Backend, with: bool| {
+    /// Whether each service keeps a backend, and clients a proxy, without a node and all drained nodes.
+    fn leaves_enough_backends(&self, node: &Node) -> Result<(), Reason> {
+        let out = self.drained_nodes();
+        let is_out = |backend: &Backend, with: bool| {
             backend.draining
                 || self.evacuated_zones.contains(&backend.zone)
-                || out.iter().any(|n| Self::holds(n, backend))
-                || with && Self::holds(node, backend)
+                || out.iter().any(|n| Self::contains_backend(n, backend))
+                || with && Self::contains_backend(node, backend)
         };
-        // With nothing else out: what is missing then is missing for good.
-        let alone = |backend: &Backend| backend.draining || Self::holds(node, backend);
-        let hit: BTreeSet<&str> =
-            self.backends.iter().filter(|b| Self::holds(node, b)).map(|b| b.service.as_str()).collect();
-        let all = hit.iter().map(|service| ((*service).to_owned(), Vec::new()));
-        let homes =
-            self.service_regions.iter().filter(|(service, _)| hit.contains(service.as_str())).cloned();
-        for (service, regions) in all.chain(homes) {
-            let at_home = |b: &&Backend| {
+        // With nothing else out: a backend that is missing then is missing permanently.
+        let alone = |backend: &Backend| backend.draining || Self::contains_backend(node, backend);
+        let affected: BTreeSet<&str> = self
+            .backends
+            .iter()
+            .filter(|b| Self::contains_backend(node, b))
+            .map(|b| b.service.as_str())
+            .collect();
+        let all = affected.iter().map(|service| ((*service).to_owned(), Vec::new()));
+        let restricted =
+            self.service_regions.iter().filter(|(service, _)| affected.contains(service.as_str())).cloned();
+        for (service, regions) in all.chain(restricted) {
+            let in_regions = |b: &&Backend| {
                 b.service == service
                     && (regions.is_empty() || regions.iter().any(|r| *r == self.region(&b.zone)))
             };
-            let of = || self.backends.iter().filter(at_home);
-            if !of().any(|b| Self::holds(node, b)) {
+            let of = || self.backends.iter().filter(in_regions);
+            if !of().any(|b| Self::contains_backend(node, b)) {
                 continue;
             }
             let place = if regions.is_empty() {
@@ -216,22 +226,24 @@
                 format!(" in {}, its only homes", regions.join(", "))
             };
             if of().all(alone) {
-                return Err(never(format!(
+                return Err(permanent(format!(
                     "{node} is the last of {service}{place}: another backend is missing there"
                 )));
             }
-            if of().all(|b| gone(b, true)) {
-                return Err(later(format!("{node} is the last of {service}{place} that is not out now")));
+            if of().all(|b| is_out(b, true)) {
+                return Err(temporary(format!("{node} is the last of {service}{place} that is not out now")));
             }
         }
-        self.leaves_proxies(node, &out)
+        self.leaves_enough_proxies(node, &out)
     }
 
-    /// Whether clients still have somewhere to go. A region whose last proxy is drained is lost to its clients, who go to another:
-    /// so many regions at once as the deployment bears.
-    fn leaves_proxies(&self, node: &Node, out: &[Node]) -> Result<(), Reason> {
+    /// Whether clients keep a proxy to connect to. A region whose last proxy is drained is lost to its
+    /// clients, who go to another region; the deployment tolerates only so many lost regions at once.
+    fn leaves_enough_proxies(&self, node: &Node, out: &[Node]) -> Result<(), Reason> {
         let takes = |m: &&ProxyInfo, with: bool| {
-            m.ready && !out.iter().any(|n| Self::holds_proxy(n, m)) && !(with && Self::holds_proxy(node, m))
+            m.ready
+                && !out.iter().any(|n| Self::contains_proxy(n, m))
+                && !(with && Self::contains_proxy(node, m))
         };
         let regions: BTreeSet<&str> = self.zone_regions.values().map(String::as_str).collect();
         let without = |region: &&&str, with: bool| {
@@ -242,51 +254,54 @@
         if after == before {
             return Ok(());
         }
-        if self.proxies.iter().all(|m| Self::holds_proxy(node, m)) {
-            return Err(never(format!("{node} holds the last proxy there is: another is missing")));
+        if self.proxies.iter().all(|m| Self::contains_proxy(node, m)) {
+            return Err(permanent(format!("{node} holds the last proxy there is: another is missing")));
         }
         if self.max_lost_regions == 0 {
-            return Err(never(format!(
+            return Err(permanent(format!(
                 "{node} holds the last proxy of its region, and no region may be lost"
             )));
         }
         if after > self.max_lost_regions || after == regions.len() {
-            return Err(later(format!(
+            return Err(temporary(format!(
                 "{node} holds the last proxy of its region; {before} regions have none already"
             )));
         }
         Ok(())
     }
 
-    /// What is lost without a plan, outside of what is out by plan, as zones; proxies that went silent have none.
-    fn losses(&self) -> Result<(), Reason> {
-        let out = self.planned();
-        let serviced = |zone: &String| out.contains(&Node::Zone(zone.clone()));
-        if let Some(zone) = self.unreachable_zones.iter().find(|zone| !serviced(zone)) {
-            return Err(later(format!("the core machine of zone {zone} is silent")));
+    /// Fails if a core member outside the drained zones is unreachable, or any proxy has stopped responding.
+    fn check_no_failures(&self) -> Result<(), Reason> {
+        let out = self.drained_nodes();
+        let is_drained = |zone: &String| out.contains(&Node::Zone(zone.clone()));
+        if let Some(zone) = self.unreachable_zones.iter().find(|zone| !is_drained(zone)) {
+            return Err(temporary(format!("the core machine of zone {zone} is silent")));
         }
         if self.isolated_proxies > 0 {
-            return Err(later(format!("{} proxies went silent and may still serve", self.isolated_proxies)));
+            return Err(temporary(format!(
+                "{} proxies went silent and may still serve",
+                self.isolated_proxies
+            )));
         }
         Ok(())
     }
 
-    /// Whether one more node fits beside all that is out, by plan or not.
-    fn fits(&self, order: &WorkOrder, node: &Node) -> Result<(), Reason> {
-        let out = self.planned();
+    /// Whether one more drained node stays within the limits, together with all that is out, planned or not.
+    fn check_limits(&self, order: &WorkOrder, node: &Node) -> Result<(), Reason> {
+        let out = self.drained_nodes();
         let full =
-            |what: String, most: usize| later(format!("{what}: {most} at once at most are out already"));
-        let own = self.records.get(&order.name).map_or(0, |night| night.drained_nodes().len());
-        if own >= order.limits.order {
+            |what: String, most: usize| temporary(format!("{what}: {most} at once at most are out already"));
+        let drained_by_order = self.records.get(&order.name).map_or(0, |record| record.drained_nodes().len());
+        if drained_by_order >= order.limits.order {
             return Err(full(format!("order {}", order.name), order.limits.order));
         }
         let zone = self.zone_of(node).unwrap_or_default();
         let region = self.region(zone);
-        let lost: BTreeSet<&str> =
+        let lost_zones: BTreeSet<&str> =
             self.unreachable_zones.iter().chain(&self.evacuated_zones).map(String::as_str).collect();
-        // A zone that is out by plan and lost as well is out once.
+        // A zone that is both drained by an order and lost counts once.
         let zones: Vec<&str> = out.iter().filter_map(|n| self.zone_of(n)).collect();
-        let lost_only = lost.iter().filter(|z| !out.contains(&Node::Zone((**z).to_owned())));
+        let lost_only = lost_zones.iter().filter(|z| !out.contains(&Node::Zone((**z).to_owned())));
         let in_zone =
             zones.iter().filter(|z| **z == zone).count() + lost_only.clone().filter(|z| **z == zone).count();
         if in_zone >= order.limits.zone {
@@ -298,77 +313,87 @@
             return Err(full(format!("region {region}"), order.limits.region));
         }
         if let Node::Zone(_) = node {
-            let whole = out.iter().filter(|n| matches!(n, Node::Zone(_))).count() + lost_only.count();
-            if whole >= self.max_lost_zones {
-                return Err(later(format!("{whole} zones are out or lost, as many as may be at once")));
+            let zones_out = out.iter().filter(|n| matches!(n, Node::Zone(_))).count() + lost_only.count();
+            if zones_out >= self.max_lost_zones {
+                return Err(temporary(format!(
+                    "{zones_out} zones are out or lost, as many as may be at once"
+                )));
             }
         }
         if let Node::Backend(id) = node
             && let Some(service) = self.backends.iter().find(|b| b.id == *id).map(|b| &b.service)
         {
             let of = self.backends.iter().filter(|b| b.service == *service);
-            let gone = of.filter(|b| {
-                b.draining || self.evacuated_zones.contains(&b.zone) || out.iter().any(|n| Self::holds(n, b))
+            let backends_out = of.filter(|b| {
+                b.draining
+                    || self.evacuated_zones.contains(&b.zone)
+                    || out.iter().any(|n| Self::contains_backend(n, b))
             });
-            if gone.count() >= order.limits.service {
+            if backends_out.count() >= order.limits.service {
                 return Err(full(format!("service {service}"), order.limits.service));
             }
         }
         Ok(())
     }
 
-    /// Whether a node may begin to drain now; the end of the hours if so.
+    /// Whether a node may begin to drain now; returns the end of the window.
     ///
     /// # Errors
-    /// Why not.
+    /// Returns the reason if it may not.
     pub fn may_drain(&self, order: &WorkOrder, node: &Node) -> Result<Millis, Reason> {
-        match self.records.get(&order.name).and_then(|night| night.last_step(node)) {
+        match self.records.get(&order.name).and_then(|record| record.last_step(node)) {
             None => {}
             Some(step) if step.phase.is_drained() => {
-                return Err(later(format!("it is {}: {}", step.phase.name(), step.why)));
+                return Err(temporary(format!("it is {}: {}", step.phase.name(), step.why)));
             }
-            Some(step) => return Err(never(format!("it was {}: {}", step.phase.name(), step.why))),
+            Some(step) => return Err(permanent(format!("it was {}: {}", step.phase.name(), step.why))),
         }
         if order.state != OrderState::Running {
-            return Err(later(format!("the order is {}", order.state.name())));
+            return Err(temporary(format!("the order is {}", order.state.name())));
         }
-        let contract = self.contract(order)?;
-        self.known(order, node)?;
-        let window = self.window(order, contract)?;
-        let room = order.out_duration + order.return_time + MAX_STEP_DELAY;
+        let contract = self.approved_contract(order)?;
+        self.check_node(order, node)?;
+        let window = self.current_window(order, contract)?;
+        let required = order.out_duration + order.return_time + MAX_STEP_DELAY;
         match self.now {
-            Some(now) if window.to - now.latest >= room => {}
+            Some(now) if window.to - now.latest >= required => {}
             _ => {
-                let told = crate::contract::format_time(&contract.time_zone, window.to);
-                return Err(later(format!("the hours end {told}: {:.0} s are wanted before", room / 1000.0)));
+                let end = crate::contract::format_time(&contract.time_zone, window.to);
+                return Err(temporary(format!(
+                    "the hours end {end}: {:.0} s are wanted before",
+                    required / 1000.0
+                )));
             }
         }
         if self.may_be_stale {
-            return Err(later("this gateway's copy is not known to be the newest"));
+            return Err(temporary("this gateway's copy is not known to be the newest"));
         }
-        self.losses()?;
-        self.fits(order, node)?;
-        self.leaves_enough(node)?;
-        if self.planned().iter().any(|out| self.overlaps(out, node)) {
-            return Err(later(format!("{node} or a part of it is out by another order")));
+        self.check_no_failures()?;
+        self.check_limits(order, node)?;
+        self.leaves_enough_backends(node)?;
+        if self.drained_nodes().iter().any(|out| self.overlaps(out, node)) {
+            return Err(temporary(format!("{node} or a part of it is out by another order")));
         }
         Ok(window.to)
     }
 
     fn overlaps(&self, one: &Node, other: &Node) -> bool {
         one == other
-            || self.backends.iter().any(|b| Self::holds(one, b) && Self::holds(other, b))
-            || self.proxies.iter().any(|m| Self::holds_proxy(one, m) && Self::holds_proxy(other, m))
+            || self
+                .backends
+                .iter()
+                .any(|b| Self::contains_backend(one, b) && Self::contains_backend(other, b))
+            || self.proxies.iter().any(|m| Self::contains_proxy(one, m) && Self::contains_proxy(other, m))
     }
 
-    /// What would stand in an order's way however long one waits, for each node; nothing is changed.
+    /// The obstacles to an order, by node; changes nothing. Callers look at the permanent ones.
     pub fn check_order(&self, order: &WorkOrder) -> Vec<(Node, Reason)> {
         let check = |node: &Node| -> Result<(), Reason> {
             let contract = self
                 .contracts
                 .get(&order.contract)
-                .ok_or_else(|| never(format!("there is no contract {}", order.contract)))?;
-            self.known(order, node)?;
+                .ok_or_else(|| permanent(format!("there is no contract {}", order.contract)))?;
+            self.check_node(order, node)?;
             let long = |window: Window| {
                 window.to - window.from >= order.out_duration + order.return_time + MAX_STEP_DELAY
             };
@@ -376,69 +401,71 @@
                 && contract.window_at(now.earliest).is_none()
                 && !contract.next_window(now.latest).is_some_and(long)
             {
-                return Err(never("the next hours are too short for the order's length, or there are none"));
+                return Err(permanent(
+                    "the next hours are too short for the order's length, or there are none",
+                ));
             }
             if matches!(node, Node::Zone(_)) && self.max_lost_zones == 0 {
-                return Err(never("the deployment bears the loss of no zone"));
+                return Err(permanent("the deployment bears the loss of no zone"));
             }
-            self.leaves_enough(node)
+            self.leaves_enough_backends(node)
         };
         order.nodes.iter().filter_map(|node| Some((node.clone(), check(node).err()?))).collect()
     }
 
-    /// Which proxies still have something at work at a node, or do not know of the drain yet.
+    /// Proxies that still have work in progress at a node, or do not know of the drain yet.
     pub fn busy_proxies(&self, node: &Node) -> Vec<Host> {
         let name = node.to_string();
         let busy = self.proxies.iter().filter(|m| !m.idle_nodes.contains(&name));
-        busy.map(|m| m.host).collect()
+        busy.map(|proxy| proxy.host).collect()
     }
 }
 
-fn step(scene: &View, by: &str, phase: Phase, why: String) -> Step {
-    Step { phase, at: scene.now.map_or(0.0, |now| now.latest), by: by.to_owned(), why }
+fn new_step(view: &View, by: &str, phase: Phase, why: String) -> Step {
+    Step { phase, at: view.now.map_or(0.0, |now| now.latest), by: by.to_owned(), why }
 }
 
-/// When a node's phase began, whatever was noted within it since.
-fn began(night: &MaintenanceRecord, node: &Node) -> Millis {
-    let steps = night.nodes.get(&node.to_string()).map_or(&[][..], Vec::as_slice);
+/// When the current phase of a node began. Notes within the phase do not count.
+fn phase_start(record: &MaintenanceRecord, node: &Node) -> Millis {
+    let steps = record.nodes.get(&node.to_string()).map_or(&[][..], Vec::as_slice);
     let phase = steps.last().map(|step| step.phase);
     steps.iter().rev().take_while(|step| Some(step.phase) == phase).last().map_or(0.0, |step| step.at)
 }
 
-fn write(scene: &View, by: &str, name: &str, node: &Node, phase: Phase, why: String) -> PlannedStep {
-    let mut night = scene.records.get(name).cloned().unwrap_or_default();
-    night.nodes.entry(node.to_string()).or_default().push(step(scene, by, phase, why));
-    PlannedStep { order: name.to_owned(), record: night, node: node.clone(), phase }
+fn record_step(view: &View, by: &str, name: &str, node: &Node, phase: Phase, why: String) -> PlannedStep {
+    let mut record = view.records.get(name).cloned().unwrap_or_default();
+    record.nodes.entry(node.to_string()).or_default().push(new_step(view, by, phase, why));
+    PlannedStep { order: name.to_owned(), record, node: node.clone(), phase }
 }
 
-/// What goes back now, if anything does.
-fn goes_back(scene: &View, by: &str, name: &str, night: &MaintenanceRecord) -> Option<PlannedStep> {
-    let order = scene.orders.get(name);
-    for node in night.drained_nodes() {
-        let last = night.last_step(&node)?;
-        let back = |phase, why: String| Some(write(scene, by, name, &node, phase, why));
-        let ends = match scene.stands(name) {
+/// The next return to service, or change of the window's end, of an order.
+fn next_return(view: &View, by: &str, name: &str, record: &MaintenanceRecord) -> Option<PlannedStep> {
+    let order = view.orders.get(name);
+    for node in record.drained_nodes() {
+        let last = record.last_step(&node)?;
+        let return_node = |phase, why: String| Some(record_step(view, by, name, &node, phase, why));
+        let ends = match view.may_stay_out(name) {
             Ok(ends) => ends,
-            Err(why) => return back(Phase::Unserviced, why.text),
+            Err(why) => return return_node(Phase::Unserviced, why.text),
         };
-        let (Some(order), Some(now)) = (order, scene.now) else { continue };
-        if ends < night.ends {
-            // Proxies that are cut off go by the moment that they were told.
-            let mut next = write(scene, by, name, &node, last.phase, "the hours were moved".into());
+        let (Some(order), Some(now)) = (order, view.now) else { continue };
+        if ends < record.ends {
+            // Isolated proxies go by the end that they were told.
+            let mut next = record_step(view, by, name, &node, last.phase, "the hours were moved".into());
             next.record.ends = ends;
             return Some(next);
         }
         match last.phase {
-            Phase::Out if now.earliest - began(night, &node) >= order.out_duration => {
-                return back(Phase::Serviced, format!("out for {:.0} s", order.out_duration / 1000.0));
+            Phase::Out if now.earliest - phase_start(record, &node) >= order.out_duration => {
+                return return_node(Phase::Serviced, format!("out for {:.0} s", order.out_duration / 1000.0));
             }
             Phase::Draining if order.state == OrderState::Paused => {
-                return back(Phase::Unserviced, "the order was paused while it drained".into());
+                return return_node(Phase::Unserviced, "the order was paused while it drained".into());
             }
             Phase::Draining if ends - now.latest < order.out_duration + order.return_time => {
-                let busy: Vec<String> = scene.busy_proxies(&node).iter().map(Host::to_string).collect();
+                let busy: Vec<String> = view.busy_proxies(&node).iter().map(Host::to_string).collect();
                 let why = format!("the hours end before its work is done; waited for {}", busy.join(" "));
-                return back(Phase::Unserviced, why);
+                return return_node(Phase::Unserviced, why);
             }
             _ => {}
         }
@@ -446,38 +473,38 @@
     None
 }
 
-/// What is released now, if anything is.
-fn is_released(scene: &View, by: &str, name: &str, night: &MaintenanceRecord) -> Option<PlannedStep> {
-    if scene.may_be_stale || scene.losses().is_err() {
+/// The next release of a drained node of an order.
+fn next_release(view: &View, by: &str, name: &str, record: &MaintenanceRecord) -> Option<PlannedStep> {
+    if view.may_be_stale || view.check_no_failures().is_err() {
         return None;
     }
     let draining =
-        night.drained_nodes().into_iter().filter(|node| night.phase(node) == Some(Phase::Draining));
-    let quiet = draining.filter(|node| scene.busy_proxies(node).is_empty()).collect::<Vec<_>>();
-    let node = quiet.first()?;
-    let took = scene.now.map_or(0.0, |now| (now.latest - began(night, node)).max(0.0) / 1000.0);
-    let why = format!("all {} proxies have nothing at work there, after {took:.1} s", scene.proxies.len());
-    Some(write(scene, by, name, node, Phase::Out, why))
+        record.drained_nodes().into_iter().filter(|node| record.phase(node) == Some(Phase::Draining));
+    let idle = draining.filter(|node| view.busy_proxies(node).is_empty()).collect::<Vec<_>>();
+    let node = idle.first()?;
+    let took = view.now.map_or(0.0, |now| (now.latest - phase_start(record, node)).max(0.0) / 1000.0);
+    let why = format!("all {} proxies have nothing at work there, after {took:.1} s", view.proxies.len());
+    Some(record_step(view, by, name, node, Phase::Out, why))
 }
 
-/// The next step of the orders that are this gateway's. What goes back goes before what is released, and that before what is
-/// drained.
-pub fn next_step(scene: &View, by: &str, mine: impl Fn(&str) -> bool) -> Option<PlannedStep> {
-    let nights = || scene.records.iter().filter(|(name, _)| mine(name));
-    if let Some(next) = nights().find_map(|(name, night)| goes_back(scene, by, name, night)) {
+/// The next step of the orders that this registry holds. Returns to service come before releases, and these
+/// before drains.
+pub fn next_step(view: &View, by: &str, mine: impl Fn(&str) -> bool) -> Option<PlannedStep> {
+    let records = || view.records.iter().filter(|(name, _)| mine(name));
+    if let Some(next) = records().find_map(|(name, record)| next_return(view, by, name, record)) {
         return Some(next);
     }
-    if let Some(next) = nights().find_map(|(name, night)| is_released(scene, by, name, night)) {
+    if let Some(next) = records().find_map(|(name, record)| next_release(view, by, name, record)) {
         return Some(next);
     }
-    for (name, order) in scene.orders.iter().filter(|(name, _)| mine(name)) {
-        let night = scene.records.get(name);
-        let begun = |node: &&Node| night.is_some_and(|night| night.phase(node).is_some());
-        // Strictly in the order that was given: a node that can't be drained now holds up those behind it.
-        let Some(node) = order.nodes.iter().find(|node| !begun(node)) else { continue };
-        if let Ok(ends) = scene.may_drain(order, node) {
+    for (name, order) in view.orders.iter().filter(|(name, _)| mine(name)) {
+        let record = view.records.get(name);
+        let has_begun = |node: &&Node| record.is_some_and(|record| record.phase(node).is_some());
+        // Strictly in the given sequence: a node that cannot be drained now blocks those after it.
+        let Some(node) = order.nodes.iter().find(|node| !has_begun(node)) else { continue };
+        if let Ok(ends) = view.may_drain(order, node) {
             let why = format!("by contract {}", order.contract);
-            let mut next = write(scene, by, name, node, Phase::Draining, why);
+            let mut next = record_step(view, by, name, node, Phase::Draining, why);
             next.record.ends = ends;
             return Some(next);
         }
@@ -491,10 +518,10 @@
     use crate::contract::{Rule, TimeRange, parse_day, parse_time, parse_zone};
     use crate::order::OutLimits;
 
-    /// 22:00:00 of a Wednesday, UTC.
+    /// 22:00:00 UTC on a Wednesday.
     const AT: Millis = 1_796_248_800_000.0;
 
-    fn scene() -> View {
+    fn view() -> View {
         let between = TimeRange { from: parse_time("21:00").unwrap(), to: parse_time("22:01").unwrap() };
         let contract = Contract {
             name: "n".into(),
@@ -535,58 +562,58 @@
         }
     }
 
-    fn out(scene: &mut View, order: &str, node: &str, phase: Phase, ends: Millis) {
+    fn out(view: &mut View, order: &str, node: &str, phase: Phase, ends: Millis) {
         let step = Step { phase, at: AT, by: "g".into(), why: String::new() };
-        let night = scene.records.entry(order.to_owned()).or_default();
-        night.nodes.insert(node.to_owned(), vec![step]);
-        night.ends = ends;
+        let record = view.records.entry(order.to_owned()).or_default();
+        record.nodes.insert(node.to_owned(), vec![step]);
+        record.ends = ends;
     }
 
     #[test]
-    fn a_node_that_is_out_goes_back_as_long_before_the_end_as_the_order_says() {
-        let mut scene = scene();
+    fn a_node_returns_to_service_its_return_time_before_the_window_ends() {
+        let mut view = view();
         let ends = AT + 60_000.0;
-        out(&mut scene, "o", "backend:x", Phase::Out, ends);
-        let at = |scene: &mut View, latest: Millis| {
-            scene.now = Some(TimeInterval { earliest: AT + 5000.0, latest });
-            next_step(scene, "g", |_| true).map(|next| next.phase)
+        out(&mut view, "o", "backend:x", Phase::Out, ends);
+        let at = |view: &mut View, latest: Millis| {
+            view.now = Some(TimeInterval { earliest: AT + 5000.0, latest });
+            next_step(view, "g", |_| true).map(|next| next.phase)
         };
-        assert_eq!(at(&mut scene, ends - 6100.0), None);
-        assert_eq!(at(&mut scene, ends - 6000.0), Some(Phase::Unserviced), "by the latest that it may be");
+        assert_eq!(at(&mut view, ends - 6100.0), None);
+        assert_eq!(at(&mut view, ends - 6000.0), Some(Phase::Unserviced), "by the latest possible time");
     }
 
     #[test]
-    fn hours_that_end_earlier_are_told_to_who_is_out() {
-        let mut scene = scene();
-        out(&mut scene, "o", "backend:x", Phase::Out, AT + 90_000.0);
-        let told = next_step(&scene, "g", |_| true).unwrap();
+    fn an_earlier_end_of_the_window_is_recorded_for_drained_nodes() {
+        let mut view = view();
+        out(&mut view, "o", "backend:x", Phase::Out, AT + 90_000.0);
+        let told = next_step(&view, "g", |_| true).unwrap();
         assert_eq!((told.phase, told.record.ends), (Phase::Out, AT + 60_000.0));
-        // The time that it has been out goes on.
-        scene.records.insert("o".into(), told.record);
-        scene.now = Some(TimeInterval { earliest: AT + 10_600.0, latest: AT + 11_000.0 });
-        assert_eq!(next_step(&scene, "g", |_| true).map(|next| next.phase), Some(Phase::Serviced));
+        // The time that it has been out is counted from the begin of the phase.
+        view.records.insert("o".into(), told.record);
+        view.now = Some(TimeInterval { earliest: AT + 10_600.0, latest: AT + 11_000.0 });
+        assert_eq!(next_step(&view, "g", |_| true).map(|next| next.phase), Some(Phase::Serviced));
     }
 
     #[test]
-    fn the_last_of_a_service_and_of_a_home_is_not_drained() {
-        let mut scene = scene();
-        let order = scene.orders["o"].clone();
+    fn the_last_backend_of_a_service_or_of_its_allowed_regions_is_not_drained() {
+        let mut view = view();
+        let order = view.orders["o"].clone();
         let node = Node::Backend("x".into());
-        assert!(scene.may_drain(&order, &node).is_ok());
-        // The others are out by another order: it waits.
-        out(&mut scene, "p", "backend:y", Phase::Draining, AT + 60_000.0);
-        assert!(scene.may_drain(&order, &node).is_ok());
-        out(&mut scene, "p", "backend:w", Phase::Out, AT + 60_000.0);
-        assert!(!scene.may_drain(&order, &node).unwrap_err().is_permanent);
-        // There are no others, or none where a route must be served: it never can be.
-        scene.records.clear();
-        scene.backends[1].zone = "far".into();
-        scene.backends[2].zone = "far".into();
-        scene.zone_regions.insert("far".into(), "q".into());
-        assert!(scene.may_drain(&order, &node).is_ok());
-        scene.service_regions = vec![("s".into(), vec!["r".into()])];
-        let why = scene.may_drain(&order, &node).unwrap_err();
+        assert!(view.may_drain(&order, &node).is_ok());
+        // The others are drained by another order: the node waits.
+        out(&mut view, "p", "backend:y", Phase::Draining, AT + 60_000.0);
+        assert!(view.may_drain(&order, &node).is_ok());
+        out(&mut view, "p", "backend:w", Phase::Out, AT + 60_000.0);
+        assert!(!view.may_drain(&order, &node).unwrap_err().is_permanent);
+        // No other backend exists in the regions where a route must be served: the obstacle is permanent.
+        view.records.clear();
+        view.backends[1].zone = "far".into();
+        view.backends[2].zone = "far".into();
+        view.zone_regions.insert("far".into(), "q".into());
+        assert!(view.may_drain(&order, &node).is_ok());
+        view.service_regions = vec![("s".into(), vec!["r".into()])];
+        let why = view.may_drain(&order, &node).unwrap_err();
         assert!(why.is_permanent && why.text.contains("its only homes"), "{why}");
-        assert_eq!(scene.check_order(&order).len(), 1);
+        assert_eq!(view.check_order(&order).len(), 1);
     }
 }
--- a/system/maintenance/src/record.rs
+++ b/system/maintenance/src/record.rs
@@ -1,5 +1,5 @@
-//! The maintenance record of a work order: what was drained when and why, and what proxies are told of it. Both are
-//! written in full by one step.
+//! The maintenance record of a work order: what was drained when and why, and what proxies are told of it.
+//! Both are written in full by one step.
 
 use crate::Millis;
 use crate::order::Node;
--- a/system/maintenance/tests/nights.rs
+++ b/system/maintenance/tests/nights.rs
@@ -1,6 +1,6 @@
-//! Drawn maintenance nights in virtual time: two gateways that may both think an order theirs, copies that lag, clocks that jump,
-//! steps that are held up or lost, operators that change their minds, proxies with work in hand. Invariants are looked at after
-//! every tick, by true time.
+//! Randomly drawn maintenance in virtual time: two registries that may both believe they hold an order,
+//! copies that lag behind, clocks that jump, steps that are delayed or lost, operators that change their
+//! minds, proxies with work in progress. The invariants are checked after every tick, by true time.
 
 use fennelscale_maintenance::clock::Clock;
 use fennelscale_maintenance::contract::{Contract, Rule, TimeRange, parse_day, parse_time, parse_zone};
@@ -15,14 +15,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const TICK: f64 = 200.0;
-const SEATS: usize = 6;
+const MEMBERS: usize = 6;
 const PROXIES: usize = 6;
 const SERVICES: [&str; 2] = ["read", "pay"];
-/// What an operator wants binds within this: beats, a step to the store, news.
-const BINDS: f64 = 12_000.0;
+/// A change by an operator takes effect within this, in ms: heartbeats, a step to the store, updates to
+/// proxies.
+const MAX_EFFECT_DELAY: f64 = 12_000.0;
 
 fn zone_name(n: usize) -> String {
-    format!("z{}", n % SEATS)
+    format!("z{}", n % MEMBERS)
 }
 
 fn region_of(zone: &str) -> String {
@@ -30,13 +31,13 @@
     format!("r{}", n % 3)
 }
 
-/// What the store holds: chosen in one order, each with a version.
+/// The replicated store: changes are chosen in one sequence, and each entry has a revision.
 #[derive(Clone, Default)]
 struct Store {
     entries: BTreeMap<String, Entry>,
     contracts: BTreeMap<String, Contract>,
     orders: BTreeMap<String, WorkOrder>,
-    nights: BTreeMap<String, MaintenanceRecord>,
+    records: BTreeMap<String, MaintenanceRecord>,
 }
 
 impl Store {
@@ -51,50 +52,50 @@
     }
 }
 
-struct Gateway {
+struct Registry {
     clock: Clock,
-    born: f64,
-    /// A step is on its way until then.
+    started_at: f64,
+    /// Until when a step is pending.
     busy: f64,
-    holds: bool,
+    holds_orders: bool,
     since: f64,
 }
 
 struct Proxy {
-    /// What it has at work: node of the backend and until when.
+    /// Work in progress: the backend's id and until when.
     work: Vec<(String, f64)>,
     cut: bool,
     copy: BTreeMap<String, MaintenanceRecord>,
-    quiet: Vec<String>,
+    idle_nodes: Vec<String>,
     time: Option<(f64, fennelscale_maintenance::clock::TimeInterval)>,
 }
 
-struct World {
+struct Simulation {
     number: u64,
     seed: u64,
     now: f64,
     start: f64,
-    walls: [f64; SEATS],
-    seat_cut: [bool; SEATS],
-    gateways: Vec<Gateway>,
+    clock_errors: [f64; MEMBERS],
+    member_cut: [bool; MEMBERS],
+    registries: Vec<Registry>,
     proxies: Vec<Proxy>,
     store: Store,
     history: Vec<(f64, Store)>,
-    flights: Vec<(f64, u64, String, MaintenanceRecord, Node, Phase)>,
+    pending_steps: Vec<(f64, u64, String, MaintenanceRecord, Node, Phase)>,
     backends: Vec<Backend>,
     evacuated: BTreeSet<String>,
     changed: BTreeMap<String, f64>,
     reached: BTreeMap<Phase, usize>,
 }
 
-impl World {
-    fn chance(&mut self) -> f64 {
+impl Simulation {
+    fn fraction(&mut self) -> f64 {
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         (mix(self.seed) >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     fn below(&mut self, n: usize) -> usize {
-        (self.chance() * n as f64) as usize
+        (self.fraction() * n as f64) as usize
     }
 
     fn new(number: u64) -> Self {
@@ -109,46 +110,52 @@
             draining: false,
             cold_ms: 0,
         });
-        let mut world = Self {
+        let mut simulation = Self {
             number,
             seed,
             now: 0.0,
             start,
-            walls: [0.0; SEATS],
-            seat_cut: [false; SEATS],
-            gateways: (0..2)
-                .map(|_| Gateway { clock: Clock::default(), born: 0.0, busy: 0.0, holds: true, since: 0.0 })
+            clock_errors: [0.0; MEMBERS],
+            member_cut: [false; MEMBERS],
+            registries: (0..2)
+                .map(|_| Registry {
+                    clock: Clock::default(),
+                    started_at: 0.0,
+                    busy: 0.0,
+                    holds_orders: true,
+                    since: 0.0,
+                })
                 .collect(),
             proxies: (0..PROXIES)
                 .map(|_| Proxy {
                     work: Vec::new(),
                     cut: false,
                     copy: BTreeMap::new(),
-                    quiet: Vec::new(),
+                    idle_nodes: Vec::new(),
                     time: None,
                 })
                 .collect(),
             store: Store::default(),
             history: Vec::new(),
-            flights: Vec::new(),
+            pending_steps: Vec::new(),
             backends: backends.collect(),
             evacuated: BTreeSet::new(),
             changed: BTreeMap::new(),
             reached: BTreeMap::new(),
         };
-        for at in 0..SEATS {
-            world.walls[at] = (world.chance() * 2.0 - 1.0) * 250.0;
+        for at in 0..MEMBERS {
+            simulation.clock_errors[at] = (simulation.fraction() * 2.0 - 1.0) * 250.0;
         }
-        world.contract(30.0, 40.0 + 200.0 * 0.999);
+        simulation.contract(30.0, 40.0 + 200.0 * 0.999);
         for name in ["one", "two"] {
-            let nodes = world.draw_nodes();
+            let nodes = simulation.draw_nodes();
             let most = OutLimits {
-                order: 1 + world.below(3),
-                zone: 1 + world.below(2),
-                region: 1 + world.below(3),
-                service: 1 + world.below(3),
+                order: 1 + simulation.below(3),
+                zone: 1 + simulation.below(2),
+                region: 1 + simulation.below(3),
+                service: 1 + simulation.below(3),
             };
-            let length = 2000.0 + world.chance() * 15_000.0;
+            let length = 2000.0 + simulation.fraction() * 15_000.0;
             let order = WorkOrder {
                 name: name.into(),
                 contract: "nights".into(),
@@ -159,10 +166,10 @@
                 state: OrderState::Running,
                 approved_by: Some("x".into()),
             };
-            world.store.orders.insert(name.into(), order);
-            world.store.touch(&format!("w:{name}"), true);
+            simulation.store.orders.insert(name.into(), order);
+            simulation.store.touch(&format!("w:{name}"), true);
         }
-        world
+        simulation
     }
 
     fn draw_nodes(&mut self) -> Vec<Node> {
@@ -178,7 +185,7 @@
         nodes.into_iter().collect()
     }
 
-    /// Hours from so many seconds after the start to so many.
+    /// Sets a contract with hours between these seconds after the start.
     fn contract(&mut self, from: f64, to: f64) {
         let clock = |s: f64| {
             let s = s as i64;
@@ -202,7 +209,7 @@
         self.start + self.now
     }
 
-    /// The store as it was so long ago, for copies that lag.
+    /// The store as it was `lag` ms ago, for copies that lag behind.
     fn as_of(&self, lag: f64) -> &Store {
         let then = self.now - lag;
         self.history.iter().rev().find(|(at, _)| *at <= then).map_or(&self.store, |(_, store)| store)
@@ -218,23 +225,23 @@
                 region: region_of(&zone_name(n)),
                 port: 1,
                 ready: true,
-                idle_nodes: p.quiet.clone(),
+                idle_nodes: p.idle_nodes.clone(),
             })
             .collect()
     }
 
-    fn scene(&self, gateway: usize, lag: f64) -> View {
+    fn view(&self, registry: usize, lag: f64) -> View {
         let store = self.as_of(lag);
         View {
-            now: self.gateways[gateway].clock.now(self.now),
+            now: self.registries[registry].clock.now(self.now),
             contracts: store.contracts.clone(),
             orders: store.orders.clone(),
-            records: store.nights.clone(),
-            zone_regions: (0..SEATS).map(|n| (zone_name(n), region_of(&zone_name(n)))).collect(),
+            records: store.records.clone(),
+            zone_regions: (0..MEMBERS).map(|n| (zone_name(n), region_of(&zone_name(n)))).collect(),
             backends: self.backends.clone(),
             proxies: self.members(),
             isolated_proxies: self.proxies.iter().filter(|p| p.cut).count(),
-            unreachable_zones: (0..SEATS).filter(|n| self.seat_cut[*n]).map(zone_name).collect(),
+            unreachable_zones: (0..MEMBERS).filter(|n| self.member_cut[*n]).map(zone_name).collect(),
             evacuated_zones: self.evacuated.clone(),
             max_lost_zones: 1,
             max_lost_regions: 1,
@@ -243,19 +250,22 @@
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         match self.below(11) {
             0 => {
-                let cut = self.below(SEATS);
-                self.seat_cut[cut] = !self.seat_cut[cut];
+                let cut = self.below(MEMBERS);
+                self.member_cut[cut] = !self.member_cut[cut];
             }
             1 => {
-                // One clock jumps, and comes back before another does.
-                let at = self.below(SEATS);
-                if self.walls.iter().all(|wall| wall.abs() <= 250.0) {
-                    self.walls[at] += if self.chance() < 0.5 { -40_000.0 } else { 40_000.0 };
+                // One clock jumps, and is corrected before another one jumps.
+                let at = self.below(MEMBERS);
+                if self.clock_errors.iter().all(|wall| wall.abs() <= 250.0) {
+                    self.clock_errors[at] += if self.fraction() < 0.5 { -40_000.0 } else { 40_000.0 };
                 } else {
-                    self.walls.iter_mut().filter(|wall| wall.abs() > 250.0).for_each(|wall| *wall = 0.0);
+                    self.clock_errors
+                        .iter_mut()
+                        .filter(|wall| wall.abs() > 250.0)
+                        .for_each(|wall| *wall = 0.0);
                 }
             }
             2 => {
@@ -263,18 +273,23 @@
                 self.proxies[n].cut = !self.proxies[n].cut;
             }
             3 => {
-                // A gateway dies and is back: it knows no time.
+                // A registry restarts: it has no trusted time.
                 let (n, now) = (self.below(2), self.now);
-                self.gateways[n] =
-                    Gateway { clock: Clock::default(), born: now, busy: now, holds: true, since: now };
+                self.registries[n] = Registry {
+                    clock: Clock::default(),
+                    started_at: now,
+                    busy: now,
+                    holds_orders: true,
+                    since: now,
+                };
             }
             4 => {
                 let n = self.below(2);
-                self.gateways[n].holds = !self.gateways[n].holds;
-                self.gateways[n].since = self.now;
+                self.registries[n].holds_orders = !self.registries[n].holds_orders;
+                self.registries[n].since = self.now;
             }
             5 => {
-                let name = if self.chance() < 0.5 { "one" } else { "two" };
+                let name = if self.fraction() < 0.5 { "one" } else { "two" };
                 let wanted = [
                     OrderState::Running,
                     OrderState::Running,
@@ -289,12 +304,12 @@
                 }
             }
             6 => {
-                let from = 20.0 + self.chance() * 60.0;
-                let to = from + 20.0 + self.chance() * 150.0;
+                let from = 20.0 + self.fraction() * 60.0;
+                let to = from + 20.0 + self.fraction() * 150.0;
                 self.contract(from, to);
             }
             7 => {
-                let approved = self.chance() < 0.6;
+                let approved = self.fraction() < 0.6;
                 if let Some(contract) = self.store.contracts.get_mut("nights") {
                     contract.approved_by = approved.then(|| "director".into());
                 }
@@ -302,14 +317,14 @@
                 self.changed.insert("nights".into(), self.now);
             }
             8 => {
-                let zone = zone_name(self.below(SEATS));
+                let zone = zone_name(self.below(MEMBERS));
                 if !self.evacuated.remove(&zone) {
                     self.evacuated.insert(zone);
                 }
             }
             9 => {
                 let name = "two";
-                if self.chance() < 0.2 && self.store.orders.remove(name).is_some() {
+                if self.fraction() < 0.2 && self.store.orders.remove(name).is_some() {
                     self.store.touch("w:two", false);
                     self.changed.insert(name.into(), self.now);
                 }
@@ -321,42 +336,42 @@
         }
     }
 
-    fn heeds(&self, proxy: usize) -> BTreeSet<String> {
+    fn applied_drains(&self, proxy: usize) -> BTreeSet<String> {
         let proxy = &self.proxies[proxy];
         let over =
             |ends: f64| proxy.time.is_some_and(|(at, span)| span.advanced_by(self.now - at).latest >= ends);
-        let nights = proxy.copy.values().filter(|night| !over(night.ends));
-        nights.flat_map(|night| night.drained_nodes().into_iter().map(|node| node.to_string())).collect()
+        let records = proxy.copy.values().filter(|record| !over(record.ends));
+        records.flat_map(|record| record.drained_nodes().into_iter().map(|node| node.to_string())).collect()
     }
 
-    fn holds(node: &str, backend: &Backend) -> bool {
+    fn contains_backend(node: &str, backend: &Backend) -> bool {
         node == format!("backend:{}", backend.id) || node == format!("zone:{}", backend.zone)
     }
 
-    fn proxies_work(&mut self) {
+    fn run_proxies(&mut self) {
         for n in 0..PROXIES {
             if !self.proxies[n].cut {
-                let lag = self.chance() * 600.0;
-                let copy = self.as_of(lag).nights.clone();
-                let newest = |night: &MaintenanceRecord| night.nodes.values().map(Vec::len).sum::<usize>();
-                for (name, night) in copy {
+                let lag = self.fraction() * 600.0;
+                let copy = self.as_of(lag).records.clone();
+                let newest = |record: &MaintenanceRecord| record.nodes.values().map(Vec::len).sum::<usize>();
+                for (name, record) in copy {
                     let known = self.proxies[n].copy.get(&name);
-                    if known.is_none_or(|known| newest(known) < newest(&night)) {
-                        self.proxies[n].copy.insert(name, night);
+                    if known.is_none_or(|known| newest(known) < newest(&record)) {
+                        self.proxies[n].copy.insert(name, record);
                     }
                 }
-                let gateway = usize::from(n % 2 == 1);
-                if let Some(span) = self.gateways[gateway].clock.now(self.now) {
+                let registry = usize::from(n % 2 == 1);
+                if let Some(span) = self.registries[registry].clock.now(self.now) {
                     self.proxies[n].time = Some((self.now, span));
                 }
             }
-            let heeds = self.heeds(n);
+            let applied_drains = self.applied_drains(n);
             let now = self.now;
             self.proxies[n].work.retain(|(_, until)| now < *until);
             let free: Vec<String> = self
                 .backends
                 .iter()
-                .filter(|b| !heeds.iter().any(|node| Self::holds(node, b)))
+                .filter(|b| !applied_drains.iter().any(|node| Self::contains_backend(node, b)))
                 .map(|b| b.id.clone())
                 .collect();
             for _ in 0..2 {
@@ -364,64 +379,71 @@
                     break;
                 }
                 let at = self.below(free.len());
-                // Now and then an upload that is slower than all.
-                let long = if self.chance() < 0.01 { 60_000.0 } else { 800.0 };
-                let until = self.now + self.chance() * long;
+                // Occasionally a very slow upload.
+                let long = if self.fraction() < 0.01 { 60_000.0 } else { 800.0 };
+                let until = self.now + self.fraction() * long;
                 self.proxies[n].work.push((free[at].clone(), until));
             }
-            let quiet = heeds.iter().filter(|node| {
+            let idle_nodes = applied_drains.iter().filter(|node| {
                 let busy = |(id, _): &(String, f64)| {
-                    self.backends.iter().any(|b| b.id == *id && Self::holds(node, b))
+                    self.backends.iter().any(|b| b.id == *id && Self::contains_backend(node, b))
                 };
                 !self.proxies[n].work.iter().any(busy)
             });
-            let quiet = quiet.cloned().collect();
+            let idle_nodes = idle_nodes.cloned().collect();
             if !self.proxies[n].cut {
-                self.proxies[n].quiet = quiet;
+                self.proxies[n].idle_nodes = idle_nodes;
             }
         }
     }
 
-    fn gateways_decide(&mut self) {
-        let seats: Vec<Host> = (0..SEATS as u32).map(Host).collect();
+    fn run_registries(&mut self) {
+        let seats: Vec<Host> = (0..MEMBERS as u32).map(Host).collect();
         for n in 0..2 {
             for (at, seat) in seats.iter().enumerate() {
-                if !self.seat_cut[at] && self.now > self.gateways[n].born {
-                    let (way, back) = (self.chance() * 150.0, self.chance() * 80.0);
-                    let wall = self.truth() - back + self.walls[at];
+                if !self.member_cut[at] && self.now > self.registries[n].started_at {
+                    let (way, back) = (self.fraction() * 150.0, self.fraction() * 80.0);
+                    let wall = self.truth() - back + self.clock_errors[at];
                     let now = self.now;
-                    self.gateways[n].clock.record_reading(*seat, now - back - way, now, wall);
+                    self.registries[n].clock.record_reading(*seat, now - back - way, now, wall);
                 }
             }
             let now = self.now;
-            self.gateways[n].clock.update(now, &seats, 1);
-            if !self.gateways[n].holds || now < self.gateways[n].busy {
+            self.registries[n].clock.update(now, &seats, 1);
+            if !self.registries[n].holds_orders || now < self.registries[n].busy {
                 continue;
             }
-            let lag = self.chance() * 500.0;
-            let scene = self.scene(n, lag);
+            let lag = self.fraction() * 500.0;
+            let view = self.view(n, lag);
             let number = self.as_of(lag).number();
-            if let Some(step) = next_step(&scene, &format!("g{n}"), |_| true) {
-                let delay = if self.chance() < 0.1 { 3000.0 } else { 100.0 + self.chance() * 300.0 };
-                self.gateways[n].busy = now + delay + 700.0;
-                if self.chance() > 0.05 {
-                    self.flights.push((now + delay, number, step.order, step.record, step.node, step.phase));
+            if let Some(step) = next_step(&view, &format!("g{n}"), |_| true) {
+                let delay = if self.fraction() < 0.1 { 3000.0 } else { 100.0 + self.fraction() * 300.0 };
+                self.registries[n].busy = now + delay + 700.0;
+                if self.fraction() > 0.05 {
+                    self.pending_steps.push((
+                        now + delay,
+                        number,
+                        step.order,
+                        step.record,
+                        step.node,
+                        step.phase,
+                    ));
                 }
             }
         }
     }
 
-    fn steps_arrive(&mut self) {
+    fn deliver_steps(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.flights).into_iter().partition(|f| f.0 <= now);
-        self.flights = rest;
-        for (_, number, name, night, node, phase) in due {
+            std::mem::take(&mut self.pending_steps).into_iter().partition(|f| f.0 <= now);
+        self.pending_steps = rest;
+        for (_, number, name, record, node, phase) in due {
             if number != self.store.number() {
                 continue;
             }
             let seed = self.number;
-            let began = self.store.nights.get(&name).and_then(|night| night.phase(&node)) != Some(phase);
+            let began = self.store.records.get(&name).and_then(|record| record.phase(&node)) != Some(phase);
             if phase == Phase::Draining && began {
                 let order = &self.store.orders[&name];
                 let contract = &self.store.contracts[&order.contract];
@@ -429,20 +451,20 @@
                 assert!(order.state == OrderState::Running && contract.approved_by.is_some(), "seed {seed}");
                 let window = contract
                     .window_at(truth)
-                    .unwrap_or_else(|| panic!("seed {seed}: {node} drained outside the hours"));
+                    .unwrap_or_else(|| panic!("seed {seed}: {node} drained outside the window"));
                 assert!(window.to - truth >= order.out_duration, "seed {seed}: too late to begin");
-                assert!(night.drained_nodes().len() <= order.limits.order, "seed {seed}");
+                assert!(record.drained_nodes().len() <= order.limits.order, "seed {seed}");
             }
             if phase == Phase::Out && began {
-                self.assert_quiet(&node.to_string(), "released");
+                self.assert_idle(&node.to_string(), "released");
             }
             *self.reached.entry(phase).or_default() += 1;
-            self.store.nights.insert(name.clone(), night);
+            self.store.records.insert(name.clone(), record);
             self.store.touch(&format!("n:{name}"), true);
             self.store.touch(&format!("d:{name}"), true);
             let zones = self
                 .store
-                .nights
+                .records
                 .values()
                 .flat_map(MaintenanceRecord::drained_nodes)
                 .filter(|n| matches!(n, Node::Zone(_)))
@@ -450,20 +472,21 @@
             assert!(zones <= 1, "seed {seed}: more zones out than may be lost");
             for service in SERVICES {
                 let out: Vec<Node> =
-                    self.store.nights.values().flat_map(MaintenanceRecord::drained_nodes).collect();
+                    self.store.records.values().flat_map(MaintenanceRecord::drained_nodes).collect();
                 let left = self.backends.iter().filter(|b| b.service == service);
-                let mut left = left.filter(|b| !out.iter().any(|n| Self::holds(&n.to_string(), b)));
+                let mut left =
+                    left.filter(|b| !out.iter().any(|n| Self::contains_backend(&n.to_string(), b)));
                 assert!(left.next().is_some(), "seed {seed}: nothing is left of {service}");
             }
         }
     }
 
-    fn assert_quiet(&self, node: &str, when: &str) {
+    fn assert_idle(&self, node: &str, when: &str) {
         for (n, proxy) in self.proxies.iter().enumerate() {
             let busy = proxy
                 .work
                 .iter()
-                .find(|(id, _)| self.backends.iter().any(|b| b.id == *id && Self::holds(node, b)));
+                .find(|(id, _)| self.backends.iter().any(|b| b.id == *id && Self::contains_backend(node, b)));
             assert!(
                 busy.is_none(),
                 "seed {}: {when} {node} while proxy {n} has {busy:?} there at {}",
@@ -473,19 +496,20 @@
         }
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         let (truth, seed) = (self.truth(), self.number);
-        // Whoever is cut off: nobody heeds a drain beyond the hours that it was begun in.
+        // No proxy, even an isolated one, applies a drain beyond the window that it began in.
         for n in 0..PROXIES {
-            for night in self.proxies[n].copy.values().filter(|night| !night.drained_nodes().is_empty()) {
-                let heeds = self.heeds(n);
-                let still = night.drained_nodes().iter().any(|node| heeds.contains(&node.to_string()));
-                assert!(!still || truth < night.ends, "seed {seed}: proxy {n} drains beyond the hours");
+            for record in self.proxies[n].copy.values().filter(|record| !record.drained_nodes().is_empty()) {
+                let applied_drains = self.applied_drains(n);
+                let still =
+                    record.drained_nodes().iter().any(|node| applied_drains.contains(&node.to_string()));
+                assert!(!still || truth < record.ends, "seed {seed}: proxy {n} drains beyond the window");
             }
         }
-        // What operators want binds while a gateway holds the order.
-        for (name, night) in &self.store.nights {
-            let Some(node) = night.drained_nodes().first().cloned() else { continue };
+        // Changes by operators take effect while a registry holds the order.
+        for (name, record) in &self.store.records {
+            let Some(node) = record.drained_nodes().first().cloned() else { continue };
             let order = self.store.orders.get(name);
             let contract = order.and_then(|order| self.store.contracts.get(&order.contract));
             let runs = order.is_some_and(|o| matches!(o.state, OrderState::Running | OrderState::Paused));
@@ -495,10 +519,11 @@
                 .iter()
                 .filter_map(|n| self.changed.get(*n))
                 .fold(0.0, |a: f64, b| a.max(*b));
-            let idle = self.gateways.iter().all(|g| !g.holds);
-            let born = self.gateways.iter().filter(|g| g.holds).map(|g| g.since).fold(0.0, f64::max);
+            let idle = self.registries.iter().all(|g| !g.holds_orders);
+            let started_at =
+                self.registries.iter().filter(|g| g.holds_orders).map(|g| g.since).fold(0.0, f64::max);
             assert!(
-                holds || idle || self.now - since.max(born) < BINDS,
+                holds || idle || self.now - since.max(started_at) < MAX_EFFECT_DELAY,
                 "seed {seed}: {node} of {name} stays out at {}",
                 self.now
             );
@@ -509,40 +534,45 @@
         let end = self.now + seconds * 1000.0;
         while self.now < end {
             self.now += TICK;
-            if !calm && self.chance() < 0.012 {
-                self.trouble();
+            if !calm && self.fraction() < 0.012 {
+                self.inject_fault();
             }
-            self.proxies_work();
-            self.steps_arrive();
+            self.run_proxies();
+            self.deliver_steps();
             self.history.push((self.now, self.store.clone()));
             if self.history.len() > 8 {
                 self.history.remove(0);
             }
-            self.gateways_decide();
-            self.check();
+            self.run_registries();
+            self.check_invariants();
         }
     }
 }
 
 #[test]
-fn drawn_nights_keep_hours_budget_and_what_is_in_hand_and_they_end() {
-    let nights = std::env::var("NIGHTS").ok().and_then(|n| n.parse().ok()).unwrap_or(1000);
+fn randomly_drawn_maintenance_keeps_windows_limits_and_work_in_progress_and_ends() {
+    let runs = std::env::var("NIGHTS").ok().and_then(|n| n.parse().ok()).unwrap_or(1000);
     let mut reached: BTreeMap<Phase, usize> = BTreeMap::new();
     let first = std::env::var("NIGHT").ok().and_then(|n| n.parse().ok()).unwrap_or(0);
-    for seed in first..first + nights {
-        let mut world = World::new(seed);
-        world.run(320.0, false);
-        // All is well again: whatever is out goes back, since the hours are over.
-        let now = world.now;
-        world.gateways.iter_mut().filter(|g| !g.holds).for_each(|g| (g.holds, g.since) = (true, now));
-        world.walls = [0.0; SEATS];
-        world.run(30.0, true);
-        let out: Vec<Node> = world.store.nights.values().flat_map(MaintenanceRecord::drained_nodes).collect();
+    for seed in first..first + runs {
+        let mut simulation = Simulation::new(seed);
+        simulation.run(320.0, false);
+        // All faults are repaired: every drained node returns, since the window is over.
+        let now = simulation.now;
+        simulation
+            .registries
+            .iter_mut()
+            .filter(|g| !g.holds_orders)
+            .for_each(|g| (g.holds_orders, g.since) = (true, now));
+        simulation.clock_errors = [0.0; MEMBERS];
+        simulation.run(30.0, true);
+        let out: Vec<Node> =
+            simulation.store.records.values().flat_map(MaintenanceRecord::drained_nodes).collect();
         assert!(out.is_empty(), "seed {seed}: {out:?} is still out");
-        world.reached.into_iter().for_each(|(phase, n)| *reached.entry(phase).or_default() += n);
+        simulation.reached.into_iter().for_each(|(phase, n)| *reached.entry(phase).or_default() += n);
     }
-    // The worlds are not empty: each phase was reached often.
+    // The simulations are not empty: each phase was reached often.
     for phase in [Phase::Draining, Phase::Out, Phase::Serviced, Phase::Unserviced] {
-        assert!(reached.get(&phase).is_some_and(|n| *n > nights as usize / 4), "{reached:?}");
+        assert!(reached.get(&phase).is_some_and(|n| *n > runs as usize / 4), "{reached:?}");
     }
 }
