--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -7,78 +7,85 @@
 use fennelscale_replication::{Origin, Output, PersistedState, Replica, ReplicaConfig};
 
 /// A store reads its disk and has dialled its registry after this, in ms.
-const JOINS: Millis = 250.0;
+const JOIN_DELAY: Millis = 250.0;
 
 /// What a store sends, and what its registry's callers hear.
-pub(crate) enum Does {
+pub(crate) enum CoreOutput {
     Send(Host, StoreMessage),
     Answer(u64, StoreResponse),
 }
 
 /// One core machine.
 pub(crate) struct Core {
-    pub(crate) seat: Member,
+    pub(crate) member: Member,
     disk: PersistedState,
-    pub(crate) book: Option<Replica>,
-    pub(crate) round: Option<RegistryState>,
+    pub(crate) replica: Option<Replica>,
+    pub(crate) registry: Option<RegistryState>,
     /// Counts starts of either process: lines of an earlier life are closed.
-    pub(crate) lives: u64,
+    pub(crate) incarnations: u64,
     next: u64,
     /// When the store has dialled its registry: until then that knows nothing of what the store holds.
-    joins: Option<Millis>,
+    joins_at: Option<Millis>,
 }
 
 impl Core {
     pub(crate) fn new(n: usize, zones: usize, regions: usize) -> Self {
         let zone = n % zones;
-        let seat = Member {
+        let member = Member {
             host: Host(n as u32 + 1),
             zone: format!("z{zone}"),
             region: format!("r{}", zone % regions),
         };
-        Self::empty(seat)
+        Self::empty(member)
     }
 
     /// An empty machine at another address in the zone of one that is gone.
     pub(crate) fn in_place_of(gone: &Self, n: usize) -> Self {
-        Self::empty(Member { host: Host(n as u32 + 1), ..gone.seat.clone() })
+        Self::empty(Member { host: Host(n as u32 + 1), ..gone.member.clone() })
     }
 
-    fn empty(seat: Member) -> Self {
+    fn empty(member: Member) -> Self {
         Self {
-            seat,
+            member,
             disk: PersistedState::default(),
-            book: None,
-            round: None,
-            lives: 0,
+            replica: None,
+            registry: None,
+            incarnations: 0,
             next: 0,
-            joins: None,
+            joins_at: None,
         }
     }
 
     pub(crate) fn start(&mut self, now: Millis, seeds: &[Host], bootstrap: bool) {
-        if self.book.is_some() {
+        if self.replica.is_some() {
             return;
         }
-        self.lives += 1;
-        let life = fennelscale_messages::mix(u64::from(self.seat.host.0) << 32 ^ self.lives) >> 24;
-        let place = ReplicaConfig {
-            local: self.seat.clone(),
+        self.incarnations += 1;
+        let incarnation =
+            fennelscale_messages::mix(u64::from(self.member.host.0) << 32 ^ self.incarnations) >> 24;
+        let config = ReplicaConfig {
+            local: self.member.clone(),
             seeds: seeds.to_vec(),
             bootstrap,
             fault_tolerance: (1, 1, 1),
-            incarnation: life,
+            incarnation: incarnation,
         };
-        let book = Replica::new(place, self.disk.clone(), now);
-        let round =
-            RegistryState::new(self.seat.host, life, &self.seat.zone, &self.seat.region, bootstrap, now);
-        self.joins = Some(now + JOINS);
-        (self.book, self.round) = (Some(book), Some(round));
+        let replica = Replica::new(config, self.disk.clone(), now);
+        let registry = RegistryState::new(
+            self.member.host,
+            incarnation,
+            &self.member.zone,
+            &self.member.region,
+            bootstrap,
+            now,
+        );
+        self.joins_at = Some(now + JOIN_DELAY);
+        (self.replica, self.registry) = (Some(replica), Some(registry));
     }
 
     pub(crate) fn kill(&mut self) {
-        (self.book, self.round) = (None, None);
-        self.lives += 1;
+        (self.replica, self.registry) = (None, None);
+        self.incarnations += 1;
     }
 
     pub(crate) fn wipe(&mut self) {
@@ -88,44 +95,44 @@
 
     /// The store has dialled its registry and tells all that it holds.
     fn join(&mut self, now: Millis) {
-        if self.joins.is_none_or(|at| now < at) {
+        if self.joins_at.is_none_or(|at| now < at) {
             return;
         }
-        let (Some(book), Some(round)) = (&self.book, self.round.as_mut()) else { return };
-        self.joins = None;
-        round.on_seats(now, book.members().clone());
-        round.on_items(now, true, book.published_entries());
-        round.on_store_freshness(now, book.is_up_to_date());
+        let (Some(replica), Some(registry)) = (&self.replica, self.registry.as_mut()) else { return };
+        self.joins_at = None;
+        registry.on_seats(now, replica.members().clone());
+        registry.on_items(now, true, replica.published_entries());
+        registry.on_store_freshness(now, replica.is_up_to_date());
     }
 
     /// Gives the store an input; what it writes is on the disk before anything of it is sent.
-    pub(crate) fn store(&mut self, now: Millis, input: impl FnOnce(&mut Replica, Millis)) -> Vec<Does> {
+    pub(crate) fn store(&mut self, now: Millis, input: impl FnOnce(&mut Replica, Millis)) -> Vec<CoreOutput> {
         self.join(now);
-        let joined = self.joins.is_none();
-        let Some(book) = self.book.as_mut() else { return Vec::new() };
-        input(book, now);
-        self.disk.apply(book.take_writes());
-        let outs = book.take_outputs();
-        let mut does = Vec::new();
-        for out in outs {
-            let Some(round) = self.round.as_mut() else { break };
+        let joined = self.joins_at.is_none();
+        let Some(replica) = self.replica.as_mut() else { return Vec::new() };
+        input(replica, now);
+        self.disk.apply(replica.take_writes());
+        let replica_outputs = replica.take_outputs();
+        let mut outputs = Vec::new();
+        for out in replica_outputs {
+            let Some(registry) = self.registry.as_mut() else { break };
             match out {
-                Output::Send(to, word) => does.push(Does::Send(to, word)),
-                Output::Answer(id, told) => does.push(Does::Answer(id, told)),
+                Output::Send(to, message) => outputs.push(CoreOutput::Send(to, message)),
+                Output::Answer(id, response) => outputs.push(CoreOutput::Answer(id, response)),
                 Output::Chosen(_) | Output::Members(_) | Output::UpToDate(_) if !joined => {}
-                Output::Chosen(entries) => round.on_items(now, false, entries),
-                Output::Members(seats) => round.on_seats(now, seats),
-                Output::UpToDate(fresh) => round.on_store_freshness(now, fresh),
+                Output::Chosen(entries) => registry.on_items(now, false, entries),
+                Output::Members(members) => registry.on_seats(now, members),
+                Output::UpToDate(up_to_date) => registry.on_store_freshness(now, up_to_date),
                 Output::Log(..) => {}
             }
         }
-        does
+        outputs
     }
 
     /// Has the store decide on a call; its number.
-    pub(crate) fn ask(&mut self, now: Millis, ask: StoreRequest) -> (u64, Vec<Does>) {
+    pub(crate) fn submit(&mut self, now: Millis, request: StoreRequest) -> (u64, Vec<CoreOutput>) {
         self.next += 1;
-        let id = self.lives << 32 | self.next;
-        (id, self.store(now, |book, now| book.submit(now, Origin::Registry(id), ask)))
+        let id = self.incarnations << 32 | self.next;
+        (id, self.store(now, |replica, now| replica.submit(now, Origin::Registry(id), request)))
     }
 }
--- a/system/simulation/src/decisions.rs
+++ b/system/simulation/src/decisions.rs
@@ -11,9 +11,9 @@
 /// The one service.
 pub(crate) const SERVICE: &str = "s";
 /// What rules allow of repeats, as the usual settings have it.
-const RETRY: (f64, f64) = (0.2, 60.0);
+const RETRY_BUDGET: (f64, f64) = (0.2, 60.0);
 /// How long the client of a request waits.
-const PATIENCE: Millis = 3000.0;
+const CLIENT_TIMEOUT: Millis = 3000.0;
 
 /// A request that goes to a backend.
 pub(crate) struct Send {
@@ -34,39 +34,45 @@
     attempts: BTreeMap<RequestId, u32>,
     /// What is to happen, by when in microseconds and in which order it was set.
     due: BTreeMap<(u64, u64), Due>,
-    order: u64,
-    updated: Millis,
+    sequence: u64,
+    updated_at: Millis,
     sends: Vec<Send>,
 }
 
 impl Decisions {
-    pub(crate) fn new(zone: &str, host: Host, life: u64) -> Self {
-        let seed = fennelscale_messages::mix(u64::from(host.0) ^ life << 32);
+    pub(crate) fn new(zone: &str, host: Host, incarnation: u64) -> Self {
+        let seed = fennelscale_messages::mix(u64::from(host.0) ^ incarnation << 32);
         let settings = decision_input::engine_settings(&zone.into());
         Self {
             gateway: Gateway::new(settings, seed).expect("the settings of the program"),
             next: 0,
             attempts: BTreeMap::new(),
             due: BTreeMap::new(),
-            order: 0,
-            updated: 0.0,
+            sequence: 0,
+            updated_at: 0.0,
             sends: Vec::new(),
         }
     }
 
     /// News came, or something of them has run out.
-    pub(crate) fn tell(&mut self, now: Millis, held: &mut RoutingState) {
-        self.updated = now;
-        let known = held.backends(now, SERVICE);
-        let told = decision_input::build(&known, held.fleet_parameters(RETRY.0, RETRY.1), 0.0);
-        self.handle(now, told.event);
+    pub(crate) fn update(&mut self, now: Millis, routing_state: &mut RoutingState) {
+        self.updated_at = now;
+        let known = routing_state.backends(now, SERVICE);
+        let input = decision_input::build(
+            &known,
+            routing_state.fleet_parameters(RETRY_BUDGET.0, RETRY_BUDGET.1),
+            0.0,
+        );
+        self.handle(now, input.event);
     }
 
     /// Time passes and so many requests come. What goes to backends.
-    pub(crate) fn tick(&mut self, now: Millis, arrivals: usize, held: &mut RoutingState) -> Vec<Send> {
+    pub(crate) fn tick(
+        &mut self, now: Millis, arrivals: usize, routing_state: &mut RoutingState,
+    ) -> Vec<Send> {
         self.run_due(now);
-        if held.needs_update(now) && now - self.updated >= UPDATE_INTERVAL {
-            self.tell(now, held);
+        if routing_state.needs_update(now) && now - self.updated_at >= UPDATE_INTERVAL {
+            self.update(now, routing_state);
         }
         for _ in 0..arrivals {
             self.next += 1;
@@ -77,7 +83,7 @@
                 class: DEFAULT_CLASS.into(),
                 units: 1.0,
                 is_retry: false,
-                client_timeout: PATIENCE,
+                client_timeout: CLIENT_TIMEOUT,
                 first_gateway: 0,
                 gateway_count: 1,
                 constraints: None,
@@ -88,18 +94,18 @@
     }
 
     /// How a request that went to a backend ends, and how long it takes.
-    pub(crate) fn ends(&mut self, now: Millis, sent: Send, outcome: Outcome, after: Millis) {
+    pub(crate) fn finish_request(&mut self, now: Millis, sent: Send, outcome: Outcome, after: Millis) {
         self.set(now + after, Due::End(sent, outcome, after));
     }
 
     /// Requests that were sent to backends without terms.
-    pub(crate) fn sent_without_terms(&self) -> u64 {
+    pub(crate) fn sent_without_parameters(&self) -> u64 {
         self.gateway.send_counts().without_parameters
     }
 
     fn set(&mut self, at: Millis, due: Due) {
-        self.order += 1;
-        self.due.insert(((at * 1000.0) as u64, self.order), due);
+        self.sequence += 1;
+        self.due.insert(((at * 1000.0) as u64, self.sequence), due);
     }
 
     fn run_due(&mut self, now: Millis) {
--- a/system/simulation/src/lib.rs
+++ b/system/simulation/src/lib.rs
@@ -17,9 +17,9 @@
 mod core;
 mod decisions;
 mod proxy;
-mod world;
+mod simulation;
 
-pub use world::{Config, Fault, Simulation};
+pub use simulation::{Config, Fault, Simulation};
 
 /// Milliseconds of virtual time.
 pub type Millis = f64;
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 
 /// As the program has it: beats and silence.
-const BEAT: Millis = 400.0;
-const SILENT: Millis = 1500.0;
+const HEARTBEAT_INTERVAL: Millis = 400.0;
+const SESSION_TIMEOUT: Millis = 1500.0;
 /// A request waits for a block at most so long.
-const WAITS: Millis = 150.0;
+const MAX_LEASE_WAIT: Millis = 150.0;
 
 /// One proxy.
 pub(crate) struct Proxy {
@@ -23,15 +23,15 @@
     pub(crate) region: String,
     zones: BTreeMap<String, String>,
     pub(crate) up: bool,
-    pub(crate) life: u64,
-    pub(crate) held: RoutingState,
+    pub(crate) incarnation: u64,
+    pub(crate) routing_state: RoutingState,
     /// Where clients press: which backends get their requests.
     decisions: Option<Decisions>,
     cache: Cache,
     /// The core machine of the session, and its life.
     pub(crate) session: Option<(usize, u64)>,
-    heard: Millis,
-    beat_at: Millis,
+    last_message_at: Millis,
+    next_heartbeat: Millis,
     choice: RegistryChoice,
     /// The newest version of each item that this life has held.
     seen: BTreeMap<String, u64>,
@@ -44,24 +44,24 @@
 }
 
 impl Proxy {
-    pub(crate) fn new(n: usize, zones: &BTreeMap<String, String>, pressed: bool) -> Self {
+    pub(crate) fn new(n: usize, zones: &BTreeMap<String, String>, with_decisions: bool) -> Self {
         let zone = format!("z{}", n % zones.len());
         let (host, region) = (Host(1000 + n as u32), zones[&zone].clone());
-        let place = place(host, &zone, &region, zones);
-        let decisions = pressed.then(|| Decisions::new(&zone, host, 0));
+        let location = location(host, &zone, &region, zones);
+        let decisions = with_decisions.then(|| Decisions::new(&zone, host, 0));
         Self {
             host,
             zone,
             region,
             zones: zones.clone(),
             up: false,
-            life: 0,
-            held: RoutingState::new(place),
+            incarnation: 0,
+            routing_state: RoutingState::new(location),
             decisions,
             cache: Cache::new(0.0, 0),
             session: None,
-            heard: 0.0,
-            beat_at: 0.0,
+            last_message_at: 0.0,
+            next_heartbeat: 0.0,
             choice: RegistryChoice::default(),
             seen: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -76,13 +76,14 @@
         if self.up {
             return;
         }
-        self.life += 1;
+        self.incarnation += 1;
         self.up = true;
-        self.held = RoutingState::new(place(self.host, &self.zone, &self.region, &self.zones));
-        let pressed = self.decisions.is_some();
-        self.decisions = pressed.then(|| Decisions::new(&self.zone, self.host, self.life));
-        self.cache = Cache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.life << 32));
-        (self.session, self.beat_at) = (None, now);
+        self.routing_state = RoutingState::new(location(self.host, &self.zone, &self.region, &self.zones));
+        let with_decisions = self.decisions.is_some();
+        self.decisions = with_decisions.then(|| Decisions::new(&self.zone, self.host, self.incarnation));
+        self.cache =
+            Cache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.incarnation << 32));
+        (self.session, self.next_heartbeat) = (None, now);
         self.choice = RegistryChoice::default();
         self.seen.clear();
         self.waiting.clear();
@@ -92,20 +93,20 @@
         (self.up, self.session) = (false, None);
     }
 
-    pub(crate) fn member(&self) -> ProxyInfo {
+    pub(crate) fn info(&self) -> ProxyInfo {
         ProxyInfo {
             host: self.host,
-            incarnation: self.life,
+            incarnation: self.incarnation,
             zone: self.zone.clone(),
             region: self.region.clone(),
             port: 80,
-            ready: self.held.is_ready(),
+            ready: self.routing_state.is_ready(),
             idle_nodes: Vec::new(),
         }
     }
 
     /// The session is over, and its registry not thought of for a while.
-    pub(crate) fn lost(&mut self, now: Millis) {
+    pub(crate) fn on_session_lost(&mut self, now: Millis) {
         if let Some((core, _)) = self.session.take() {
             self.choice.record_failure(now, core_host(core));
         }
@@ -126,28 +127,29 @@
         cores.iter().copied().filter(|core| chosen.contains(&core_host(*core))).collect()
     }
 
-    pub(crate) fn dialled(&mut self, now: Millis, core: usize, life: u64) -> ProxyToRegistry {
-        (self.session, self.heard, self.beat_at) = (Some((core, life)), now, now + BEAT);
-        if self.held.items_hash() == 0 {
-            ProxyToRegistry::Hello(self.member())
+    pub(crate) fn on_connected(&mut self, now: Millis, core: usize, incarnation: u64) -> ProxyToRegistry {
+        (self.session, self.last_message_at, self.next_heartbeat) =
+            (Some((core, incarnation)), now, now + HEARTBEAT_INTERVAL);
+        if self.routing_state.items_hash() == 0 {
+            ProxyToRegistry::Hello(self.info())
         } else {
-            ProxyToRegistry::Resume(self.member(), self.held.digest())
+            ProxyToRegistry::Resume(self.info(), self.routing_state.digest())
         }
     }
 
-    pub(crate) fn dial_failed(&mut self, now: Millis, core: usize) {
+    pub(crate) fn on_connect_failed(&mut self, now: Millis, core: usize) {
         self.choice.record_failure(now, core_host(core));
     }
 
     /// A word of the session's registry.
-    pub(crate) fn word(&mut self, now: Millis, word: &RegistryToProxy, out: &mut Vec<ProxyToRegistry>) {
-        self.heard = now;
-        let was = self.held.is_ready();
-        match word {
+    pub(crate) fn receive(&mut self, now: Millis, message: &RegistryToProxy, out: &mut Vec<ProxyToRegistry>) {
+        self.last_message_at = now;
+        let was_ready = self.routing_state.is_ready();
+        match message {
             RegistryToProxy::Items { up_to_date: fresh, entries, .. } => {
                 for (name, entry) in entries {
                     let seen = self.seen.entry(name.clone()).or_default();
-                    let known = self.held.merge(now, vec![(name.clone(), entry.clone())]);
+                    let known = self.routing_state.merge(now, vec![(name.clone(), entry.clone())]);
                     if known.is_empty() {
                         continue;
                     }
@@ -156,70 +158,75 @@
                     }
                     *seen = entry.revision;
                 }
-                self.held.up_to_date |= fresh;
+                self.routing_state.up_to_date |= fresh;
+            }
+            RegistryToProxy::BackendList(backend_list) => {
+                drop(self.routing_state.set_backend_list(now, backend_list.clone()))
             }
-            RegistryToProxy::BackendList(listing) => drop(self.held.set_backend_list(now, listing.clone())),
             RegistryToProxy::Proxies(members, gateways) => {
-                self.held.set_proxies(now, members.clone(), *gateways);
-                self.cache.gateways(self.held.proxy_count);
+                self.routing_state.set_proxies(now, members.clone(), *gateways);
+                self.cache.gateways(self.routing_state.proxy_count);
             }
             RegistryToProxy::Grant(grant) => {
-                let mut told = Vec::new();
-                self.cache.grant(now, grant.clone(), out, &mut told);
-                self.told(told);
+                let mut admissions = Vec::new();
+                self.cache.grant(now, grant.clone(), out, &mut admissions);
+                self.on_admissions(admissions);
             }
             RegistryToProxy::Heartbeat { contact_age } => {
                 self.choice.record_heartbeat(now, f64::from(*contact_age))
             }
-            RegistryToProxy::RequestDigest => out.push(ProxyToRegistry::Digest(self.held.digest())),
+            RegistryToProxy::RequestDigest => out.push(ProxyToRegistry::Digest(self.routing_state.digest())),
             RegistryToProxy::Registries(_)
             | RegistryToProxy::Time(..)
             | RegistryToProxy::LookUpRequest(..) => {}
         }
         // As in the program: whatever may bear on the choice of a backend is told to the decisions with the word that brought it.
         if matches!(
-            word,
+            message,
             RegistryToProxy::Items { .. } | RegistryToProxy::BackendList(_) | RegistryToProxy::Proxies(..)
         ) && let Some(decisions) = &mut self.decisions
         {
-            decisions.tell(now, &mut self.held);
+            decisions.update(now, &mut self.routing_state);
         }
-        if !was && self.held.is_ready() {
-            out.push(self.beat(now));
+        if !was_ready && self.routing_state.is_ready() {
+            out.push(self.heartbeat(now));
         }
     }
 
     /// So many requests come that go on to backends. Those that do.
-    pub(crate) fn press(&mut self, now: Millis, arrivals: usize) -> Vec<Send> {
+    pub(crate) fn send_backend_requests(&mut self, now: Millis, arrivals: usize) -> Vec<Send> {
         let Some(decisions) = self.decisions.as_mut().filter(|_| self.up) else { return Vec::new() };
-        let arrivals = if self.held.is_ready() { arrivals } else { 0 };
-        decisions.tick(now, arrivals, &mut self.held)
+        let arrivals = if self.routing_state.is_ready() { arrivals } else { 0 };
+        decisions.tick(now, arrivals, &mut self.routing_state)
     }
 
     /// How a request that went to a backend ends.
-    pub(crate) fn ends(&mut self, now: Millis, sent: Send, outcome: Outcome, after: Millis) {
+    pub(crate) fn finish_request(&mut self, now: Millis, sent: Send, outcome: Outcome, after: Millis) {
         if let Some(decisions) = &mut self.decisions {
-            decisions.ends(now, sent, outcome, after);
+            decisions.finish_request(now, sent, outcome, after);
         }
     }
 
-    pub(crate) fn sent_without_terms(&self) -> u64 {
-        self.decisions.as_ref().map_or(0, Decisions::sent_without_terms)
+    pub(crate) fn sent_without_parameters(&self) -> u64 {
+        self.decisions.as_ref().map_or(0, Decisions::sent_without_parameters)
     }
 
-    fn beat(&self, now: Millis) -> ProxyToRegistry {
-        let (ready, items, listing) =
-            (self.held.is_ready(), self.held.items_hash(), self.held.backend_list.stamp);
+    fn heartbeat(&self, now: Millis) -> ProxyToRegistry {
+        let (ready, items, backend_list) = (
+            self.routing_state.is_ready(),
+            self.routing_state.items_hash(),
+            self.routing_state.backend_list.stamp,
+        );
         ProxyToRegistry::Heartbeat {
             ready,
             items_hash: items,
-            list_stamp: listing,
+            list_stamp: backend_list,
             self_granted: self.cache.alone(now),
         }
     }
 
-    fn told(&mut self, told: Vec<(u64, Admission)>) {
-        for (request, admission) in told {
+    fn on_admissions(&mut self, admissions: Vec<(u64, Admission)>) {
+        for (request, admission) in admissions {
             let Some(tenant) = self.waiting.remove(&request) else { continue };
             self.count(tenant, admission);
         }
@@ -234,11 +241,14 @@
 
     /// A request of a tenant.
     pub(crate) fn request(&mut self, now: Millis, tenant: &str, out: &mut Vec<ProxyToRegistry>) {
-        if !self.up || !self.held.is_ready() {
+        if !self.up || !self.routing_state.is_ready() {
             return;
         }
-        let Some(terms) =
-            self.held.table.tenant_by_name(tenant).map(|t| Terms { rate: t.rate_per_s, burst: t.burst })
+        let Some(terms) = self
+            .routing_state
+            .table
+            .tenant_by_name(tenant)
+            .map(|t| Terms { rate: t.rate_per_s, burst: t.burst })
         else {
             return;
         };
@@ -247,7 +257,7 @@
             now,
             tenant,
             terms,
-            Comer { request: self.next, until: now + WAITS, late: false },
+            Comer { request: self.next, until: now + MAX_LEASE_WAIT, late: false },
             out,
         );
         if admission == Admission::Waits {
@@ -258,20 +268,20 @@
     }
 
     pub(crate) fn tick(&mut self, now: Millis, out: &mut Vec<ProxyToRegistry>) {
-        let mut told = Vec::new();
-        self.cache.tick(now, out, &mut told);
-        self.told(told);
-        if self.session.is_some() && now - self.heard >= SILENT {
-            self.lost(now);
+        let mut admissions = Vec::new();
+        self.cache.tick(now, out, &mut admissions);
+        self.on_admissions(admissions);
+        if self.session.is_some() && now - self.last_message_at >= SESSION_TIMEOUT {
+            self.on_session_lost(now);
         }
-        if self.session.is_some() && now >= self.beat_at {
-            self.beat_at = now + BEAT;
-            out.push(self.beat(now));
+        if self.session.is_some() && now >= self.next_heartbeat {
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+            out.push(self.heartbeat(now));
         }
     }
 
-    pub(crate) fn held_size(&self) -> usize {
-        format!("{:?}", self.held).len()
+    pub(crate) fn routing_state_size(&self) -> usize {
+        format!("{:?}", self.routing_state).len()
     }
 
     pub(crate) fn cache_size(&self) -> usize {
@@ -289,7 +299,7 @@
     Host(core as u32 + 1)
 }
 
-fn place(host: Host, zone: &str, region: &str, zones: &BTreeMap<String, String>) -> ProxyLocation {
+fn location(host: Host, zone: &str, region: &str, zones: &BTreeMap<String, String>) -> ProxyLocation {
     ProxyLocation {
         host,
         zone: zone.to_owned(),
--- a/system/simulation/src/world.rs
+++ b/system/simulation/src/simulation.rs
@@ -1,28 +1,28 @@
 //! The world: links, load, operators, faults, and what is looked at.
 
-mod cold;
-mod figures;
+mod cold_backends;
+mod metrics;
 
-use crate::core::{Core, Does};
+use crate::core::{Core, CoreOutput};
 use crate::proxy::Proxy;
 use crate::{APPLY_TIMEOUT, DRAIN_TIMEOUT, Millis, QUOTA_LIMITS, RECOVERY_TIME, Rng};
 use fennelscale_membership::{Output, RegistryState};
 use fennelscale_messages::Host;
 use fennelscale_messages::registry::RegistryMessage;
 use fennelscale_messages::session::{Backend, ProxyToRegistry, RegistryToProxy};
-use fennelscale_messages::store::{Change, StoreMessage as StoreWord, StoreRequest, StoreResponse};
+use fennelscale_messages::store::{Change, StoreMessage, StoreRequest, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
 /// Time passes for all machines this often.
 const TICK: Millis = 60.0;
 /// Ways within a region and between two, in ms.
-const NEAR: Millis = 1.0;
-const FAR: Millis = 55.0;
+const LOCAL_DELAY: Millis = 1.0;
+const REMOTE_DELAY: Millis = 55.0;
 /// An operator asks the next core machine after this.
-const PATIENCE: Millis = 1000.0;
+const CALL_TIMEOUT: Millis = 1000.0;
 /// How old the platform's list is when it is read.
-const LAG: Millis = 300.0;
+const LIST_AGE: Millis = 300.0;
 
 /// How large a world is.
 #[derive(Clone, Debug)]
@@ -104,29 +104,29 @@
 }
 
 enum Event {
-    Store(usize, StoreWord),
+    Store(usize, StoreMessage),
     Registry(usize, RegistryMessage),
-    Up(usize, ProxyToRegistry),
-    Down(usize, Rc<RegistryToProxy>),
+    ToRegistry(usize, ProxyToRegistry),
+    ToProxy(usize, Rc<RegistryToProxy>),
 }
 
 /// An event on its way: to whom, by which lives of both ends it counts.
-struct Sent {
+struct InFlight {
     to: usize,
     event: Event,
-    lives: (u64, u64),
+    incarnations: (u64, u64),
 }
 
 #[derive(Clone, Debug)]
 struct Call {
     name: String,
     revision: u64,
-    ask: StoreRequest,
+    request: StoreRequest,
     /// The core machine that was asked last, its number of the call, and when.
     asked: Option<(usize, u64, Millis)>,
     acknowledged: Option<Millis>,
     /// When every proxy that was up held it, or a newer one.
-    everywhere: Option<Millis>,
+    in_force_at: Option<Millis>,
     sent: Millis,
 }
 
@@ -138,35 +138,35 @@
     /// Virtual time.
     pub now: Millis,
     config: Config,
-    chance: Rng,
+    rng: Rng,
     cores: Vec<Core>,
     proxies: Vec<Proxy>,
-    wire: BTreeMap<(u64, u64), Sent>,
+    in_flight: BTreeMap<(u64, u64), InFlight>,
     /// One line carries its words in order.
-    last: BTreeMap<(usize, usize, u8), u64>,
-    order: u64,
-    cut_cores: BTreeSet<usize>,
-    cut_proxies: BTreeSet<usize>,
-    one_way: BTreeSet<(usize, usize)>,
+    last_due: BTreeMap<(usize, usize, u8), u64>,
+    sequence: u64,
+    disconnected_cores: BTreeSet<usize>,
+    disconnected_proxies: BTreeSet<usize>,
+    disconnected_one_way: BTreeSet<(usize, usize)>,
     /// Core machines that stand still, and until when.
-    frozen: BTreeMap<usize, Millis>,
+    paused: BTreeMap<usize, Millis>,
     /// Core machines that are gone for good.
-    gone: BTreeSet<usize>,
+    removed: BTreeSet<usize>,
     /// Calls of registries themselves: number by machine.
-    steps: BTreeSet<(usize, u64)>,
+    registry_calls: BTreeSet<(usize, u64)>,
     calls: Vec<Call>,
     revisions: BTreeMap<String, u64>,
     backends: Vec<Backend>,
     /// Lists as the platform had them, for readers that see old ones.
-    listed: VecDeque<(Millis, Vec<Backend>)>,
-    drained: BTreeMap<String, Millis>,
-    cold: cold::ColdBackends,
-    floods: BTreeMap<usize, f64>,
+    list_history: VecDeque<(Millis, Vec<Backend>)>,
+    drained_at: BTreeMap<String, Millis>,
+    cold: cold_backends::ColdBackends,
+    overloads: BTreeMap<usize, f64>,
     admitted: BTreeMap<String, VecDeque<Millis>>,
     /// When something last went wrong.
-    trouble: Millis,
+    last_fault: Millis,
     /// Time stops at an acknowledgement.
-    stops: bool,
+    stop_at_acknowledgement: bool,
     /// Requests let in and refused, words and bytes by kind of line.
     pub served: usize,
     /// Requests that were refused.
@@ -193,28 +193,28 @@
         });
         let mut world = Self {
             now: 0.0,
-            chance: Rng::new(seed),
+            rng: Rng::new(seed),
             cores: (0..config.cores).map(|n| Core::new(n, config.zones, 3)).collect(),
             proxies: (0..config.proxies).map(|n| Proxy::new(n, &zones, config.pressure > 0)).collect(),
-            wire: BTreeMap::new(),
-            last: BTreeMap::new(),
-            order: 0,
-            cut_cores: BTreeSet::new(),
-            cut_proxies: BTreeSet::new(),
-            one_way: BTreeSet::new(),
-            frozen: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            steps: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
+            last_due: BTreeMap::new(),
+            sequence: 0,
+            disconnected_cores: BTreeSet::new(),
+            disconnected_proxies: BTreeSet::new(),
+            disconnected_one_way: BTreeSet::new(),
+            paused: BTreeMap::new(),
+            removed: BTreeSet::new(),
+            registry_calls: BTreeSet::new(),
             calls: Vec::new(),
             revisions: BTreeMap::new(),
             backends: backends.collect(),
-            listed: VecDeque::new(),
-            drained: BTreeMap::new(),
-            cold: cold::ColdBackends::default(),
-            floods: BTreeMap::new(),
+            list_history: VecDeque::new(),
+            drained_at: BTreeMap::new(),
+            cold: cold_backends::ColdBackends::default(),
+            overloads: BTreeMap::new(),
             admitted: BTreeMap::new(),
-            trouble: 0.0,
-            stops: false,
+            last_fault: 0.0,
+            stop_at_acknowledgement: false,
             served: 0,
             refused: 0,
             bytes: [0; 3],
@@ -228,7 +228,7 @@
             proxy.start(0.0);
         }
         world.run(2500.0);
-        world.first_config();
+        world.send_first_config();
         world.run(6000.0);
         if world.calls[0].acknowledged.is_none() {
             world.violations.push("the first configuration was never acknowledged".into());
@@ -236,8 +236,8 @@
         world
     }
 
-    fn first_config(&mut self) {
-        let mut changes = vec![change("s:s", cold::service_body(), 1)];
+    fn send_first_config(&mut self) {
+        let mut changes = vec![change("s:s", cold_backends::service_body(), 1)];
         for n in 0..self.config.tenants {
             changes.push(change(&format!("t:t{n}"), tenant(n, self.config.rate, 1), 1));
         }
@@ -247,21 +247,21 @@
         for change in &changes {
             self.revisions.insert(change.name.clone(), 1);
         }
-        let ask = StoreRequest::Change(changes);
+        let request = StoreRequest::Change(changes);
         self.calls.push(Call {
             name: "s:s".into(),
             revision: 1,
-            ask,
+            request,
             asked: None,
             acknowledged: None,
-            everywhere: None,
+            in_force_at: None,
             sent: self.now,
         });
     }
 
     /// An operator sends a new version of some route, and again until it has a clear answer.
     pub fn change_route(&mut self) {
-        let n = self.chance.below(self.config.routes);
+        let n = self.rng.below(self.config.routes);
         let name = format!("r:r{n}");
         // One operator for each item: the next version after the last has a clear answer.
         if self.calls.iter().any(|call| call.name == name && call.acknowledged.is_none()) {
@@ -269,25 +269,25 @@
         }
         let revision = self.revisions.get(&name).copied().unwrap_or(0) + 1;
         self.revisions.insert(name.clone(), revision);
-        let ask = StoreRequest::Change(vec![route(n, revision)]);
+        let request = StoreRequest::Change(vec![route(n, revision)]);
         self.calls.push(Call {
             name,
             revision,
-            ask,
+            request,
             asked: None,
             acknowledged: None,
-            everywhere: None,
+            in_force_at: None,
             sent: self.now,
         });
     }
 
     fn seeds(&self) -> Vec<Host> {
-        let there = self.cores.iter().enumerate().filter(|(n, _)| !self.gone.contains(n));
-        there.take(3).map(|(_, core)| core.seat.host).collect()
+        let there = self.cores.iter().enumerate().filter(|(n, _)| !self.removed.contains(n));
+        there.take(3).map(|(_, core)| core.member.host).collect()
     }
 
     fn start_core(&mut self, n: usize, bootstrap: bool) {
-        if self.gone.contains(&n) {
+        if self.removed.contains(&n) {
             return;
         }
         let seeds = self.seeds();
@@ -297,23 +297,23 @@
 
     /// Something goes wrong, or right again.
     pub fn fault(&mut self, fault: Fault) {
-        self.trouble = self.now;
+        self.last_fault = self.now;
         match fault {
             Fault::KillCore(n) => self.cores[n].kill(),
             Fault::LoseDisk(n) => self.cores[n].wipe(),
             Fault::StartCore(n) => self.start_core(n, false),
             Fault::KillProxy(n) => self.proxies[n].kill(),
             Fault::StartProxy(n) => self.proxies[n].start(self.now),
-            Fault::DisconnectCore(n) => drop(self.cut_cores.insert(n)),
-            Fault::DisconnectProxy(n) => drop(self.cut_proxies.insert(n)),
-            Fault::DisconnectOneWay(from, to) => drop(self.one_way.insert((from, to))),
-            Fault::PauseCore(n, span) => drop(self.frozen.insert(n, self.now + f64::from(span))),
+            Fault::DisconnectCore(n) => drop(self.disconnected_cores.insert(n)),
+            Fault::DisconnectProxy(n) => drop(self.disconnected_proxies.insert(n)),
+            Fault::DisconnectOneWay(from, to) => drop(self.disconnected_one_way.insert((from, to))),
+            Fault::PauseCore(n, span) => drop(self.paused.insert(n, self.now + f64::from(span))),
             Fault::ReplaceCore(n) => self.replace(n),
             Fault::PowerLoss(n) => {
                 self.cores[n].wipe();
                 self.cores.iter_mut().for_each(Core::kill);
                 self.proxies.iter_mut().for_each(Proxy::kill);
-                self.frozen.clear();
+                self.paused.clear();
             }
             Fault::RestorePower => {
                 (0..self.cores.len()).for_each(|n| self.start_core(n, false));
@@ -321,24 +321,24 @@
                 self.proxies.iter_mut().for_each(|proxy| proxy.start(now));
             }
             Fault::RestoreLinks => {
-                self.one_way.clear();
-                self.cut_cores.clear();
-                self.cut_proxies.clear();
+                self.disconnected_one_way.clear();
+                self.disconnected_cores.clear();
+                self.disconnected_proxies.clear();
             }
-            Fault::Overload(n, x) => drop(self.floods.insert(n, x)),
+            Fault::Overload(n, x) => drop(self.overloads.insert(n, x)),
             Fault::RestartBackends(zone) => self.restart_backends(zone),
             Fault::DrainBackend(n) => {
                 self.backends[n].draining = true;
-                self.drained.entry(self.backends[n].id.clone()).or_insert(self.now);
+                self.drained_at.entry(self.backends[n].id.clone()).or_insert(self.now);
             }
         }
-        self.close_lines();
+        self.close_connections();
     }
 
     /// A core machine goes for good, an empty one comes in its zone.
     fn replace(&mut self, n: usize) {
         self.cores[n].kill();
-        self.gone.insert(n);
+        self.removed.insert(n);
         let fresh = self.cores.len();
         self.cores.push(Core::in_place_of(&self.cores[n], fresh));
         self.start_core(fresh, false);
@@ -346,24 +346,24 @@
 
     /// A fault by chance out of those that [`Self::random_fault`] leaves out: within what is to be borne, one at a time.
     pub fn random_hard_fault(&mut self) {
-        let here = |n: &usize| !self.gone.contains(n);
+        let here = |n: &usize| !self.removed.contains(n);
         let there: Vec<usize> = (0..self.cores.len()).filter(here).collect();
-        let calm = self.now - self.trouble > RECOVERY_TIME
-            && self.cut_cores.is_empty()
-            && self.one_way.is_empty()
-            && there.iter().all(|n| self.cores[*n].book.is_some());
-        let n = there[self.chance.below(there.len())];
-        let to = there[self.chance.below(there.len())];
-        match self.chance.below(5) {
+        let calm = self.now - self.last_fault > RECOVERY_TIME
+            && self.disconnected_cores.is_empty()
+            && self.disconnected_one_way.is_empty()
+            && there.iter().all(|n| self.cores[*n].replica.is_some());
+        let n = there[self.rng.below(there.len())];
+        let to = there[self.rng.below(there.len())];
+        match self.rng.below(5) {
             0 => {
-                let span = 100 + (self.chance.fraction() * 2500.0) as u32;
+                let span = 100 + (self.rng.fraction() * 2500.0) as u32;
                 self.fault(Fault::PauseCore(n, span));
             }
             1 | 2 if calm && n != to => self.fault(Fault::DisconnectOneWay(n, to)),
             3 if calm && self.cores.len() < 10 => self.fault(Fault::ReplaceCore(n)),
             4 if calm => {
                 self.fault(Fault::PowerLoss(n));
-                let span = 100.0 + self.chance.fraction() * 2000.0;
+                let span = 100.0 + self.rng.fraction() * 2000.0;
                 self.run(span);
                 self.fault(Fault::RestorePower);
             }
@@ -374,27 +374,30 @@
     /// A fault by chance. A region's worth of core machines at the most is down at once, and one disk lost.
     pub fn random_fault(&mut self) {
         let (cores, proxies) = (self.cores.len(), self.proxies.len());
-        let here = |n: &usize| !self.gone.contains(n);
-        let down: Vec<usize> = (0..cores).filter(here).filter(|n| self.cores[*n].book.is_none()).collect();
-        let n = self.chance.below(cores);
-        if self.gone.contains(&n) {
+        let here = |n: &usize| !self.removed.contains(n);
+        let down: Vec<usize> = (0..cores).filter(here).filter(|n| self.cores[*n].replica.is_none()).collect();
+        let n = self.rng.below(cores);
+        if self.removed.contains(&n) {
             return;
         }
-        let p = self.chance.below(proxies);
-        let fault = match self.chance.below(10) {
-            0 | 1 if down.len() + self.cut_cores.len() < 2 => Fault::KillCore(n),
-            2 if down.is_empty() && self.cut_cores.is_empty() && self.now - self.trouble > RECOVERY_TIME => {
+        let p = self.rng.below(proxies);
+        let fault = match self.rng.below(10) {
+            0 | 1 if down.len() + self.disconnected_cores.len() < 2 => Fault::KillCore(n),
+            2 if down.is_empty()
+                && self.disconnected_cores.is_empty()
+                && self.now - self.last_fault > RECOVERY_TIME =>
+            {
                 Fault::LoseDisk(n)
             }
-            3 if down.len() + self.cut_cores.len() < 2 => Fault::DisconnectCore(n),
+            3 if down.len() + self.disconnected_cores.len() < 2 => Fault::DisconnectCore(n),
             4 => Fault::DisconnectProxy(p),
             5 => Fault::KillProxy(p),
             6 => Fault::RestoreLinks,
             7 => Fault::Overload(
-                self.chance.below(self.config.tenants),
-                if self.chance.fraction() < 0.5 { 6.0 } else { 1.0 },
+                self.rng.below(self.config.tenants),
+                if self.rng.fraction() < 0.5 { 6.0 } else { 1.0 },
             ),
-            8 if self.drained.len() < 3 => Fault::DrainBackend(self.chance.below(self.backends.len())),
+            8 if self.drained_at.len() < 3 => Fault::DrainBackend(self.rng.below(self.backends.len())),
             _ => match down.first() {
                 Some(n) => Fault::StartCore(*n),
                 None => match (0..proxies).find(|p| !self.proxies[*p].up) {
@@ -407,12 +410,12 @@
     }
 
     /// Lines to machines that died are closed; those that are cut say nothing.
-    fn close_lines(&mut self) {
+    fn close_connections(&mut self) {
         let now = self.now;
         for p in 0..self.proxies.len() {
-            let Some((n, life)) = self.proxies[p].session else { continue };
-            if self.cores[n].lives != life {
-                self.proxies[p].lost(now);
+            let Some((n, incarnation)) = self.proxies[p].session else { continue };
+            if self.cores[n].incarnations != incarnation {
+                self.proxies[p].on_session_lost(now);
             }
         }
         // A registry whose proxy died hears its line close.
@@ -420,25 +423,26 @@
         for n in 0..self.cores.len() {
             for host in &dead {
                 let host = *host;
-                self.registry(n, Box::new(|round, now| round.on_session_closed(now, host)));
+                self.registry(n, Box::new(|registry, now| registry.on_session_closed(now, host)));
             }
         }
     }
 
-    fn size<T: bitcode::Encode>(&self, word: &T) -> usize {
-        if self.config.measure { fennelscale_messages::encode_frame(word).len() } else { 0 }
+    fn message_size<T: bitcode::Encode>(&self, message: &T) -> usize {
+        if self.config.measure { fennelscale_messages::encode_frame(message).len() } else { 0 }
     }
 
-    fn way(&mut self, near: bool) -> Millis {
-        (if near { NEAR } else { FAR }) * (1.0 + 0.3 * self.chance.fraction())
+    fn latency(&mut self, local: bool) -> Millis {
+        (if local { LOCAL_DELAY } else { REMOTE_DELAY }) * (1.0 + 0.3 * self.rng.fraction())
     }
 
-    fn send(&mut self, line: (usize, usize, u8), near: bool, sent: Sent) {
-        let way = self.way(near);
-        let due = (((self.now + way) * 1000.0) as u64).max(self.last.get(&line).copied().unwrap_or(0));
-        self.last.insert(line, due);
-        self.order += 1;
-        self.wire.insert((due, self.order), sent);
+    fn send(&mut self, line: (usize, usize, u8), local: bool, sent: InFlight) {
+        let latency = self.latency(local);
+        let due =
+            (((self.now + latency) * 1000.0) as u64).max(self.last_due.get(&line).copied().unwrap_or(0));
+        self.last_due.insert(line, due);
+        self.sequence += 1;
+        self.in_flight.insert((due, self.sequence), sent);
     }
 
     fn core_at(&self, host: Host) -> Option<usize> {
@@ -446,36 +450,36 @@
     }
 
     fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.cut_cores.contains(&a) || self.cut_cores.contains(&b)
+        self.disconnected_cores.contains(&a) || self.disconnected_cores.contains(&b)
     }
 
-    fn between(&mut self, from: usize, to: Host, event: Event, line: u8, bytes: usize) {
+    fn send_between_cores(&mut self, from: usize, to: Host, event: Event, line: u8, bytes: usize) {
         let Some(to) = self.core_at(to) else { return };
         self.bytes[usize::from(line)] += bytes;
-        if self.is_cut(from, to) || self.one_way.contains(&(from, to)) {
+        if self.is_cut(from, to) || self.disconnected_one_way.contains(&(from, to)) {
             return;
         }
-        let near = self.cores[from].seat.region == self.cores[to].seat.region;
-        let lives = (self.cores[from].lives, self.cores[to].lives);
-        self.send((from, to, line), near, Sent { to, event, lives });
+        let local = self.cores[from].member.region == self.cores[to].member.region;
+        let incarnations = (self.cores[from].incarnations, self.cores[to].incarnations);
+        self.send((from, to, line), local, InFlight { to, event, incarnations });
     }
 
-    fn store(&mut self, n: usize, does: Vec<Does>) {
-        for act in does {
+    fn store(&mut self, n: usize, outputs: Vec<CoreOutput>) {
+        for act in outputs {
             match act {
-                Does::Send(to, word) => {
-                    let bytes = self.size(&word);
-                    self.between(n, to, Event::Store(n, word), 0, bytes);
+                CoreOutput::Send(to, message) => {
+                    let bytes = self.message_size(&message);
+                    self.send_between_cores(n, to, Event::Store(n, message), 0, bytes);
                 }
-                Does::Answer(id, told) => self.answered(n, id, &told),
+                CoreOutput::Answer(id, response) => self.handle_response(n, id, &response),
             }
         }
         // What the store has told its registry may have it act.
         self.registry(n, Box::new(|_, _| {}));
     }
 
-    fn answered(&mut self, n: usize, id: u64, told: &StoreResponse) {
-        if self.steps.remove(&(n, id)) {
+    fn handle_response(&mut self, n: usize, id: u64, response: &StoreResponse) {
+        if self.registry_calls.remove(&(n, id)) {
             self.registry(n, Box::new(RegistryState::on_maintenance_answer));
             return;
         }
@@ -485,7 +489,7 @@
             .iter_mut()
             .find(|call| call.asked.is_some_and(|(at, number, _)| (at, number) == (n, id)));
         if let Some(call) = call.filter(|call| call.acknowledged.is_none()) {
-            match told {
+            match response {
                 StoreResponse::Done => call.acknowledged = Some(now),
                 StoreResponse::Unclear => call.asked = None,
                 other => {
@@ -498,36 +502,36 @@
     /// Gives a registry an input and carries out what follows.
     fn registry(&mut self, n: usize, input: Input<'_>) {
         let now = self.now;
-        let Some(round) = self.cores[n].round.as_mut() else { return };
-        input(round, now);
-        for out in round.take_outputs() {
+        let Some(registry) = self.cores[n].registry.as_mut() else { return };
+        input(registry, now);
+        for out in registry.take_outputs() {
             match out {
-                Output::SendToRegistry(to, word) => {
-                    let bytes = self.size(&word);
-                    self.between(n, to, Event::Registry(n, word), 1, bytes);
+                Output::SendToRegistry(to, message) => {
+                    let bytes = self.message_size(&message);
+                    self.send_between_cores(n, to, Event::Registry(n, message), 1, bytes);
                 }
-                Output::SendToProxy(host, word) => self.down(n, host, word),
+                Output::SendToProxy(host, message) => self.send_to_proxy(n, host, message),
                 Output::ReadBackendList => {
-                    let seen = self.listed.iter().rev().find(|(at, _)| *at <= now - LAG);
+                    let seen = self.list_history.iter().rev().find(|(at, _)| *at <= now - LIST_AGE);
                     let backends = seen.map_or_else(|| self.backends.clone(), |(_, list)| list.clone());
                     let backends = self.as_read(backends);
-                    self.registry(n, Box::new(|round, now| round.on_list_read(now, Some(backends))));
+                    self.registry(n, Box::new(|registry, now| registry.on_list_read(now, Some(backends))));
                 }
                 Output::StoreProxyCount(proxies) => {
-                    let (id, does) = self.cores[n].ask(
+                    let (id, outputs) = self.cores[n].submit(
                         now,
                         StoreRequest::Note(
                             fennelscale_membership::PROXY_COUNT_NAME.to_owned(),
                             proxies.to_string(),
                         ),
                     );
-                    self.steps.insert((n, id));
-                    self.store(n, does);
+                    self.registry_calls.insert((n, id));
+                    self.store(n, outputs);
                 }
                 Output::CloseSession(host) => {
                     let proxy = self.proxies.iter_mut().find(|p| p.host == host);
                     if let Some(proxy) = proxy.filter(|p| p.session.is_some_and(|(core, _)| core == n)) {
-                        proxy.lost(now);
+                        proxy.on_session_lost(now);
                     }
                 }
                 // Readers, and what is kept for them, are the host's matter.
@@ -543,153 +547,170 @@
         }
     }
 
-    fn down(&mut self, n: usize, host: Host, word: Rc<RegistryToProxy>) {
+    fn send_to_proxy(&mut self, n: usize, host: Host, message: Rc<RegistryToProxy>) {
         let Some(p) = self.proxies.iter().position(|p| p.host == host) else { return };
-        self.bytes[2] += self.size(&*word);
-        if self.cut_proxies.contains(&p) || self.proxies[p].session.is_none_or(|(core, _)| core != n) {
+        self.bytes[2] += self.message_size(&*message);
+        if self.disconnected_proxies.contains(&p) || self.proxies[p].session.is_none_or(|(core, _)| core != n)
+        {
             return;
         }
-        let near = self.cores[n].seat.region == self.proxies[p].region;
-        let lives = (self.cores[n].lives, self.proxies[p].life);
-        self.send((n, p, 2), near, Sent { to: p, event: Event::Down(n, word), lives });
+        let local = self.cores[n].member.region == self.proxies[p].region;
+        let incarnations = (self.cores[n].incarnations, self.proxies[p].incarnation);
+        self.send((n, p, 2), local, InFlight { to: p, event: Event::ToProxy(n, message), incarnations });
     }
 
-    fn up(&mut self, p: usize, ups: Vec<ProxyToRegistry>) {
-        for up in ups {
-            let Some((n, life)) = self.proxies[p].session else { return };
-            self.bytes[2] += self.size(&up);
-            if self.cut_proxies.contains(&p) {
+    fn send_to_registry(&mut self, p: usize, messages: Vec<ProxyToRegistry>) {
+        for message in messages {
+            let Some((n, incarnation)) = self.proxies[p].session else { return };
+            self.bytes[2] += self.message_size(&message);
+            if self.disconnected_proxies.contains(&p) {
                 continue;
             }
-            let near = self.cores[n].seat.region == self.proxies[p].region;
-            let lives = (self.proxies[p].life, life);
-            self.send((p, n, 3), near, Sent { to: n, event: Event::Up(p, up), lives });
+            let local = self.cores[n].member.region == self.proxies[p].region;
+            let incarnations = (self.proxies[p].incarnation, incarnation);
+            self.send(
+                (p, n, 3),
+                local,
+                InFlight { to: n, event: Event::ToRegistry(p, message), incarnations },
+            );
         }
     }
 
     /// Core machines, the nearest to a proxy first.
     fn nearest_cores(&self, p: usize) -> Vec<usize> {
         let proxy = &self.proxies[p];
-        let far = |core: &Core| (core.seat.zone != proxy.zone, core.seat.region != proxy.region);
+        let far = |core: &Core| (core.member.zone != proxy.zone, core.member.region != proxy.region);
         let mut cores: Vec<usize> = (0..self.cores.len()).collect();
         cores.sort_by_key(|n| (far(&self.cores[*n]), *n));
         cores
     }
 
     /// A proxy without a session dials a core machine.
-    fn dial(&mut self, p: usize) {
+    fn connect(&mut self, p: usize) {
         let (now, cores) = (self.now, self.nearest_cores(p));
         let Some(n) = self.proxies[p].next_core(now, &cores) else { return };
-        if self.cores[n].round.is_none() || self.cut_proxies.contains(&p) {
-            self.proxies[p].dial_failed(now, n);
+        if self.cores[n].registry.is_none() || self.disconnected_proxies.contains(&p) {
+            self.proxies[p].on_connect_failed(now, n);
             return;
         }
-        let hello = self.proxies[p].dialled(now, n, self.cores[n].lives);
-        self.up(p, vec![hello]);
+        let hello = self.proxies[p].on_connected(now, n, self.cores[n].incarnations);
+        self.send_to_registry(p, vec![hello]);
     }
 
     /// A proxy whose registry is out of contact leaves it for another that it reaches.
-    fn look_elsewhere(&mut self, p: usize) {
+    fn switch_registry(&mut self, p: usize) {
         let (now, cores) = (self.now, self.nearest_cores(p));
-        if self.cut_proxies.contains(&p) {
+        if self.disconnected_proxies.contains(&p) {
             return;
         }
         for n in self.proxies[p].alternatives(now, &cores) {
-            if self.cores[n].round.is_some() {
-                return self.proxies[p].lost(now);
+            if self.cores[n].registry.is_some() {
+                return self.proxies[p].on_session_lost(now);
             }
-            self.proxies[p].dial_failed(now, n);
+            self.proxies[p].on_connect_failed(now, n);
         }
     }
 
-    fn arrives(&mut self, sent: Sent) {
-        let to_core = !matches!(sent.event, Event::Down(..));
-        if let Some(until) = self.frozen.get(&sent.to).filter(|until| to_core && **until > self.now) {
+    fn deliver(&mut self, sent: InFlight) {
+        let to_core = !matches!(sent.event, Event::ToProxy(..));
+        if let Some(until) = self.paused.get(&sent.to).filter(|until| to_core && **until > self.now) {
             // It arrives when its machine goes on, in the order in which it came.
-            self.order += 1;
-            self.wire.insert(((until * 1000.0).ceil() as u64, self.order), sent);
+            self.sequence += 1;
+            self.in_flight.insert(((until * 1000.0).ceil() as u64, self.sequence), sent);
             return;
         }
-        let Sent { to, event, lives } = sent;
+        let InFlight { to, event, incarnations } = sent;
         match event {
-            Event::Store(from, word) => {
-                if (self.cores[from].lives, self.cores[to].lives) == lives && !self.is_cut(from, to) {
-                    let (now, host) = (self.now, self.cores[from].seat.host);
-                    let does = self.cores[to].store(now, |book, now| book.receive(now, host, word));
-                    self.store(to, does);
+            Event::Store(from, message) => {
+                if (self.cores[from].incarnations, self.cores[to].incarnations) == incarnations
+                    && !self.is_cut(from, to)
+                {
+                    let (now, host) = (self.now, self.cores[from].member.host);
+                    let outputs =
+                        self.cores[to].store(now, |replica, now| replica.receive(now, host, message));
+                    self.store(to, outputs);
                 }
             }
-            Event::Registry(from, word) => {
-                if (self.cores[from].lives, self.cores[to].lives) == lives && !self.is_cut(from, to) {
-                    let host = self.cores[from].seat.host;
-                    self.registry(to, Box::new(|round, now| round.receive_from_registry(now, host, word)));
+            Event::Registry(from, message) => {
+                if (self.cores[from].incarnations, self.cores[to].incarnations) == incarnations
+                    && !self.is_cut(from, to)
+                {
+                    let host = self.cores[from].member.host;
+                    self.registry(
+                        to,
+                        Box::new(|registry, now| registry.receive_from_registry(now, host, message)),
+                    );
                 }
             }
-            Event::Up(p, up) => {
-                let stands = (self.proxies[p].life, self.cores[to].lives) == lives && self.proxies[p].up;
+            Event::ToRegistry(p, message) => {
+                let stands = (self.proxies[p].incarnation, self.cores[to].incarnations) == incarnations
+                    && self.proxies[p].up;
                 if stands
-                    && !self.cut_proxies.contains(&p)
+                    && !self.disconnected_proxies.contains(&p)
                     && self.proxies[p].session.is_some_and(|(n, _)| n == to)
                 {
                     let host = self.proxies[p].host;
-                    self.registry(to, Box::new(|round, now| round.receive_from_proxy(now, host, up)));
+                    self.registry(
+                        to,
+                        Box::new(|registry, now| registry.receive_from_proxy(now, host, message)),
+                    );
                 }
             }
-            Event::Down(n, word) => {
+            Event::ToProxy(n, message) => {
                 let proxy = &self.proxies[to];
-                let stands = (self.cores[n].lives, proxy.life) == lives && proxy.up;
+                let stands = (self.cores[n].incarnations, proxy.incarnation) == incarnations && proxy.up;
                 if stands
-                    && !self.cut_proxies.contains(&to)
+                    && !self.disconnected_proxies.contains(&to)
                     && proxy.session.is_some_and(|(core, _)| core == n)
                 {
-                    let mut ups = Vec::new();
-                    self.proxies[to].word(self.now, &word, &mut ups);
-                    self.up(to, ups);
-                    if matches!(*word, RegistryToProxy::Heartbeat { .. }) {
-                        self.look_elsewhere(to);
+                    let mut messages = Vec::new();
+                    self.proxies[to].receive(self.now, &message, &mut messages);
+                    self.send_to_registry(to, messages);
+                    if matches!(*message, RegistryToProxy::Heartbeat { .. }) {
+                        self.switch_registry(to);
                     }
                 }
             }
         }
     }
 
-    fn operators_ask(&mut self) {
+    fn send_operator_calls(&mut self) {
         let now = self.now;
         for at in 0..self.calls.len() {
             let call = &self.calls[at];
-            let waits = call.asked.is_some_and(|(.., since)| now - since < PATIENCE);
+            let waits = call.asked.is_some_and(|(.., since)| now - since < CALL_TIMEOUT);
             if call.acknowledged.is_some() || waits {
                 continue;
             }
-            let n = self.chance.below(self.cores.len());
-            if self.cores[n].book.is_none() || self.frozen.contains_key(&n) {
+            let n = self.rng.below(self.cores.len());
+            if self.cores[n].replica.is_none() || self.paused.contains_key(&n) {
                 continue;
             }
-            let ask = self.calls[at].ask.clone();
-            let (id, does) = self.cores[n].ask(now, ask);
+            let request = self.calls[at].request.clone();
+            let (id, outputs) = self.cores[n].submit(now, request);
             self.calls[at].asked = Some((n, id, now));
-            self.store(n, does);
+            self.store(n, outputs);
         }
     }
 
-    fn clients_ask(&mut self) {
+    fn send_client_requests(&mut self) {
         let (rate, load) = (self.config.rate, self.config.load);
         for t in 0..self.config.tenants {
-            let x = self.floods.get(&t).copied().unwrap_or(1.0);
+            let x = self.overloads.get(&t).copied().unwrap_or(1.0);
             let mut expected = rate * load * x * TICK / 1000.0;
             while expected > 0.0 {
-                if self.chance.fraction() < expected {
-                    let p = self.chance.below(self.proxies.len());
-                    let mut ups = Vec::new();
-                    self.proxies[p].request(self.now, &format!("t{t}"), &mut ups);
-                    self.up(p, ups);
+                if self.rng.fraction() < expected {
+                    let p = self.rng.below(self.proxies.len());
+                    let mut messages = Vec::new();
+                    self.proxies[p].request(self.now, &format!("t{t}"), &mut messages);
+                    self.send_to_registry(p, messages);
                 }
                 expected -= 1.0;
             }
         }
     }
 
-    fn look(&mut self) {
+    fn check_invariants(&mut self) {
         let now = self.now;
         for proxy in &mut self.proxies {
             self.violations.append(&mut proxy.violations);
@@ -713,30 +734,30 @@
             }
         }
         let mut held = 0;
-        for round in self.cores.iter().filter_map(|core| core.round.as_ref()) {
-            if held & round.held_duties(now) != 0 {
+        for registry in self.cores.iter().filter_map(|core| core.registry.as_ref()) {
+            if held & registry.held_duties(now) != 0 {
                 self.violations.push("two hold a duty".into());
             }
-            held |= round.held_duties(now);
+            held |= registry.held_duties(now);
         }
-        self.look_everywhere();
-        if now - self.trouble > RECOVERY_TIME {
-            self.look_in_touch();
+        self.record_propagation();
+        if now - self.last_fault > RECOVERY_TIME {
+            self.check_connected_proxies();
         }
     }
 
-    fn look_everywhere(&mut self) {
+    fn record_propagation(&mut self) {
         let (now, proxies) = (self.now, &self.proxies);
-        let open = self.calls.iter_mut().filter(|c| c.acknowledged.is_some() && c.everywhere.is_none());
+        let open = self.calls.iter_mut().filter(|c| c.acknowledged.is_some() && c.in_force_at.is_none());
         for call in open {
             let holds = |proxy: &Proxy| proxy.version(&call.name) >= call.revision;
             if proxies.iter().filter(|proxy| proxy.up).all(holds) {
-                call.everywhere = Some(now);
+                call.in_force_at = Some(now);
             }
         }
     }
 
-    fn look_in_touch(&mut self) {
+    fn check_connected_proxies(&mut self) {
         let now = self.now;
         let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
         let due =
@@ -745,13 +766,16 @@
             let known = newest.entry(&call.name).or_default();
             *known = call.revision.max(*known);
         }
-        let drained =
-            self.drained.iter().filter(|(_, at)| now - **at > DRAIN_TIMEOUT + LAG).map(|(id, _)| id.clone());
+        let drained = self
+            .drained_at
+            .iter()
+            .filter(|(_, at)| now - **at > DRAIN_TIMEOUT + LIST_AGE)
+            .map(|(id, _)| id.clone());
         let drained: Vec<String> = drained.collect();
         let mut broken = Vec::new();
-        let cut = &self.cut_proxies;
+        let cut = &self.disconnected_proxies;
         let in_touch = self.proxies.iter_mut().enumerate().filter(|(n, p)| p.up && !cut.contains(n));
-        for (_, proxy) in in_touch.filter(|(_, p)| p.held.is_ready()) {
+        for (_, proxy) in in_touch.filter(|(_, p)| p.routing_state.is_ready()) {
             for (name, revision) in &newest {
                 let version = proxy.version(name);
                 if version < *revision {
@@ -762,7 +786,7 @@
             if drained.is_empty() {
                 continue;
             }
-            let ready = proxy.held.backends(now, "s").into_iter().filter(|known| known.ready);
+            let ready = proxy.routing_state.backends(now, "s").into_iter().filter(|known| known.ready);
             let late: Vec<String> =
                 ready.map(|known| known.backend.id).filter(|id| drained.contains(id)).collect();
             if !late.is_empty() {
@@ -777,54 +801,54 @@
         let end = self.now + span;
         while self.now < end && self.violations.is_empty() {
             let tick = self.now + TICK;
-            while let Some(entry) = self.wire.first_entry() {
+            while let Some(entry) = self.in_flight.first_entry() {
                 let due = entry.key().0 as f64 / 1000.0;
                 if due > tick {
                     break;
                 }
                 let sent = entry.remove();
                 self.now = self.now.max(due);
-                let before = if self.stops { self.acknowledged() } else { 0 };
-                self.arrives(sent);
-                if self.stops && self.acknowledged() > before {
+                let before = if self.stop_at_acknowledgement { self.acknowledged() } else { 0 };
+                self.deliver(sent);
+                if self.stop_at_acknowledgement && self.acknowledged() > before {
                     return;
                 }
             }
             self.now = tick;
-            self.listed.push_back((self.now, self.backends.clone()));
-            while self.listed.len() > 12 {
-                self.listed.pop_front();
+            self.list_history.push_back((self.now, self.backends.clone()));
+            while self.list_history.len() > 12 {
+                self.list_history.pop_front();
             }
             let now = self.now;
-            self.frozen.retain(|_, until| *until > now);
-            for n in (0..self.cores.len()).filter(|n| !self.frozen.contains_key(n)).collect::<Vec<_>>() {
-                let does = self.cores[n].store(now, |book, now| book.tick(now));
-                self.store(n, does);
+            self.paused.retain(|_, until| *until > now);
+            for n in (0..self.cores.len()).filter(|n| !self.paused.contains_key(n)).collect::<Vec<_>>() {
+                let outputs = self.cores[n].store(now, |replica, now| replica.tick(now));
+                self.store(n, outputs);
                 self.registry(n, Box::new(RegistryState::tick));
             }
             for p in (0..self.proxies.len()).filter(|p| self.proxies[*p].up).collect::<Vec<_>>() {
                 if self.proxies[p].session.is_none() {
-                    self.dial(p);
+                    self.connect(p);
                 }
-                let mut ups = Vec::new();
-                self.proxies[p].tick(self.now, &mut ups);
-                self.up(p, ups);
+                let mut messages = Vec::new();
+                self.proxies[p].tick(self.now, &mut messages);
+                self.send_to_registry(p, messages);
             }
-            self.operators_ask();
-            self.clients_ask();
-            self.press();
-            self.look();
+            self.send_operator_calls();
+            self.send_client_requests();
+            self.send_backend_requests();
+            self.check_invariants();
         }
     }
 
     /// Time passes until a change is acknowledged, and no moment longer; the machine that did so.
     pub fn run_to_acknowledged(&mut self, most: Millis) -> Option<usize> {
         let (begun, before) = (self.now, self.acknowledged());
-        self.stops = true;
+        self.stop_at_acknowledgement = true;
         while self.acknowledged() == before && self.now - begun < most && self.violations.is_empty() {
             self.run(TICK);
         }
-        self.stops = false;
+        self.stop_at_acknowledgement = false;
         let last = self.calls.iter().rfind(|call| call.acknowledged == Some(self.now))?;
         last.asked.map(|(machine, ..)| machine)
     }
@@ -843,31 +867,32 @@
 
     /// All duties that are held by a machine that is there.
     pub fn held_duties(&self) -> u64 {
-        let rounds = self.cores.iter().filter_map(|core| core.round.as_ref());
-        rounds.fold(0, |all, round| all | round.held_duties(self.now))
+        let registries = self.cores.iter().filter_map(|core| core.registry.as_ref());
+        registries.fold(0, |all, registry| all | registry.held_duties(self.now))
     }
 
     /// The machine that holds a duty.
     pub fn holder(&self, duty: u64) -> Option<usize> {
-        let holds =
-            |core: &Core| core.round.as_ref().is_some_and(|round| round.held_duties(self.now) & duty != 0);
+        let holds = |core: &Core| {
+            core.registry.as_ref().is_some_and(|registry| registry.held_duties(self.now) & duty != 0)
+        };
         self.cores.iter().position(holds)
     }
 
     /// Whether every proxy that is up serves.
     pub fn all_serve(&self) -> bool {
-        self.proxies.iter().filter(|proxy| proxy.up).all(|proxy| proxy.held.is_ready())
+        self.proxies.iter().filter(|proxy| proxy.up).all(|proxy| proxy.routing_state.is_ready())
     }
 
     /// Whether all that was asked is acknowledged and held by every proxy that is up.
     pub fn all_in_force(&self) -> bool {
-        self.calls.iter().all(|call| call.everywhere.is_some())
+        self.calls.iter().all(|call| call.in_force_at.is_some())
     }
 
     /// All is well again: everything that was acknowledged must be in force everywhere, and all calls have their answers.
-    pub fn settle(&mut self) {
+    pub fn recover(&mut self) {
         self.fault(Fault::RestoreLinks);
-        self.floods.clear();
+        self.overloads.clear();
         for n in 0..self.cores.len() {
             self.start_core(n, false);
         }
@@ -879,7 +904,7 @@
         if open > 0 {
             self.violations.push(format!("{open} calls never had a clear answer"));
         }
-        let unready = self.proxies.iter().filter(|p| !p.held.is_ready()).count();
+        let unready = self.proxies.iter().filter(|p| !p.routing_state.is_ready()).count();
         if unready > 0 {
             self.violations.push(format!("{unready} proxies never were ready again"));
         }
--- a/system/simulation/src/world/cold.rs
+++ b/system/simulation/src/simulation/cold_backends.rs
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// The rule's figures for cold backends: requests a second that one bears, overage, slack.
-const COLD: (f64, f64, f64) = (6.7, 1.5, 5.0);
+const COLD_LIMITS: (f64, f64, f64) = (6.7, 1.5, 5.0);
 /// A backend is cold for so long after its start.
-const COLD_TIME: Millis = 3000.0;
+const COLD_DURATION: Millis = 3000.0;
 /// The rule counts what arrives within this.
-const SECOND: Millis = 1000.0;
+const RATE_WINDOW: Millis = 1000.0;
 /// How long a backend works on a request: at least, and so much longer by chance.
-const WORK: (Millis, Millis) = (100.0, 300.0);
+const SERVICE_TIME: (Millis, Millis) = (100.0, 300.0);
 
 /// A request that arrived at a cold backend: when, and which proxy sent it.
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
 
 /// The item of the service, as an operator sends it.
 pub(super) fn service_body() -> String {
-    let per_s = COLD.0;
+    let per_s = COLD_LIMITS.0;
     format!(r#"{{"name":"s","coldStart":"3s","coldPerS":{per_s},"revision":"00000001"}}"#)
 }
 
@@ -60,23 +60,23 @@
         let zone = format!("z{zone}");
         if !on {
             let ids = self.backends.iter().filter(|b| b.zone == zone).map(|b| b.id.clone());
-            let until = self.now + COLD_TIME;
+            let until = self.now + COLD_DURATION;
             self.cold.until.extend(ids.map(|id| (id, until)));
         }
         self.calls.push(Call {
             name: format!("e:{zone}"),
             revision: 0,
-            ask: StoreRequest::Evacuate(zone, on, None),
+            request: StoreRequest::Evacuate(zone, on, None),
             asked: None,
             acknowledged: None,
-            everywhere: None,
+            in_force_at: None,
             sent: self.now,
         });
     }
 
     /// All backends of a zone die and come back at their addresses, each with another id and cold.
     pub(super) fn restart_backends(&mut self, zone: usize) {
-        let (zone, until) = (format!("z{zone}"), self.now + COLD_TIME);
+        let (zone, until) = (format!("z{zone}"), self.now + COLD_DURATION);
         for backend in self.backends.iter_mut().filter(|backend| backend.zone == zone) {
             self.cold.starts += 1;
             backend.id = format!("{}-{}", backend.address, self.cold.starts);
@@ -94,32 +94,33 @@
     }
 
     /// Clients press on all proxies: what these send, and how it ends.
-    pub(super) fn press(&mut self) {
+    pub(super) fn send_backend_requests(&mut self) {
         let (now, pressure) = (self.now, self.config.pressure);
         if pressure == 0 {
             return;
         }
         for p in 0..self.proxies.len() {
             // Clients leave a proxy that is cut off: the directory no longer names it.
-            let left = self.cut_proxies.contains(&p) && self.proxies[p].session.is_none();
-            for sent in self.proxies[p].press(now, if left { 0 } else { pressure }) {
+            let left = self.disconnected_proxies.contains(&p) && self.proxies[p].session.is_none();
+            for sent in self.proxies[p].send_backend_requests(now, if left { 0 } else { pressure }) {
                 let stands = self.backends.iter().any(|backend| *backend.id == *sent.backend);
                 let (outcome, after) = if stands {
-                    self.arrives_at(&sent.backend, p);
-                    (Outcome::Served, WORK.0 + self.chance.fraction() * WORK.1)
+                    self.record_cold_arrival(&sent.backend, p);
+                    (Outcome::Served, SERVICE_TIME.0 + self.rng.fraction() * SERVICE_TIME.1)
                 } else {
-                    (Outcome::Misdirected, self.way(false) * 2.0)
+                    (Outcome::Misdirected, self.latency(false) * 2.0)
                 };
-                self.proxies[p].ends(now, sent, outcome, after);
+                self.proxies[p].finish_request(now, sent, outcome, after);
             }
-            let without_terms = self.proxies[p].sent_without_terms();
-            if without_terms > 0 {
-                self.violations.push(format!("{without_terms} requests were sent to backends without terms"));
+            let without_parameters = self.proxies[p].sent_without_parameters();
+            if without_parameters > 0 {
+                self.violations
+                    .push(format!("{without_parameters} requests were sent to backends without terms"));
             }
         }
     }
 
-    fn arrives_at(&mut self, id: &str, proxy: usize) {
+    fn record_cold_arrival(&mut self, id: &str, proxy: usize) {
         let now = self.now;
         if self.cold.until.get(id).is_none_or(|until| *until <= now) {
             return;
@@ -127,11 +128,11 @@
         self.cold.count += 1;
         let arrived = self.cold.arrived.entry(id.to_owned()).or_default();
         arrived.push_back(Arrival { at: now, proxy });
-        while arrived.front().is_some_and(|arrival| now - arrival.at >= SECOND) {
+        while arrived.front().is_some_and(|arrival| now - arrival.at >= RATE_WINDOW) {
             arrived.pop_front();
         }
         self.cold.peak = self.cold.peak.max(arrived.len());
-        let (per_s, overage, slack) = COLD;
+        let (per_s, overage, slack) = COLD_LIMITS;
         let most = per_s * overage + slack;
         if arrived.len() as f64 > most {
             let mut by_proxy: BTreeMap<usize, usize> = BTreeMap::new();
@@ -148,9 +149,9 @@
     /// Something goes wrong, or right again, where backends come back cold: by chance.
     pub fn random_cold_fault(&mut self) {
         let (zones, proxies) = (self.config.zones, self.proxies.len());
-        let zone = self.chance.below(zones);
-        let proxy = self.chance.below(proxies);
-        match self.chance.below(8) {
+        let zone = self.rng.below(zones);
+        let proxy = self.rng.below(proxies);
+        match self.rng.below(8) {
             0..=2 => self.fault(Fault::RestartBackends(zone)),
             3 => self.restart_core(),
             4 => self.restart_proxies(proxy),
@@ -158,7 +159,7 @@
             6 => self.fault(Fault::RestoreLinks),
             _ => {
                 self.evacuate(zone, true);
-                let span = 500.0 + self.chance.fraction() * 3000.0;
+                let span = 500.0 + self.rng.fraction() * 3000.0;
                 self.run(span);
                 self.evacuate(zone, false);
             }
@@ -168,7 +169,7 @@
     /// All core machines die at once, and come back.
     fn restart_core(&mut self) {
         (0..self.cores.len()).for_each(|n| self.fault(Fault::KillCore(n)));
-        let span = 100.0 + self.chance.fraction() * 1500.0;
+        let span = 100.0 + self.rng.fraction() * 1500.0;
         self.run(span);
         (0..self.cores.len()).for_each(|n| self.fault(Fault::StartCore(n)));
     }
@@ -177,7 +178,7 @@
     fn restart_proxies(&mut self, first: usize) {
         let some: Vec<usize> = (0..self.proxies.len()).filter(|p| p % 2 == first % 2).collect();
         some.iter().for_each(|p| self.fault(Fault::KillProxy(*p)));
-        let span = 50.0 + self.chance.fraction() * 500.0;
+        let span = 50.0 + self.rng.fraction() * 500.0;
         self.run(span);
         some.iter().for_each(|p| self.fault(Fault::StartProxy(*p)));
     }
--- a/system/simulation/src/world/figures.rs
+++ b/system/simulation/src/simulation/metrics.rs
@@ -10,7 +10,7 @@
         let done = self.calls.iter().filter(|call| call.name != "s:s");
         let times = |call: &Call| {
             let at = call.acknowledged?;
-            Some((at - call.sent, call.everywhere.map(|all| (all - at).max(0.0))))
+            Some((at - call.sent, call.in_force_at.map(|all| (all - at).max(0.0))))
         };
         done.filter_map(times).collect()
     }
@@ -19,37 +19,39 @@
     pub fn state_sizes(&self) -> [usize; 4] {
         let largest = |sizes: Vec<usize>| sizes.into_iter().max().unwrap_or(0);
         let text = |it: &dyn std::fmt::Debug| format!("{it:?}").len();
-        let stores = self.cores.iter().filter_map(|core| core.book.as_ref()).map(|book| text(book));
-        let registries = self.cores.iter().filter_map(|core| core.round.as_ref()).map(|round| text(round));
+        let stores = self.cores.iter().filter_map(|core| core.replica.as_ref()).map(|replica| text(replica));
+        let registries =
+            self.cores.iter().filter_map(|core| core.registry.as_ref()).map(|registry| text(registry));
         let (stores, registries) = (stores.collect(), registries.collect());
-        let [held, caches] = [Proxy::held_size, Proxy::cache_size]
+        let [routing_states, caches] = [Proxy::routing_state_size, Proxy::cache_size]
             .map(|size| largest(self.proxies.iter().map(size).collect()));
-        [largest(stores), largest(registries), held, caches]
+        [largest(stores), largest(registries), routing_states, caches]
     }
 
     /// What each store and proxy is at, a line for each, for whoever reads a schedule that failed.
     pub fn states(&self) -> String {
         let mut lines = String::new();
         for (n, core) in self.cores.iter().enumerate() {
-            let line = match &core.book {
+            let line = match &core.replica {
                 None => "down".to_owned(),
-                Some(book) => {
-                    let hosts: Vec<u32> = book.members().members.iter().map(|seat| seat.host.0 - 1).collect();
+                Some(replica) => {
+                    let hosts: Vec<u32> =
+                        replica.members().members.iter().map(|member| member.host.0 - 1).collect();
                     format!(
                         "votes={} writes={} fresh={} promised={:?} position={:?} seats={} {hosts:?}",
-                        book.is_voting(),
-                        book.is_leader(),
-                        book.is_up_to_date(),
-                        book.acceptor().promised,
-                        book.position(),
-                        book.members().version,
+                        replica.is_voting(),
+                        replica.is_leader(),
+                        replica.is_up_to_date(),
+                        replica.acceptor().promised,
+                        replica.position(),
+                        replica.members().version,
                     )
                 }
             };
-            lines.push_str(&format!("core {n} gone={}: {line}\n", self.gone.contains(&n)));
+            lines.push_str(&format!("core {n} gone={}: {line}\n", self.removed.contains(&n)));
         }
         for (n, proxy) in self.proxies.iter().enumerate() {
-            let (session, ready) = (proxy.session.map(|(core, _)| core), proxy.held.is_ready());
+            let (session, ready) = (proxy.session.map(|(core, _)| core), proxy.routing_state.is_ready());
             lines.push_str(&format!("proxy {n}: up={} session={session:?} ready={ready}\n", proxy.up));
         }
         for call in self.calls.iter().filter(|call| call.acknowledged.is_none()) {
@@ -57,7 +59,7 @@
         }
         lines.push_str(&format!(
             "cut: cores {:?}, one way {:?}, proxies {:?}\n",
-            self.cut_cores, self.one_way, self.cut_proxies
+            self.disconnected_cores, self.disconnected_one_way, self.disconnected_proxies
         ));
         lines
     }
--- a/system/simulation/tests/long.rs
+++ b/system/simulation/tests/long.rs
@@ -9,49 +9,49 @@
 }
 
 /// A quarter of a minute in which an item changes, a tenant floods, a proxy and a core machine die and come back.
-fn stretch(world: &mut Simulation, chance: &mut Rng) {
-    let (proxy, core, tenant) = (chance.below(6), chance.below(6), chance.below(2));
-    world.change_route();
-    world.fault(Fault::Overload(tenant, 5.0));
-    world.fault(Fault::KillProxy(proxy));
-    world.run(4000.0);
-    world.fault(Fault::Overload(tenant, 1.0));
-    world.fault(Fault::StartProxy(proxy));
-    world.fault(Fault::KillCore(core));
-    world.run(3000.0);
-    world.change_route();
-    world.fault(Fault::StartCore(core));
-    world.run(8000.0);
+fn stretch(simulation: &mut Simulation, rng: &mut Rng) {
+    let (proxy, core, tenant) = (rng.below(6), rng.below(6), rng.below(2));
+    simulation.change_route();
+    simulation.fault(Fault::Overload(tenant, 5.0));
+    simulation.fault(Fault::KillProxy(proxy));
+    simulation.run(4000.0);
+    simulation.fault(Fault::Overload(tenant, 1.0));
+    simulation.fault(Fault::StartProxy(proxy));
+    simulation.fault(Fault::KillCore(core));
+    simulation.run(3000.0);
+    simulation.change_route();
+    simulation.fault(Fault::StartCore(core));
+    simulation.run(8000.0);
 }
 
 #[test]
 fn nothing_piles_up_over_a_long_time() {
     let config = Config { proxies: 6, tenants: 2, routes: 4, rate: 20.0, ..Config::default() };
-    let (mut world, mut chance) = (Simulation::new(3, config), Rng::new(7));
+    let (mut simulation, mut rng) = (Simulation::new(3, config), Rng::new(7));
     // What is remembered of each item is bounded by a number of versions: filled first, so that any growth after it shows.
     for _ in 0..3 * HISTORY_LIMIT * 4 {
-        world.change_route();
-        world.run(700.0);
+        simulation.change_route();
+        simulation.run(700.0);
     }
     // Registries begin anew, with empty feeds.
     for core in 0..6 {
-        world.fault(Fault::KillCore(core));
-        world.run(500.0);
-        world.fault(Fault::StartCore(core));
-        world.run(4000.0);
+        simulation.fault(Fault::KillCore(core));
+        simulation.run(500.0);
+        simulation.fault(Fault::StartCore(core));
+        simulation.run(4000.0);
     }
     let stretches = number("WORLD_MINUTES", 8) * 4;
     let mut sizes = Vec::new();
     for at in 0..stretches {
-        stretch(&mut world, &mut chance);
-        assert_eq!(world.violations, Vec::<String>::new(), "at {}", world.now);
+        stretch(&mut simulation, &mut rng);
+        assert_eq!(simulation.violations, Vec::<String>::new(), "at {}", simulation.now);
         if (at + 1) % (stretches / 4).max(1) == 0 {
             println!(
                 "after {:.0} s: store, registry, items, cache: {:?}",
-                world.now / 1000.0,
-                world.state_sizes()
+                simulation.now / 1000.0,
+                simulation.state_sizes()
             );
-            sizes.push(world.state_sizes());
+            sizes.push(simulation.state_sizes());
         }
     }
     // The first quarter fills what is bounded; from then on nothing grows but digits.
@@ -69,16 +69,16 @@
 fn changes_are_acknowledged_and_everywhere_soon() {
     let (mut agreed, mut held) = (Vec::new(), Vec::new());
     for seed in 0..number("WORLD_SEEDS", 4) {
-        let mut world = Simulation::new(seed, Config::default());
-        let mut chance = Rng::new(seed);
+        let mut simulation = Simulation::new(seed, Config::default());
+        let mut rng = Rng::new(seed);
         for _ in 0..25 {
-            world.change_route();
-            let span = 300.0 + chance.fraction() * 1500.0;
-            world.run(span);
+            simulation.change_route();
+            let span = 300.0 + rng.fraction() * 1500.0;
+            simulation.run(span);
         }
-        world.run(APPLY_TIMEOUT);
-        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
-        for (acknowledged, everywhere) in world.change_times() {
+        simulation.run(APPLY_TIMEOUT);
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
+        for (acknowledged, everywhere) in simulation.change_times() {
             agreed.push(acknowledged);
             held.push(everywhere.expect("a change that is acknowledged is everywhere in the end"));
         }
@@ -105,9 +105,9 @@
         Self { what, most, times: Vec::new() }
     }
 
-    fn took(&mut self, world: &mut Simulation, met: impl Fn(&Simulation) -> bool) {
-        let took = world.run_until(10.0 * APPLY_TIMEOUT, met);
-        assert_eq!(world.violations, Vec::<String>::new(), "{} at {}", self.what, world.now);
+    fn took(&mut self, simulation: &mut Simulation, met: impl Fn(&Simulation) -> bool) {
+        let took = simulation.run_until(10.0 * APPLY_TIMEOUT, met);
+        assert_eq!(simulation.violations, Vec::<String>::new(), "{} at {}", self.what, simulation.now);
         self.times.push(took.unwrap_or(f64::INFINITY));
     }
 
@@ -137,40 +137,40 @@
     let mut light = Recovery::new("power is back, a disk lost: all proxies serve", 0.5);
     let mut dark = Recovery::new("and a change is everywhere", 0.25);
     for seed in 0..number("WORLD_SEEDS", 6) {
-        let mut world = Simulation::new(seed, Config::default());
-        world.run(seed as f64 * 70.0);
-        let first = world.holder(LIST).expect("somebody reads the list");
-        world.fault(Fault::KillCore(first));
-        hands.took(&mut world, |world| world.held_duties() == ALL);
-        world.fault(Fault::StartCore(first));
-        world.run(8000.0);
+        let mut simulation = Simulation::new(seed, Config::default());
+        simulation.run(seed as f64 * 70.0);
+        let first = simulation.holder(LIST).expect("somebody reads the list");
+        simulation.fault(Fault::KillCore(first));
+        hands.took(&mut simulation, |simulation| simulation.held_duties() == ALL);
+        simulation.fault(Fault::StartCore(first));
+        simulation.run(8000.0);
 
         let region_of = [first, (first + 3) % 6];
-        region_of.into_iter().for_each(|n| world.fault(Fault::KillCore(n)));
-        world.change_route();
-        region.took(&mut world, Simulation::all_in_force);
-        region_of.into_iter().for_each(|n| world.fault(Fault::StartCore(n)));
-        world.run(8000.0);
-
-        world.fault(Fault::KillProxy(seed as usize % 10));
-        world.run(3000.0);
-        world.fault(Fault::StartProxy(seed as usize % 10));
-        proxy.took(&mut world, Simulation::all_serve);
-        world.run(6000.0);
-
-        (0..6).for_each(|n| world.fault(Fault::KillCore(n)));
-        world.run(1000.0);
-        (0..6).for_each(|n| world.fault(Fault::StartCore(n)));
-        world.change_route();
-        core.took(&mut world, Simulation::all_in_force);
-        world.run(8000.0);
-
-        world.fault(Fault::PowerLoss(seed as usize % 6));
-        world.run(1000.0);
-        world.fault(Fault::RestorePower);
-        world.change_route();
-        light.took(&mut world, Simulation::all_serve);
-        dark.took(&mut world, Simulation::all_in_force);
+        region_of.into_iter().for_each(|n| simulation.fault(Fault::KillCore(n)));
+        simulation.change_route();
+        region.took(&mut simulation, Simulation::all_in_force);
+        region_of.into_iter().for_each(|n| simulation.fault(Fault::StartCore(n)));
+        simulation.run(8000.0);
+
+        simulation.fault(Fault::KillProxy(seed as usize % 10));
+        simulation.run(3000.0);
+        simulation.fault(Fault::StartProxy(seed as usize % 10));
+        proxy.took(&mut simulation, Simulation::all_serve);
+        simulation.run(6000.0);
+
+        (0..6).for_each(|n| simulation.fault(Fault::KillCore(n)));
+        simulation.run(1000.0);
+        (0..6).for_each(|n| simulation.fault(Fault::StartCore(n)));
+        simulation.change_route();
+        core.took(&mut simulation, Simulation::all_in_force);
+        simulation.run(8000.0);
+
+        simulation.fault(Fault::PowerLoss(seed as usize % 6));
+        simulation.run(1000.0);
+        simulation.fault(Fault::RestorePower);
+        simulation.change_route();
+        light.took(&mut simulation, Simulation::all_serve);
+        dark.took(&mut simulation, Simulation::all_in_force);
     }
     for recovery in [hands, region, proxy, core, light, dark] {
         recovery.told();
--- a/system/simulation/tests/schedules.rs
+++ b/system/simulation/tests/schedules.rs
@@ -8,50 +8,51 @@
 
 /// Most worlds are small: more of them can be played. Each eighth has the usual size.
 fn size(seed: u64) -> Config {
-    let mut chance = Rng::new(seed ^ 0x517e);
+    let mut rng = Rng::new(seed ^ 0x517e);
     if seed.is_multiple_of(8) {
         return Config::default();
     }
-    let (proxies, tenants) = (2 + chance.below(4), 1 + chance.below(2));
+    let (proxies, tenants) = (2 + rng.below(4), 1 + rng.below(2));
     Config { proxies, tenants, routes: 3, backends: 6, ..Config::default() }
 }
 
 /// What is left of a world when it has been played: what did not hold, requests served, changes acknowledged.
-type Left = (Vec<String>, usize, usize);
+type Results = (Vec<String>, usize, usize);
 
 /// Plays seeds on all processors; what is left of each, in order.
-fn all(seeds: std::ops::Range<u64>, play: impl Fn(u64) -> Simulation + Sync) -> Vec<Left> {
+fn all(seeds: std::ops::Range<u64>, play: impl Fn(u64) -> Simulation + Sync) -> Vec<Results> {
     let left = seeds.into_par_iter().map(|seed| {
-        let world = play(seed);
-        if !world.violations.is_empty() {
-            println!("seed {seed} at {:.0}\n{}", world.now, world.states());
+        let simulation = play(seed);
+        if !simulation.violations.is_empty() {
+            println!("seed {seed} at {:.0}\n{}", simulation.now, simulation.states());
         }
-        let broken = world.violations.iter().map(|what| format!("seed {seed} at {:.0}: {what}", world.now));
-        (broken.collect(), world.served, world.acknowledged())
+        let broken =
+            simulation.violations.iter().map(|what| format!("seed {seed} at {:.0}: {what}", simulation.now));
+        (broken.collect(), simulation.served, simulation.acknowledged())
     });
     left.collect()
 }
 
-fn keep_every_promise(left: &[Left]) {
+fn keep_every_promise(left: &[Results]) {
     let broken: Vec<&String> = left.iter().flat_map(|(broken, ..)| broken).collect();
     assert_eq!(broken, Vec::<&String>::new());
 }
 
 fn play(seed: u64) -> Simulation {
-    let mut world = Simulation::new(seed, size(seed));
-    let mut chance = Rng::new(!seed);
+    let mut simulation = Simulation::new(seed, size(seed));
+    let mut rng = Rng::new(!seed);
     for _ in 0..14 {
-        if chance.fraction() < 0.7 {
-            world.random_fault();
+        if rng.fraction() < 0.7 {
+            simulation.random_fault();
         }
-        if chance.fraction() < 0.5 {
-            world.change_route();
+        if rng.fraction() < 0.5 {
+            simulation.change_route();
         }
-        let span = 200.0 + chance.fraction() * 2200.0;
-        world.run(span);
+        let span = 200.0 + rng.fraction() * 2200.0;
+        simulation.run(span);
     }
-    world.settle();
-    world
+    simulation.recover();
+    simulation
 }
 
 #[test]
@@ -64,23 +65,23 @@
 }
 
 fn play_hard(seed: u64) -> Simulation {
-    let mut world = Simulation::new(seed, size(seed));
-    let mut chance = Rng::new(!seed);
+    let mut simulation = Simulation::new(seed, size(seed));
+    let mut rng = Rng::new(!seed);
     for _ in 0..14 {
-        match chance.below(6) {
-            0..=2 => world.random_hard_fault(),
-            3 => world.random_fault(),
-            4 => world.fault(Fault::RestoreLinks),
+        match rng.below(6) {
+            0..=2 => simulation.random_hard_fault(),
+            3 => simulation.random_fault(),
+            4 => simulation.fault(Fault::RestoreLinks),
             _ => {}
         }
-        if chance.fraction() < 0.5 {
-            world.change_route();
+        if rng.fraction() < 0.5 {
+            simulation.change_route();
         }
-        let span = 200.0 + chance.fraction() * 3500.0;
-        world.run(span);
+        let span = 200.0 + rng.fraction() * 3500.0;
+        simulation.run(span);
     }
-    world.settle();
-    world
+    simulation.recover();
+    simulation
 }
 
 /// Machines that stand still, cuts in one direction, replaced machines, all power lost with a disk.
@@ -91,32 +92,32 @@
 
 #[test]
 fn a_calm_world_serves_all_that_is_owed() {
-    let mut world = Simulation::new(1, Config::default());
-    world.run(10_000.0);
-    let (served, refused) = (world.served, world.refused);
-    world.run(20_000.0);
-    let (served, refused) = (world.served - served, world.refused - refused);
-    assert_eq!(world.violations, Vec::<String>::new());
+    let mut simulation = Simulation::new(1, Config::default());
+    simulation.run(10_000.0);
+    let (served, refused) = (simulation.served, simulation.refused);
+    simulation.run(20_000.0);
+    let (served, refused) = (simulation.served - served, simulation.refused - refused);
+    assert_eq!(simulation.violations, Vec::<String>::new());
     assert!(refused * 50 < served, "{refused} refused beside {served}");
 }
 
 #[test]
 fn a_region_dies_and_comes_back_under_a_flood() {
     for seed in 0..10 {
-        let mut world = Simulation::new(seed, Config::default());
-        world.fault(Fault::Overload(0, 8.0));
-        world.run(3000.0);
+        let mut simulation = Simulation::new(seed, Config::default());
+        simulation.fault(Fault::Overload(0, 8.0));
+        simulation.run(3000.0);
         for fault in [Fault::KillCore(0), Fault::KillCore(3), Fault::KillProxy(0), Fault::KillProxy(3)] {
-            world.fault(fault);
+            simulation.fault(fault);
         }
-        world.change_route();
-        world.run(6000.0);
-        assert_eq!(world.acknowledged(), 2, "seed {seed}: four of six acknowledge");
+        simulation.change_route();
+        simulation.run(6000.0);
+        assert_eq!(simulation.acknowledged(), 2, "seed {seed}: four of six acknowledge");
         for fault in [Fault::StartCore(0), Fault::StartCore(3), Fault::StartProxy(0), Fault::StartProxy(3)] {
-            world.fault(fault);
+            simulation.fault(fault);
         }
-        world.settle();
-        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
+        simulation.recover();
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -126,18 +127,18 @@
 fn a_core_that_dies_twice_under_a_flood_lets_no_more_in_than_the_quota_bears() {
     for seed in 0..24 {
         let config = Config { rate: 190.0, proxies: 12, tenants: 2, ..Config::default() };
-        let mut world = Simulation::new(seed, config);
-        world.fault(Fault::Overload(0, 8.0));
-        world.run(2500.0);
+        let mut simulation = Simulation::new(seed, config);
+        simulation.fault(Fault::Overload(0, 8.0));
+        simulation.run(2500.0);
         let first = seed as usize % 6;
-        world.fault(Fault::KillCore(first));
-        world.run(500.0);
-        world.fault(Fault::StartCore(first));
-        world.run(2000.0 + 25.0 * seed as f64);
-        (0..6).for_each(|n| world.fault(Fault::KillCore(n)));
-        world.run(2500.0);
-        (0..6).for_each(|n| world.fault(Fault::StartCore(n)));
-        world.run(8000.0);
-        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed} at {}", world.now);
+        simulation.fault(Fault::KillCore(first));
+        simulation.run(500.0);
+        simulation.fault(Fault::StartCore(first));
+        simulation.run(2000.0 + 25.0 * seed as f64);
+        (0..6).for_each(|n| simulation.fault(Fault::KillCore(n)));
+        simulation.run(2500.0);
+        (0..6).for_each(|n| simulation.fault(Fault::StartCore(n)));
+        simulation.run(8000.0);
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed} at {}", simulation.now);
     }
 }
