--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -6,10 +6,10 @@
 use fennelscale_messages::store::{Member, StoreMessage, StoreRequest, StoreResponse};
 use fennelscale_replication::{Origin, Output, PersistedState, Replica, ReplicaConfig};
 
-/// A store reads its disk and has dialled its registry after this, in ms.
+/// How long a store takes to read its disk and to connect to its registry, in ms.
 const JOIN_DELAY: Millis = 250.0;
 
-/// What a store sends, and what its registry's callers hear.
+/// Messages that a store sends, and responses to calls of its registry.
 pub(crate) enum CoreOutput {
     Send(Host, StoreMessage),
     Answer(u64, StoreResponse),
@@ -21,10 +21,10 @@
     disk: PersistedState,
     pub(crate) replica: Option<Replica>,
     pub(crate) registry: Option<RegistryState>,
-    /// Counts starts of either process: lines of an earlier life are closed.
+    /// Counts starts and stops; connections of an earlier incarnation are closed.
     pub(crate) incarnations: u64,
     next: u64,
-    /// When the store has dialled its registry: until then that knows nothing of what the store holds.
+    /// When the store connects to its registry, which knows nothing of the store's contents until then.
     joins_at: Option<Millis>,
 }
 
@@ -39,7 +39,7 @@
         Self::empty(member)
     }
 
-    /// An empty machine at another address in the zone of one that is gone.
+    /// An empty machine at another address, in the zone of the removed machine.
     pub(crate) fn in_place_of(gone: &Self, n: usize) -> Self {
         Self::empty(Member { host: Host(n as u32 + 1), ..gone.member.clone() })
     }
@@ -93,7 +93,7 @@
         self.disk = PersistedState::default();
     }
 
-    /// The store has dialled its registry and tells all that it holds.
+    /// Connects the store to its registry when it is time, and passes on all that the store holds.
     fn join(&mut self, now: Millis) {
         if self.joins_at.is_none_or(|at| now < at) {
             return;
@@ -105,7 +105,7 @@
         registry.on_store_freshness(now, replica.is_up_to_date());
     }
 
-    /// Gives the store an input; what it writes is on the disk before anything of it is sent.
+    /// Passes an input to the store. Its writes are on disk before its messages are sent.
     pub(crate) fn store(&mut self, now: Millis, input: impl FnOnce(&mut Replica, Millis)) -> Vec<CoreOutput> {
         self.join(now);
         let joined = self.joins_at.is_none();
@@ -129,7 +129,7 @@
         outputs
     }
 
-    /// Has the store decide on a call; its number.
+    /// Submits a call to the store; returns the number of the call.
     pub(crate) fn submit(&mut self, now: Millis, request: StoreRequest) -> (u64, Vec<CoreOutput>) {
         self.next += 1;
         let id = self.incarnations << 32 | self.next;
--- a/system/simulation/src/decisions.rs
+++ b/system/simulation/src/decisions.rs
@@ -1,5 +1,5 @@
-//! The decisions of one proxy under more requests than its backends bear: the production module, told what the proxy holds of the
-//! news as the program tells it.
+//! The decisions of one proxy under more requests than its backends can serve: the production engine, given
+//! the proxy's routing state as the program gives it.
 
 use crate::Millis;
 use doorcourse::{Action, Arrival, AttemptEnd, Event, Gateway, Name, Outcome, RequestId};
@@ -8,14 +8,14 @@
 use fennelscale_proxy::routing_state::{RoutingState, UPDATE_INTERVAL};
 use std::collections::BTreeMap;
 
-/// The one service.
+/// The only service.
 pub(crate) const SERVICE: &str = "s";
-/// What rules allow of repeats, as the usual settings have it.
+/// The retry budget of the default settings.
 const RETRY_BUDGET: (f64, f64) = (0.2, 60.0);
-/// How long the client of a request waits.
+/// How long the client of a request waits, in ms.
 const CLIENT_TIMEOUT: Millis = 3000.0;
 
-/// A request that goes to a backend.
+/// A request that is sent to a backend.
 pub(crate) struct Send {
     pub(crate) backend: Name,
     request: RequestId,
@@ -27,12 +27,12 @@
     End(Send, Outcome, Millis),
 }
 
-/// The decisions of one life of a proxy.
+/// The decision engine of one incarnation of a proxy.
 pub(crate) struct Decisions {
     gateway: Gateway,
     next: RequestId,
     attempts: BTreeMap<RequestId, u32>,
-    /// What is to happen, by when in microseconds and in which order it was set.
+    /// Scheduled events, by time in microseconds and the sequence in which they were scheduled.
     due: BTreeMap<(u64, u64), Due>,
     sequence: u64,
     updated_at: Millis,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// News came, or something of them has run out.
+    /// Passes the current routing state to the engine, after an update or when part of it has expired.
     pub(crate) fn update(&mut self, now: Millis, routing_state: &mut RoutingState) {
         self.updated_at = now;
         let known = routing_state.backends(now, SERVICE);
@@ -66,7 +66,7 @@
         self.handle(now, input.event);
     }
 
-    /// Time passes and so many requests come. What goes to backends.
+    /// Advances time and submits new requests; returns what is sent to backends.
     pub(crate) fn tick(
         &mut self, now: Millis, arrivals: usize, routing_state: &mut RoutingState,
     ) -> Vec<Send> {
@@ -93,12 +93,12 @@
         std::mem::take(&mut self.sends)
     }
 
-    /// How a request that went to a backend ends, and how long it takes.
+    /// Schedules the end of a request that was sent to a backend, `after` ms from now.
     pub(crate) fn finish_request(&mut self, now: Millis, sent: Send, outcome: Outcome, after: Millis) {
         self.set(now + after, Due::End(sent, outcome, after));
     }
 
-    /// Requests that were sent to backends without terms.
+    /// The number of requests that were sent to backends without parameters.
     pub(crate) fn sent_without_parameters(&self) -> u64 {
         self.gateway.send_counts().without_parameters
     }
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy: what it holds of the news, its lease cache, its session.
+//! A proxy: its routing state, its quota lease cache and its session.
 
 use crate::Millis;
 use crate::decisions::{Decisions, Send};
@@ -10,10 +10,10 @@
 use fennelscale_quota_lease::{Admission, Cache, Comer, Terms};
 use std::collections::BTreeMap;
 
-/// As the program has it: beats and silence.
+/// The heartbeat interval and the session timeout, in ms, as in the program.
 const HEARTBEAT_INTERVAL: Millis = 400.0;
 const SESSION_TIMEOUT: Millis = 1500.0;
-/// A request waits for a block at most so long.
+/// How long a request waits at most for a quota lease, in ms.
 const MAX_LEASE_WAIT: Millis = 150.0;
 
 /// One proxy.
@@ -25,19 +25,19 @@
     pub(crate) up: bool,
     pub(crate) incarnation: u64,
     pub(crate) routing_state: RoutingState,
-    /// Where clients press: which backends get their requests.
+    /// Chooses backends for requests, in simulations with backend load.
     decisions: Option<Decisions>,
     cache: Cache,
-    /// The core machine of the session, and its life.
+    /// The core machine of the session, and its incarnation.
     pub(crate) session: Option<(usize, u64)>,
     last_message_at: Millis,
     next_heartbeat: Millis,
     choice: RegistryChoice,
-    /// The newest version of each item that this life has held.
+    /// The newest version of each item that this incarnation has held.
     seen: BTreeMap<String, u64>,
     waiting: BTreeMap<u64, String>,
     next: u64,
-    /// Whose requests were let in since it was last asked.
+    /// The tenants of requests admitted since the last check.
     pub(crate) admitted: Vec<String>,
     pub(crate) refused: usize,
     pub(crate) violations: Vec<String>,
@@ -105,21 +105,21 @@
         }
     }
 
-    /// The session is over, and its registry not thought of for a while.
+    /// Ends the session; its registry is not tried again for a while.
     pub(crate) fn on_session_lost(&mut self, now: Millis) {
         if let Some((core, _)) = self.session.take() {
             self.choice.record_failure(now, core_host(core));
         }
     }
 
-    /// The core machine to dial; `cores` are all that are known, the nearest first.
+    /// The core machine to connect to; `cores` are all known ones, nearest first.
     pub(crate) fn next_core(&mut self, now: Millis, cores: &[usize]) -> Option<usize> {
         let hosts: Vec<Host> = cores.iter().map(|core| core_host(*core)).collect();
         let next = self.choice.next_registry(now, &hosts)?;
         cores.iter().copied().find(|core| core_host(*core) == next)
     }
 
-    /// Core machines to look at in place of the session's, which is out of contact.
+    /// Core machines to try instead of the session's, which is out of contact.
     pub(crate) fn alternatives(&mut self, now: Millis, cores: &[usize]) -> Vec<usize> {
         let Some((current, _)) = self.session else { return Vec::new() };
         let hosts: Vec<Host> = cores.iter().map(|core| core_host(*core)).collect();
@@ -141,7 +141,7 @@
         self.choice.record_failure(now, core_host(core));
     }
 
-    /// A word of the session's registry.
+    /// Handles a message of the session's registry.
     pub(crate) fn receive(&mut self, now: Millis, message: &RegistryToProxy, out: &mut Vec<ProxyToRegistry>) {
         self.last_message_at = now;
         let was_ready = self.routing_state.is_ready();
@@ -180,7 +180,8 @@
             | RegistryToProxy::Time(..)
             | RegistryToProxy::LookUpRequest(..) => {}
         }
-        // As in the program: whatever may bear on the choice of a backend is told to the decisions with the word that brought it.
+        // As in the program, anything that may affect the choice of a backend reaches the decision engine
+        // with the message that brought it.
         if matches!(
             message,
             RegistryToProxy::Items { .. } | RegistryToProxy::BackendList(_) | RegistryToProxy::Proxies(..)
@@ -193,14 +194,14 @@
         }
     }
 
-    /// So many requests come that go on to backends. Those that do.
+    /// Submits new requests to the decision engine; returns those that are sent to backends.
     pub(crate) fn send_backend_requests(&mut self, now: Millis, arrivals: usize) -> Vec<Send> {
         let Some(decisions) = self.decisions.as_mut().filter(|_| self.up) else { return Vec::new() };
         let arrivals = if self.routing_state.is_ready() { arrivals } else { 0 };
         decisions.tick(now, arrivals, &mut self.routing_state)
     }
 
-    /// How a request that went to a backend ends.
+    /// Schedules the end of a request that was sent to a backend.
     pub(crate) fn finish_request(&mut self, now: Millis, sent: Send, outcome: Outcome, after: Millis) {
         if let Some(decisions) = &mut self.decisions {
             decisions.finish_request(now, sent, outcome, after);
@@ -239,7 +240,7 @@
         }
     }
 
-    /// A request of a tenant.
+    /// Handles a request of a tenant.
     pub(crate) fn request(&mut self, now: Millis, tenant: &str, out: &mut Vec<ProxyToRegistry>) {
         if !self.up || !self.routing_state.is_ready() {
             return;
@@ -288,7 +289,7 @@
         format!("{:?}", self.cache).len()
     }
 
-    /// The version of an item that is in force here, and whether it stands.
+    /// The version of an item that is in force here; 0 if there is none.
     pub(crate) fn version(&self, name: &str) -> u64 {
         self.seen.get(name).copied().unwrap_or(0)
     }
--- a/system/simulation/src/simulation.rs
+++ b/system/simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The world: links, load, operators, faults, and what is looked at.
+//! The simulation: links, load, operators, faults, and the checks of the invariants.
 
 mod cold_backends;
 mod metrics;
@@ -14,38 +14,38 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// Time passes for all machines this often.
+/// The interval at which all machines advance their clocks, in ms.
 const TICK: Millis = 60.0;
-/// Ways within a region and between two, in ms.
+/// One-way delays within a region and between regions, in ms.
 const LOCAL_DELAY: Millis = 1.0;
 const REMOTE_DELAY: Millis = 55.0;
-/// An operator asks the next core machine after this.
+/// An operator tries the next core machine after this, in ms.
 const CALL_TIMEOUT: Millis = 1000.0;
-/// How old the platform's list is when it is read.
+/// How old the platform's list is when it is read, in ms.
 const LIST_AGE: Millis = 300.0;
 
-/// How large a world is.
+/// The size and load of a simulation.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Core machines.
+    /// The number of core machines.
     pub cores: usize,
-    /// Proxies.
+    /// The number of proxies.
     pub proxies: usize,
-    /// Zones; three regions share them.
+    /// The number of zones, spread over three regions.
     pub zones: usize,
-    /// Tenants; each has a quota.
+    /// The number of tenants; each has a quota.
     pub tenants: usize,
-    /// Routes.
+    /// The number of routes.
     pub routes: usize,
-    /// Backends.
+    /// The number of backends.
     pub backends: usize,
-    /// Requests a second of each tenant, as a part of its quota.
+    /// Requests per second of each tenant, as a fraction of its quota.
     pub load: f64,
-    /// Each tenant's quota, a second.
+    /// The quota of each tenant, per second.
     pub rate: f64,
-    /// Requests that come to each proxy with each tick of 60 ms and go on to backends; 0 where backends are not looked at.
+    /// Requests per proxy and tick of 60 ms that are sent on to backends; 0 if backends are not simulated.
     pub pressure: usize,
-    /// Bytes of words are counted; that takes time.
+    /// Whether the bytes of messages are counted, which takes time.
     pub measure: bool,
 }
 
@@ -66,40 +66,40 @@
     }
 }
 
-/// What can go wrong.
+/// A fault, or the repair of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A core machine's processes die.
+    /// Kills the processes of a core machine.
     KillCore(usize),
-    /// Its disk is lost as well.
+    /// Kills a core machine and empties its disk.
     LoseDisk(usize),
-    /// It is there again.
+    /// Restarts a core machine.
     StartCore(usize),
-    /// A proxy dies.
+    /// Kills a proxy.
     KillProxy(usize),
-    /// It is there again.
+    /// Restarts a proxy.
     StartProxy(usize),
-    /// A core machine hears no other and is heard by none.
+    /// Disconnects a core machine from all others.
     DisconnectCore(usize),
-    /// What the first core machine sends does not reach the second; the other way all is well.
+    /// Drops messages from the first core machine to the second; the other direction works.
     DisconnectOneWay(usize, usize),
-    /// A core machine stands still for so many ms; what it is sent meanwhile arrives when it goes on.
+    /// Pauses a core machine for this many ms; messages to it arrive when it resumes.
     PauseCore(usize, u32),
-    /// A core machine is gone for good; an empty one at another address starts in its zone.
+    /// Removes a core machine permanently; an empty one at another address starts in its zone.
     ReplaceCore(usize),
-    /// All power is lost at once, and the disks of one core machine with it.
+    /// Stops all machines at once, and empties the disk of one core machine.
     PowerLoss(usize),
-    /// Power is back: all machines start.
+    /// Starts all machines.
     RestorePower,
-    /// A proxy hears no core machine.
+    /// Disconnects a proxy from all core machines.
     DisconnectProxy(usize),
-    /// All links are whole again.
+    /// Restores all links.
     RestoreLinks,
-    /// A tenant sends so many times its usual.
+    /// A tenant sends this many times its usual load.
     Overload(usize, f64),
-    /// A backend drains.
+    /// Marks a backend as draining.
     DrainBackend(usize),
-    /// All backends of a zone come back, cold, each with another id at its address.
+    /// Restarts all backends of a zone at the same addresses, each with a new id and cold.
     RestartBackends(usize),
 }
 
@@ -110,7 +110,7 @@
     ToProxy(usize, Rc<RegistryToProxy>),
 }
 
-/// An event on its way: to whom, by which lives of both ends it counts.
+/// An event in transit. It is dropped if the incarnation of either end has changed.
 struct InFlight {
     to: usize,
     event: Event,
@@ -122,18 +122,18 @@
     name: String,
     revision: u64,
     request: StoreRequest,
-    /// The core machine that was asked last, its number of the call, and when.
+    /// The core machine that was asked last, its number for the call, and when it was asked.
     asked: Option<(usize, u64, Millis)>,
     acknowledged: Option<Millis>,
-    /// When every proxy that was up held it, or a newer one.
+    /// When every running proxy held this version or a newer one.
     in_force_at: Option<Millis>,
     sent: Millis,
 }
 
-/// What a registry is told.
+/// An input to a registry.
 type Input<'a> = Box<dyn FnOnce(&mut RegistryState, Millis) + 'a>;
 
-/// The whole system.
+/// The simulation of the whole system.
 pub struct Simulation {
     /// Virtual time.
     pub now: Millis,
@@ -142,43 +142,43 @@
     cores: Vec<Core>,
     proxies: Vec<Proxy>,
     in_flight: BTreeMap<(u64, u64), InFlight>,
-    /// One line carries its words in order.
+    /// When the last message on each connection is due: connections keep the order of messages.
     last_due: BTreeMap<(usize, usize, u8), u64>,
     sequence: u64,
     disconnected_cores: BTreeSet<usize>,
     disconnected_proxies: BTreeSet<usize>,
     disconnected_one_way: BTreeSet<(usize, usize)>,
-    /// Core machines that stand still, and until when.
+    /// Paused core machines, and until when.
     paused: BTreeMap<usize, Millis>,
-    /// Core machines that are gone for good.
+    /// Core machines that were removed permanently.
     removed: BTreeSet<usize>,
-    /// Calls of registries themselves: number by machine.
+    /// Calls that registries made themselves: machine and number.
     registry_calls: BTreeSet<(usize, u64)>,
     calls: Vec<Call>,
     revisions: BTreeMap<String, u64>,
     backends: Vec<Backend>,
-    /// Lists as the platform had them, for readers that see old ones.
+    /// Past backend lists of the platform, for readers that see old ones.
     list_history: VecDeque<(Millis, Vec<Backend>)>,
     drained_at: BTreeMap<String, Millis>,
     cold: cold_backends::ColdBackends,
     overloads: BTreeMap<usize, f64>,
     admitted: BTreeMap<String, VecDeque<Millis>>,
-    /// When something last went wrong.
+    /// The time of the last fault.
     last_fault: Millis,
-    /// Time stops at an acknowledgement.
+    /// Whether `run` returns at the next acknowledgement.
     stop_at_acknowledgement: bool,
-    /// Requests let in and refused, words and bytes by kind of line.
+    /// The number of admitted requests.
     pub served: usize,
-    /// Requests that were refused.
+    /// The number of refused requests.
     pub refused: usize,
-    /// Bytes between stores, between registries, and between these and proxies.
+    /// Bytes between stores, between registries, and between registries and proxies.
     pub bytes: [usize; 3],
-    /// What did not hold.
+    /// Violations of the invariants.
     pub violations: Vec<String>,
 }
 
 impl Simulation {
-    /// All machines start at once on empty disks; the first configuration is acknowledged.
+    /// Starts all machines on empty disks and waits until the first configuration is acknowledged.
     pub fn new(seed: u64, config: Config) -> Self {
         let zones: BTreeMap<String, String> =
             (0..config.zones).map(|z| (format!("z{z}"), format!("r{}", z % 3))).collect();
@@ -191,7 +191,7 @@
             draining: false,
             cold_ms: 0,
         });
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0.0,
             rng: Rng::new(seed),
             cores: (0..config.cores).map(|n| Core::new(n, config.zones, 3)).collect(),
@@ -221,19 +221,19 @@
             violations: Vec::new(),
             config,
         };
-        for n in 0..world.cores.len() {
-            world.start_core(n, true);
+        for n in 0..simulation.cores.len() {
+            simulation.start_core(n, true);
         }
-        for proxy in &mut world.proxies {
+        for proxy in &mut simulation.proxies {
             proxy.start(0.0);
         }
-        world.run(2500.0);
-        world.send_first_config();
-        world.run(6000.0);
-        if world.calls[0].acknowledged.is_none() {
-            world.violations.push("the first configuration was never acknowledged".into());
+        simulation.run(2500.0);
+        simulation.send_first_config();
+        simulation.run(6000.0);
+        if simulation.calls[0].acknowledged.is_none() {
+            simulation.violations.push("the first configuration was never acknowledged".into());
         }
-        world
+        simulation
     }
 
     fn send_first_config(&mut self) {
@@ -259,11 +259,11 @@
         });
     }
 
-    /// An operator sends a new version of some route, and again until it has a clear answer.
+    /// An operator sends a new version of a random route, and retries until the outcome is known.
     pub fn change_route(&mut self) {
         let n = self.rng.below(self.config.routes);
         let name = format!("r:r{n}");
-        // One operator for each item: the next version after the last has a clear answer.
+        // Each item has one operator, who sends the next version after the outcome of the last is known.
         if self.calls.iter().any(|call| call.name == name && call.acknowledged.is_none()) {
             return;
         }
@@ -295,7 +295,7 @@
         self.registry(n, Box::new(|_, _| {}));
     }
 
-    /// Something goes wrong, or right again.
+    /// Injects a fault or repairs one.
     pub fn fault(&mut self, fault: Fault) {
         self.last_fault = self.now;
         match fault {
@@ -335,7 +335,7 @@
         self.close_connections();
     }
 
-    /// A core machine goes for good, an empty one comes in its zone.
+    /// Removes a core machine permanently and starts an empty one in its zone.
     fn replace(&mut self, n: usize) {
         self.cores[n].kill();
         self.removed.insert(n);
@@ -344,7 +344,8 @@
         self.start_core(fresh, false);
     }
 
-    /// A fault by chance out of those that [`Self::random_fault`] leaves out: within what is to be borne, one at a time.
+    /// Injects a random fault of the kinds that [`Self::random_fault`] leaves out: within the fault
+    /// tolerance, one at a time.
     pub fn random_hard_fault(&mut self) {
         let here = |n: &usize| !self.removed.contains(n);
         let there: Vec<usize> = (0..self.cores.len()).filter(here).collect();
@@ -371,7 +372,8 @@
         }
     }
 
-    /// A fault by chance. A region's worth of core machines at the most is down at once, and one disk lost.
+    /// Injects or repairs a random fault. At most as many core machines as in one region are down at once,
+    /// and at most one disk is lost.
     pub fn random_fault(&mut self) {
         let (cores, proxies) = (self.cores.len(), self.proxies.len());
         let here = |n: &usize| !self.removed.contains(n);
@@ -409,7 +411,7 @@
         self.fault(fault);
     }
 
-    /// Lines to machines that died are closed; those that are cut say nothing.
+    /// Closes connections to machines that died. Disconnected ones stay silent.
     fn close_connections(&mut self) {
         let now = self.now;
         for p in 0..self.proxies.len() {
@@ -418,7 +420,7 @@
                 self.proxies[p].on_session_lost(now);
             }
         }
-        // A registry whose proxy died hears its line close.
+        // A registry notices that the connection of a dead proxy was closed.
         let dead: Vec<Host> = self.proxies.iter().filter(|p| !p.up).map(|p| p.host).collect();
         for n in 0..self.cores.len() {
             for host in &dead {
@@ -474,7 +476,7 @@
                 CoreOutput::Answer(id, response) => self.handle_response(n, id, &response),
             }
         }
-        // What the store has told its registry may have it act.
+        // The registry may act on what its store has reported.
         self.registry(n, Box::new(|_, _| {}));
     }
 
@@ -499,7 +501,7 @@
         }
     }
 
-    /// Gives a registry an input and carries out what follows.
+    /// Passes an input to a registry and carries out its outputs.
     fn registry(&mut self, n: usize, input: Input<'_>) {
         let now = self.now;
         let Some(registry) = self.cores[n].registry.as_mut() else { return };
@@ -534,7 +536,7 @@
                         proxy.on_session_lost(now);
                     }
                 }
-                // Readers, and what is kept for them, are the host's matter.
+                // The host program handles stored events and their readers.
                 Output::WriteMaintenanceStep(_)
                 | Output::StoreEvents(_)
                 | Output::ReadEvents(..)
@@ -576,7 +578,7 @@
         }
     }
 
-    /// Core machines, the nearest to a proxy first.
+    /// All core machines, sorted by distance to a proxy.
     fn nearest_cores(&self, p: usize) -> Vec<usize> {
         let proxy = &self.proxies[p];
         let far = |core: &Core| (core.member.zone != proxy.zone, core.member.region != proxy.region);
@@ -585,7 +587,7 @@
         cores
     }
 
-    /// A proxy without a session dials a core machine.
+    /// Connects a proxy without a session to a core machine.
     fn connect(&mut self, p: usize) {
         let (now, cores) = (self.now, self.nearest_cores(p));
         let Some(n) = self.proxies[p].next_core(now, &cores) else { return };
@@ -597,7 +599,7 @@
         self.send_to_registry(p, vec![hello]);
     }
 
-    /// A proxy whose registry is out of contact leaves it for another that it reaches.
+    /// Moves a proxy whose registry is out of contact to another registry that it can reach.
     fn switch_registry(&mut self, p: usize) {
         let (now, cores) = (self.now, self.nearest_cores(p));
         if self.disconnected_proxies.contains(&p) {
@@ -614,7 +616,7 @@
     fn deliver(&mut self, sent: InFlight) {
         let to_core = !matches!(sent.event, Event::ToProxy(..));
         if let Some(until) = self.paused.get(&sent.to).filter(|until| to_core && **until > self.now) {
-            // It arrives when its machine goes on, in the order in which it came.
+            // Delivered when the machine resumes, in the order of arrival.
             self.sequence += 1;
             self.in_flight.insert(((until * 1000.0).ceil() as u64, self.sequence), sent);
             return;
@@ -728,7 +730,7 @@
             }
             if times.len() as f64 > most {
                 self.violations.push(format!(
-                    "{} of {tenant} were let in within {window} ms, {most} are borne",
+                    "{} requests of {tenant} were admitted within {window} ms, at most {most} are allowed",
                     times.len()
                 ));
             }
@@ -736,7 +738,7 @@
         let mut held = 0;
         for registry in self.cores.iter().filter_map(|core| core.registry.as_ref()) {
             if held & registry.held_duties(now) != 0 {
-                self.violations.push("two hold a duty".into());
+                self.violations.push("two registries hold the same duty".into());
             }
             held |= registry.held_duties(now);
         }
@@ -772,14 +774,14 @@
             .filter(|(_, at)| now - **at > DRAIN_TIMEOUT + LIST_AGE)
             .map(|(id, _)| id.clone());
         let drained: Vec<String> = drained.collect();
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let cut = &self.disconnected_proxies;
         let in_touch = self.proxies.iter_mut().enumerate().filter(|(n, p)| p.up && !cut.contains(n));
         for (_, proxy) in in_touch.filter(|(_, p)| p.routing_state.is_ready()) {
             for (name, revision) in &newest {
                 let version = proxy.version(name);
                 if version < *revision {
-                    broken
+                    violations
                         .push(format!("{} holds {name} {version}, {revision} was acknowledged", proxy.host));
                 }
             }
@@ -790,13 +792,13 @@
             let late: Vec<String> =
                 ready.map(|known| known.backend.id).filter(|id| drained.contains(id)).collect();
             if !late.is_empty() {
-                broken.push(format!("{} still sends to {late:?}", proxy.host));
+                violations.push(format!("{} still sends to {late:?}", proxy.host));
             }
         }
-        self.violations.append(&mut broken);
+        self.violations.append(&mut violations);
     }
 
-    /// Time passes.
+    /// Advances virtual time by `span` ms, or until an invariant is violated.
     pub fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end && self.violations.is_empty() {
@@ -841,7 +843,8 @@
         }
     }
 
-    /// Time passes until a change is acknowledged, and no moment longer; the machine that did so.
+    /// Runs exactly until a change is acknowledged, at most `most` ms; returns the machine that acknowledged
+    /// it.
     pub fn run_to_acknowledged(&mut self, most: Millis) -> Option<usize> {
         let (begun, before) = (self.now, self.acknowledged());
         self.stop_at_acknowledgement = true;
@@ -853,7 +856,7 @@
         last.asked.map(|(machine, ..)| machine)
     }
 
-    /// Time passes until something is so, or for so long; after how long it was.
+    /// Runs until a condition is met, at most `most` ms; returns how long it took.
     pub fn run_until(&mut self, most: Millis, met: impl Fn(&Self) -> bool) -> Option<Millis> {
         let begun = self.now;
         while !met(self) {
@@ -865,7 +868,7 @@
         Some(self.now - begun)
     }
 
-    /// All duties that are held by a machine that is there.
+    /// All duties that are held by any running machine.
     pub fn held_duties(&self) -> u64 {
         let registries = self.cores.iter().filter_map(|core| core.registry.as_ref());
         registries.fold(0, |all, registry| all | registry.held_duties(self.now))
@@ -879,17 +882,18 @@
         self.cores.iter().position(holds)
     }
 
-    /// Whether every proxy that is up serves.
+    /// Whether every running proxy serves.
     pub fn all_serve(&self) -> bool {
         self.proxies.iter().filter(|proxy| proxy.up).all(|proxy| proxy.routing_state.is_ready())
     }
 
-    /// Whether all that was asked is acknowledged and held by every proxy that is up.
+    /// Whether every change is acknowledged and held by every running proxy.
     pub fn all_in_force(&self) -> bool {
         self.calls.iter().all(|call| call.in_force_at.is_some())
     }
 
-    /// All is well again: everything that was acknowledged must be in force everywhere, and all calls have their answers.
+    /// Repairs all faults. Then every acknowledged change must be in force everywhere, and the outcome of
+    /// every call must be known.
     pub fn recover(&mut self) {
         self.fault(Fault::RestoreLinks);
         self.overloads.clear();
@@ -902,11 +906,11 @@
         self.run(RECOVERY_TIME + APPLY_TIMEOUT + 6000.0);
         let open = self.calls.iter().filter(|call| call.acknowledged.is_none()).count();
         if open > 0 {
-            self.violations.push(format!("{open} calls never had a clear answer"));
+            self.violations.push(format!("{open} calls never had a known outcome"));
         }
         let unready = self.proxies.iter().filter(|p| !p.routing_state.is_ready()).count();
         if unready > 0 {
-            self.violations.push(format!("{unready} proxies never were ready again"));
+            self.violations.push(format!("{unready} proxies never became ready again"));
         }
     }
 }
--- a/system/simulation/src/simulation/cold_backends.rs
+++ b/system/simulation/src/simulation/cold_backends.rs
@@ -1,4 +1,4 @@
-//! Backends that come back cold under more requests than all of them bear, and what each of them gets.
+//! Backends that restart cold under more requests than all of them can serve, and what each of them receives.
 
 use super::{Call, Fault, Simulation};
 use crate::Millis;
@@ -7,55 +7,56 @@
 use fennelscale_messages::store::StoreRequest;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The rule's figures for cold backends: requests a second that one bears, overage, slack.
+/// The bound for cold backends: requests per second of one backend, overage, slack.
 const COLD_LIMITS: (f64, f64, f64) = (6.7, 1.5, 5.0);
-/// A backend is cold for so long after its start.
+/// How long a backend is cold after its start, in ms.
 const COLD_DURATION: Millis = 3000.0;
-/// The rule counts what arrives within this.
+/// The window in which the bound counts arrivals, in ms.
 const RATE_WINDOW: Millis = 1000.0;
-/// How long a backend works on a request: at least, and so much longer by chance.
+/// How long a backend takes for a request, in ms: a minimum, and the largest random addition.
 const SERVICE_TIME: (Millis, Millis) = (100.0, 300.0);
 
-/// A request that arrived at a cold backend: when, and which proxy sent it.
+/// A request that arrived at a cold backend.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Millis,
     proxy: usize,
 }
 
-/// What is known of the backends' lives, and what they got.
+/// The cold backends and the requests they received.
 #[derive(Debug, Default)]
 pub(super) struct ColdBackends {
-    /// Until when each is cold, by its id.
+    /// Until when each backend is cold, by its id.
     until: BTreeMap<String, Millis>,
-    /// What arrived at each cold one within the last second.
+    /// Arrivals at each cold backend within the last second.
     arrived: BTreeMap<String, VecDeque<Arrival>>,
-    /// Starts so far.
+    /// The number of backend starts so far.
     starts: usize,
-    /// Requests that arrived at cold ones.
+    /// The number of requests that arrived at cold backends.
     count: usize,
-    /// The most that one got within a second.
+    /// The most requests that one cold backend received within a second.
     peak: usize,
 }
 
-/// The item of the service, as an operator sends it.
+/// The configuration item of the service, as an operator sends it.
 pub(super) fn service_body() -> String {
     let per_s = COLD_LIMITS.0;
     format!(r#"{{"name":"s","coldStart":"3s","coldPerS":{per_s},"revision":"00000001"}}"#)
 }
 
 impl Simulation {
-    /// Requests that cold backends got.
+    /// The number of requests that cold backends received.
     pub fn cold_arrivals(&self) -> usize {
         self.cold.count
     }
 
-    /// The most requests that one cold backend got within a second.
+    /// The most requests that one cold backend received within a second.
     pub fn cold_peak(&self) -> usize {
         self.cold.peak
     }
 
-    /// An operator empties a zone, or takes it back. Its backends turn cold as it is taken back.
+    /// An operator evacuates a zone or ends the evacuation. Its backends become cold when the evacuation
+    /// ends.
     pub fn evacuate(&mut self, zone: usize, on: bool) {
         let zone = format!("z{zone}");
         if !on {
@@ -74,7 +75,7 @@
         });
     }
 
-    /// All backends of a zone die and come back at their addresses, each with another id and cold.
+    /// Restarts all backends of a zone at the same addresses, each with a new id and cold.
     pub(super) fn restart_backends(&mut self, zone: usize) {
         let (zone, until) = (format!("z{zone}"), self.now + COLD_DURATION);
         for backend in self.backends.iter_mut().filter(|backend| backend.zone == zone) {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// A list as it is told now: how long each is cold is as of the reading.
+    /// A backend list as it is read now: the remaining cold times are as of the reading.
     pub(super) fn as_read(&self, mut list: Vec<Backend>) -> Vec<Backend> {
         for backend in &mut list {
             let until = self.cold.until.get(&backend.id).copied().unwrap_or_default();
@@ -93,14 +94,14 @@
         list
     }
 
-    /// Clients press on all proxies: what these send, and how it ends.
+    /// Clients send requests to all proxies; the proxies send them to backends.
     pub(super) fn send_backend_requests(&mut self) {
         let (now, pressure) = (self.now, self.config.pressure);
         if pressure == 0 {
             return;
         }
         for p in 0..self.proxies.len() {
-            // Clients leave a proxy that is cut off: the directory no longer names it.
+            // Clients leave an isolated proxy, since the directory no longer lists it.
             let left = self.disconnected_proxies.contains(&p) && self.proxies[p].session.is_none();
             for sent in self.proxies[p].send_backend_requests(now, if left { 0 } else { pressure }) {
                 let stands = self.backends.iter().any(|backend| *backend.id == *sent.backend);
@@ -115,7 +116,7 @@
             let without_parameters = self.proxies[p].sent_without_parameters();
             if without_parameters > 0 {
                 self.violations
-                    .push(format!("{without_parameters} requests were sent to backends without terms"));
+                    .push(format!("{without_parameters} requests were sent to backends without parameters"));
             }
         }
     }
@@ -141,12 +142,12 @@
             }
             let count = arrived.len();
             self.violations.push(format!(
-                "cold backend {id} got {count} requests in a second, {most} are borne; from proxies {by_proxy:?}"
+                "cold backend {id} got {count} requests in a second, at most {most} are allowed; from proxies {by_proxy:?}"
             ));
         }
     }
 
-    /// Something goes wrong, or right again, where backends come back cold: by chance.
+    /// Injects or repairs a random fault around cold backends.
     pub fn random_cold_fault(&mut self) {
         let (zones, proxies) = (self.config.zones, self.proxies.len());
         let zone = self.rng.below(zones);
@@ -166,7 +167,7 @@
         }
     }
 
-    /// All core machines die at once, and come back.
+    /// Kills all core machines at once, and restarts them.
     fn restart_core(&mut self) {
         (0..self.cores.len()).for_each(|n| self.fault(Fault::KillCore(n)));
         let span = 100.0 + self.rng.fraction() * 1500.0;
@@ -174,7 +175,7 @@
         (0..self.cores.len()).for_each(|n| self.fault(Fault::StartCore(n)));
     }
 
-    /// Every second proxy dies at once, from one on, and comes back.
+    /// Kills every second proxy at once, starting with `first`, and restarts them.
     fn restart_proxies(&mut self, first: usize) {
         let some: Vec<usize> = (0..self.proxies.len()).filter(|p| p % 2 == first % 2).collect();
         some.iter().for_each(|p| self.fault(Fault::KillProxy(*p)));
--- a/system/simulation/src/simulation/metrics.rs
+++ b/system/simulation/src/simulation/metrics.rs
@@ -1,11 +1,12 @@
-//! What a world tells of itself when it has been played: times, sizes, and the state of each machine.
+//! Results of a simulation: times, sizes, and the state of each machine.
 
 use super::{Call, Simulation};
 use crate::Millis;
 use crate::proxy::Proxy;
 
 impl Simulation {
-    /// Of changes that were acknowledged: how long that took from the first try, and from then until every proxy held them.
+    /// For each acknowledged change: the time from its first attempt to the acknowledgement, and from then
+    /// until every proxy held it.
     pub fn change_times(&self) -> Vec<(Millis, Option<Millis>)> {
         let done = self.calls.iter().filter(|call| call.name != "s:s");
         let times = |call: &Call| {
@@ -15,7 +16,8 @@
         done.filter_map(times).collect()
     }
 
-    /// How long the text of all that the largest store, registry, list of items and cache hold is: what grows there grows here.
+    /// The length of the `Debug` text of the largest store, registry, routing state and cache. Growth of the
+    /// state shows up here.
     pub fn state_sizes(&self) -> [usize; 4] {
         let largest = |sizes: Vec<usize>| sizes.into_iter().max().unwrap_or(0);
         let text = |it: &dyn std::fmt::Debug| format!("{it:?}").len();
@@ -28,7 +30,7 @@
         [largest(stores), largest(registries), routing_states, caches]
     }
 
-    /// What each store and proxy is at, a line for each, for whoever reads a schedule that failed.
+    /// The state of each store and proxy, one line each, for the analysis of failed schedules.
     pub fn states(&self) -> String {
         let mut lines = String::new();
         for (n, core) in self.cores.iter().enumerate() {
@@ -64,7 +66,7 @@
         lines
     }
 
-    /// Changes that were acknowledged.
+    /// The number of acknowledged changes.
     pub fn acknowledged(&self) -> usize {
         self.calls.iter().filter(|call| call.acknowledged.is_some()).count()
     }
--- a/system/simulation/tests/hard.rs
+++ b/system/simulation/tests/hard.rs
@@ -1,4 +1,4 @@
-//! Hard cases by name: what is to be borne and is rarely drawn.
+//! Hard cases: faults that must be tolerated but are rarely drawn at random.
 
 use fennelscale_membership::duties::bit_of;
 use fennelscale_simulation::{Config, Fault, Rng, Simulation};
@@ -7,40 +7,42 @@
     [n % 3, n % 3 + 3]
 }
 
-fn holds(simulation: &Simulation, what: &str) {
+fn check(simulation: &Simulation, what: &str) {
     assert_eq!(simulation.violations, Vec::<String>::new(), "{what} at {}", simulation.now);
 }
 
-/// The gateway that gave an acknowledgement loses power in the same moment, or its disk, or that while another region is dark.
+/// The core machine that acknowledged a change loses power or its disk in the same moment, in some cases
+/// while another region is down.
 #[test]
-fn what_is_acknowledged_stays_whatever_becomes_of_its_gateway_at_once() {
+fn an_acknowledged_change_survives_the_immediate_loss_of_its_core_machine() {
     for seed in 0..12 {
-        for (wiped, dark) in [(false, false), (true, false), (false, true), (true, true)] {
-            let what = format!("seed {seed}, wiped {wiped}, another region dark {dark}");
+        for (wiped, region_down) in [(false, false), (true, false), (false, true), (true, true)] {
+            let what = format!("seed {seed}, wiped {wiped}, another region down {region_down}");
             let mut simulation =
                 Simulation::new(seed, Config { proxies: 4, tenants: 1, ..Config::default() });
             let region = regions(seed as usize);
-            if dark {
+            if region_down {
                 region.into_iter().for_each(|n| simulation.fault(Fault::KillCore(n)));
                 simulation.run(4000.0);
             }
             simulation.change_route();
-            let gateway = simulation.run_to_acknowledged(9000.0).expect("a quorum is there");
-            simulation.fault(if wiped { Fault::LoseDisk(gateway) } else { Fault::KillCore(gateway) });
+            let core = simulation.run_to_acknowledged(9000.0).expect("a quorum is running");
+            simulation.fault(if wiped { Fault::LoseDisk(core) } else { Fault::KillCore(core) });
             simulation.run(3000.0);
-            holds(&simulation, &what);
-            simulation.fault(Fault::StartCore(gateway));
-            region.into_iter().filter(|_| dark).for_each(|n| simulation.fault(Fault::StartCore(n)));
+            check(&simulation, &what);
+            simulation.fault(Fault::StartCore(core));
+            region.into_iter().filter(|_| region_down).for_each(|n| simulation.fault(Fault::StartCore(n)));
             simulation.recover();
-            holds(&simulation, &what);
+            check(&simulation, &what);
             assert!(simulation.all_in_force(), "{what}");
         }
     }
 }
 
-/// Changes in quick succession at different gateways; all power goes in the moment in which the last is acknowledged.
+/// Changes in quick succession at different core machines; all power is lost when the last one is
+/// acknowledged.
 #[test]
-fn the_last_change_before_all_power_goes_is_there_when_it_is_back() {
+fn the_last_change_before_a_power_loss_is_in_force_after_the_restart() {
     for seed in 0..12 {
         let mut simulation = Simulation::new(seed, Config { proxies: 4, tenants: 1, ..Config::default() });
         for _ in 0..5 {
@@ -50,19 +52,19 @@
         simulation.change_route();
         while simulation.run_to_acknowledged(3000.0).is_some() {}
         simulation.change_route();
-        let gateway = simulation.run_to_acknowledged(3000.0).expect("an acknowledgement");
-        // The disk that is lost is the one of the gateway that has just acknowledged.
-        simulation.fault(Fault::PowerLoss(gateway));
+        let core = simulation.run_to_acknowledged(3000.0).expect("an acknowledgement");
+        // The machine that has just acknowledged also loses its disk.
+        simulation.fault(Fault::PowerLoss(core));
         simulation.run(1500.0);
         simulation.fault(Fault::RestorePower);
         simulation.recover();
-        holds(&simulation, &format!("seed {seed}"));
+        check(&simulation, &format!("seed {seed}"));
         assert!(simulation.all_in_force(), "seed {seed}");
     }
 }
 
 #[test]
-fn three_quarters_of_the_proxies_die_at_once_under_a_flood() {
+fn three_quarters_of_the_proxies_die_at_once_under_overload() {
     for seed in 0..8 {
         let mut simulation = Simulation::new(seed, Config { proxies: 16, ..Config::default() });
         simulation.fault(Fault::Overload(0, 8.0));
@@ -73,22 +75,22 @@
         let took = simulation.run_until(4000.0, Simulation::all_serve);
         assert!(took.is_some(), "seed {seed}: they serve again");
         simulation.run(6000.0);
-        holds(&simulation, &format!("seed {seed}"));
+        check(&simulation, &format!("seed {seed}"));
     }
 }
 
 #[test]
-fn the_holder_of_a_hot_tenants_count_dies_in_the_middle_of_a_window() {
+fn the_holder_of_an_overloaded_tenants_duty_dies_within_a_window() {
     for seed in 0..12 {
         let mut simulation = Simulation::new(seed, Config { proxies: 6, tenants: 2, ..Config::default() });
         simulation.fault(Fault::Overload(0, 8.0));
         simulation.run(2000.0 + 90.0 * seed as f64);
-        let holder = simulation.holder(bit_of("t0")).expect("somebody holds the count");
+        let holder = simulation.holder(bit_of("t0")).expect("a registry holds the duty");
         let before = simulation.served;
         simulation.fault(Fault::KillCore(holder));
         simulation.run(4000.0);
-        holds(&simulation, &format!("seed {seed}"));
-        // Slices of nine tenths go on; the other tenant has no flood.
+        check(&simulation, &format!("seed {seed}"));
+        // The other nine tenths of the quota slices continue; the other tenant is not overloaded.
         assert!(
             simulation.served - before > 160,
             "seed {seed}: {} in four seconds",
@@ -97,11 +99,11 @@
         assert!(simulation.holder(bit_of("t0")).is_some_and(|next| next != holder), "seed {seed}");
         simulation.fault(Fault::StartCore(holder));
         simulation.recover();
-        holds(&simulation, &format!("seed {seed}"));
+        check(&simulation, &format!("seed {seed}"));
     }
 }
 
-/// A machine is replaced, and its replacement as well, within a minute, while operators go on.
+/// A machine and its replacement are both replaced within a minute, while operators send changes.
 #[test]
 fn a_machine_is_replaced_twice_within_a_minute() {
     for seed in 0..8 {
@@ -114,10 +116,10 @@
             simulation.fault(Fault::ReplaceCore(gone));
             simulation.change_route();
             simulation.run(20_000.0);
-            holds(&simulation, &format!("seed {seed}, {gone} gone"));
+            check(&simulation, &format!("seed {seed}, {gone} gone"));
         }
         simulation.recover();
-        holds(&simulation, &format!("seed {seed}"));
+        check(&simulation, &format!("seed {seed}"));
         assert!(simulation.all_in_force(), "seed {seed}");
     }
 }
--- a/system/simulation/tests/schedules.rs
+++ b/system/simulation/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Drawn schedules of the whole system.
+//! Randomly drawn fault schedules for the whole system.
 
 mod seeds;
 
@@ -6,7 +6,7 @@
 use rayon::prelude::*;
 use seeds::seeds;
 
-/// Most worlds are small: more of them can be played. Each eighth has the usual size.
+/// Most simulations are small, so that more of them can be run. Every eighth has the usual size.
 fn size(seed: u64) -> Config {
     let mut rng = Rng::new(seed ^ 0x517e);
     if seed.is_multiple_of(8) {
@@ -16,13 +16,13 @@
     Config { proxies, tenants, routes: 3, backends: 6, ..Config::default() }
 }
 
-/// What is left of a world when it has been played: what did not hold, requests served, changes acknowledged.
+/// The results of a simulation: violations, requests served, changes acknowledged.
 type Results = (Vec<String>, usize, usize);
 
-/// Plays seeds on all processors; what is left of each, in order.
-fn all(seeds: std::ops::Range<u64>, play: impl Fn(u64) -> Simulation + Sync) -> Vec<Results> {
-    let left = seeds.into_par_iter().map(|seed| {
-        let simulation = play(seed);
+/// Runs the seeds on all processors; returns the results of each, in order.
+fn run_all(seeds: std::ops::Range<u64>, run: impl Fn(u64) -> Simulation + Sync) -> Vec<Results> {
+    let results = seeds.into_par_iter().map(|seed| {
+        let simulation = run(seed);
         if !simulation.violations.is_empty() {
             println!("seed {seed} at {:.0}\n{}", simulation.now, simulation.states());
         }
@@ -30,15 +30,15 @@
             simulation.violations.iter().map(|what| format!("seed {seed} at {:.0}: {what}", simulation.now));
         (broken.collect(), simulation.served, simulation.acknowledged())
     });
-    left.collect()
+    results.collect()
 }
 
-fn keep_every_promise(left: &[Results]) {
-    let broken: Vec<&String> = left.iter().flat_map(|(broken, ..)| broken).collect();
+fn assert_no_violations(results: &[Results]) {
+    let broken: Vec<&String> = results.iter().flat_map(|(broken, ..)| broken).collect();
     assert_eq!(broken, Vec::<&String>::new());
 }
 
-fn play(seed: u64) -> Simulation {
+fn run(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed, size(seed));
     let mut rng = Rng::new(!seed);
     for _ in 0..14 {
@@ -56,15 +56,15 @@
 }
 
 #[test]
-fn drawn_schedules_of_the_whole_system_keep_every_promise() {
-    let left = all(seeds(2400), play);
-    keep_every_promise(&left);
-    let (served, acknowledged) = left.iter().fold((0, 0), |all, one| (all.0 + one.1, all.1 + one.2));
-    // A world in which nothing happens would keep any promise.
-    assert!(served > 1000 * left.len() && acknowledged > 3 * left.len(), "{served} {acknowledged}");
+fn randomly_drawn_schedules_of_the_whole_system_violate_no_invariant() {
+    let results = run_all(seeds(2400), run);
+    assert_no_violations(&results);
+    let (served, acknowledged) = results.iter().fold((0, 0), |all, one| (all.0 + one.1, all.1 + one.2));
+    // A simulation in which nothing happens would violate nothing.
+    assert!(served > 1000 * results.len() && acknowledged > 3 * results.len(), "{served} {acknowledged}");
 }
 
-fn play_hard(seed: u64) -> Simulation {
+fn run_hard(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed, size(seed));
     let mut rng = Rng::new(!seed);
     for _ in 0..14 {
@@ -84,14 +84,15 @@
     simulation
 }
 
-/// Machines that stand still, cuts in one direction, replaced machines, all power lost with a disk.
+/// Paused machines, links that fail in one direction, replaced machines, and the loss of all power with one
+/// disk.
 #[test]
-fn drawn_schedules_with_the_hard_troubles_keep_every_promise() {
-    keep_every_promise(&all(seeds(800), play_hard));
+fn randomly_drawn_schedules_with_hard_faults_violate_no_invariant() {
+    assert_no_violations(&run_all(seeds(800), run_hard));
 }
 
 #[test]
-fn a_calm_world_serves_all_that_is_owed() {
+fn a_system_without_faults_serves_nearly_all_requests_within_quotas() {
     let mut simulation = Simulation::new(1, Config::default());
     simulation.run(10_000.0);
     let (served, refused) = (simulation.served, simulation.refused);
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_region_dies_and_comes_back_under_a_flood() {
+fn a_region_dies_and_restarts_under_overload() {
     for seed in 0..10 {
         let mut simulation = Simulation::new(seed, Config::default());
         simulation.fault(Fault::Overload(0, 8.0));
@@ -121,10 +122,10 @@
     }
 }
 
-/// The whole core dies, again, soon after one of it did, under a flood: proxies spend alone, hear the count for a moment, and
-/// spend alone once more. From a hunted day.
+/// The whole core dies soon after one of its machines died, under overload: proxies grant themselves quota
+/// units, are connected for a moment, and grant themselves units again. A random search found this failure.
 #[test]
-fn a_core_that_dies_twice_under_a_flood_lets_no_more_in_than_the_quota_bears() {
+fn a_core_that_dies_twice_under_overload_admits_no_more_than_the_quota_allows() {
     for seed in 0..24 {
         let config = Config { rate: 190.0, proxies: 12, tenants: 2, ..Config::default() };
         let mut simulation = Simulation::new(seed, config);
