--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,44 +1,45 @@
 //! All decisions of a gateway. Its interface (settings, events, actions) is in `src/interface.rs`.
 //!
-//! Split by concern: `units` (which units), `backend` (which backend), `again` (which retry), `refusal`
-//! (which refusal); here is what joins them. A request passes three gates: its customer's quota (`Customer`,
-//! a lease cache on a shared window count), its open cap, and a backend with room (`Backend`). What cannot
-//! pass yet waits a share of its aim.
+//! The submodules cover quotas (`quota`), the choice of a backend (`backend`), retries (`retry`), and the
+//! queue and final answers (`refusal`); this module connects them. A request passes three checks: the quota
+//! of its customer (`Customer`, which caches leases on a shared count per window), the concurrency cap, and a
+//! backend below its limit (`Backend`). A request that cannot pass yet waits for a share of its target
+//! latency.
 
-mod again;
 mod backend;
+mod quota;
 mod refusal;
-mod units;
+mod retry;
 mod view;
 
-use crate::check::check;
 use crate::hash::{hash, mix, unit};
 use crate::interface::*;
-use crate::topology::{BackendParameters, FleetParameters, Mesh, RequestConstraints};
-use fennelscale_quota::{Health, Heard, Ledger, Loss, Partition, Share, Slice};
+use crate::topology::{BackendParameters, FleetParameters, RequestConstraints, Topology};
+use crate::validate::validate;
+use fennelscale_quota::{CounterHealth, Ledger, LocalBucket, Loss, Partition, TotalChange, UsageShare};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
 use std::sync::Arc;
 
-use again::LAST_TICKS;
-use backend::{Backend, NEWEST};
-use units::{BLOCK_SHARE, Counter, Customer, DEMAND_SHARE, IDLE_TURNS, KEEP_MOST, NEAR_SHARE, TELL_SHARE};
+use backend::{Backend, NEWEST_WEIGHT};
+use quota::{Counter, Customer, DEMAND_SPAN, IDLE_REFILLS, LEASE_SHARE, MAX_TTL, RETURN_SHARE, SCARCE_SHARE};
+use retry::MARGIN_TICKS;
 
-/// Time between housekeeping rounds, in ms: short beside any aim.
-const SWEEP: Millis = 25.0;
-const SWEEP_TOKEN: u64 = 1;
-/// Each round looks after so many customers, or after this part of all: few are looked after each time, many
-/// in turn.
-const SWEEP_LEAST: usize = 256;
-const SWEEP_PARTS: usize = 8;
+/// Default time between housekeeping rounds, in ms: short compared to any target latency.
+const HOUSEKEEPING_INTERVAL: Millis = 25.0;
+const HOUSEKEEPING_TOKEN: u64 = 1;
+/// Each housekeeping round visits `MIN_VISITS` customers or one in `VISIT_ROUNDS` of all, whichever is more:
+/// a few are all visited each time, many in turn.
+const MIN_VISITS: usize = 256;
+const VISIT_ROUNDS: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Stage {
     #[default]
-    Block,
-    Queue,
-    Out,
-    Left,
+    AwaitingLease,
+    Queued,
+    InFlight,
+    Abandoned,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -47,18 +48,18 @@
     plan: usize,
     class: usize,
     units: f64,
-    /// Let in without a total of its customer; the client has asked for the same before.
-    blind: bool,
-    repeat: bool,
+    /// Admitted without a counter total of its customer.
+    without_total: bool,
+    is_retry: bool,
     arrived: Millis,
     deadline: Millis,
-    hold_until: Millis,
+    wait_until: Millis,
     stage: Stage,
     attempts: u32,
-    /// A backend that it was sent to had gone, and another had its address.
+    /// It was sent to a backend whose address now belongs to another.
     misdirected: bool,
-    may_have_run: Option<(Millis, Name, u64)>, // since when, in which zone and cell
-    bound: Option<Arc<RequestConstraints>>,
+    may_have_run: Option<(Millis, Name, u64)>, // send time, zone and cell of the first such attempt
+    constraints: Option<Arc<RequestConstraints>>,
     sent_at: Millis,
 }
 
@@ -68,83 +69,83 @@
     settings: Arc<Settings>,
     random: u64,
     now: Millis,
-    /// When the first event came.
-    born: Millis,
+    /// The time of the first event.
+    started_at: Millis,
     backends: BTreeMap<Name, Backend>,
-    mesh: Mesh,
+    topology: Topology,
     customers: BTreeMap<Name, Customer>,
     requests: BTreeMap<RequestId, Request>,
     queue: VecDeque<RequestId>,
     partition: Partition,
     counters: Vec<Counter>,
-    /// The customer looked after last, if not all are in each round.
-    swept: Option<Name>,
-    /// The share of first totals with room left, for each plan: of first tries, and of clients' repeats.
-    plan_odds: Vec<[f64; 2]>,
-    /// Of thin customers: the share of tries that fits and when that was heard, here or by another gateway.
-    told: BTreeMap<u64, (f64, Millis)>,
+    /// The customer visited last, if a housekeeping round does not visit all.
+    last_visited: Option<Name>,
+    /// Per plan, the share of first totals below the quota: for first requests and for client retries.
+    plan_probability: Vec<[f64; 2]>,
+    /// Per sampled customer, the admission probability and when it was learned, here or from another gateway.
+    probabilities: BTreeMap<u64, (f64, Millis)>,
     class_latency: Vec<f64>,
-    late: f64,
-    sweeping: bool,
-    /// No requests come any more: blocks in hand go back, as others can use them.
-    ending: bool,
+    late_share: f64,
+    started: bool,
+    /// No more requests arrive: leases are returned so that other gateways can use them.
+    shutting_down: bool,
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else.
+    /// Creates a gateway that knows only its settings.
     ///
     /// # Errors
-    /// When the settings cannot be used.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        validate(&settings)?;
         let class_latency = vec![0.0; settings.classes.len()];
-        let plan_odds = vec![[1.0, 0.0]; settings.plans.len()];
+        let plan_probability = vec![[1.0, 0.0]; settings.plans.len()];
         let settings = Arc::new(settings);
         Ok(Self {
             settings,
             random: mix(seed | 1),
             counters: vec![Counter::default()],
-            plan_odds,
+            plan_probability,
             class_latency,
             ..Self::default()
         })
     }
 
-    /// Takes one event at a time and appends what the host is to do.
-    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+    /// Handles one event and appends the actions that the host is to carry out.
+    pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !std::mem::replace(&mut self.sweeping, true) {
-            self.born = self.now;
-            out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
+        if !std::mem::replace(&mut self.started, true) {
+            self.started_at = self.now;
+            actions.push(Action::SetTimer { after: HOUSEKEEPING_INTERVAL, token: HOUSEKEEPING_TOKEN });
             if self.settings.list_on_request {
-                out.push(Action::WatchBackends);
+                actions.push(Action::WatchBackends);
             }
         }
         match event {
-            Event::BackendList(list) => self.on_list(list, true, out),
-            Event::BackendChanges(list) => self.on_list(list, false, out),
-            Event::BackendListFailed => out.push(Action::WatchBackends),
-            Event::Request(arrival) => self.on_request(arrival, out),
+            Event::BackendList(list) => self.on_backend_list(list, true, actions),
+            Event::BackendChanges(list) => self.on_backend_list(list, false, actions),
+            Event::BackendListFailed => actions.push(Action::WatchBackends),
+            Event::Request(arrival) => self.on_request(arrival, actions),
             Event::AttemptEnded(end) => {
-                self.on_backend(&end, out);
-                self.on_attempt(end, out);
-                self.drain_queue(out);
+                self.on_backend_result(&end, actions);
+                self.on_attempt_ended(end, actions);
+                self.drain_queue(actions);
             }
             Event::ClientDisconnected { id } => match self.requests.get_mut(&id) {
-                // The end of what is out still tells whether its units were used.
-                Some(request) if request.stage == Stage::Out => request.stage = Stage::Left,
-                _ => self.forget(id),
+                // The end of the attempt in flight still shows whether its units were used.
+                Some(request) if request.stage == Stage::InFlight => request.stage = Stage::Abandoned,
+                _ => self.remove_request(id),
             },
-            Event::Timer { token: SWEEP_TOKEN } => self.on_sweep(out),
-            Event::Timer { token } => self.on_hold_over(token / 2, out),
-            Event::Topology(terms, backends) => self.on_mesh(terms, backends, out),
+            Event::Timer { token: HOUSEKEEPING_TOKEN } => self.on_housekeeping(actions),
+            Event::Timer { token } => self.on_wait_timer(token / 2, actions),
+            Event::Topology(fleet, backends) => self.on_topology(fleet, backends, actions),
             Event::Class(class) => self.on_class(class),
-            Event::ShuttingDown => self.ending = true,
+            Event::ShuttingDown => self.shutting_down = true,
             Event::CounterPartition(partition) => self.set_counters(partition),
-            Event::CounterReply { key: name, outcome, latency } => {
-                self.on_counted(name, outcome, latency, out)
+            Event::CounterReply { key, outcome, latency } => {
+                self.on_counter_reply(key, outcome, latency, actions)
             }
-            Event::PeerMessage { bytes, .. } => self.on_told(&bytes),
+            Event::PeerMessage { bytes, .. } => self.on_peer_message(&bytes),
             Event::StreamStarted { .. } | Event::ProbeEnded { .. } => {}
         }
     }
@@ -160,106 +161,115 @@
         }
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         unit(self.random)
     }
 
-    fn on_request(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
+    fn on_request(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
         let Arrival { id, customer: name, .. } = arrival;
         let class = self.settings.classes.iter().position(|c| c.name == arrival.class);
         let plan = self.settings.plans.iter().position(|p| p.name == arrival.plan);
         let (Some(class), Some(plan)) = (class, plan) else {
-            return out.push(Action::Refuse { id, retry_after: 0.0 });
+            return actions.push(Action::Refuse { id, retry_after: 0.0 });
         };
         let now = self.now;
         let units = if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 };
         let (arrived, deadline) = (now, now + arrival.client_timeout);
-        let (customer, repeat, bound) = (name.clone(), arrival.is_retry, arrival.constraints);
-        let rest = Request { bound, ..Request::default() };
-        self.requests.insert(id, Request { customer, plan, class, units, repeat, arrived, deadline, ..rest });
-        self.mesh.came();
+        let (customer, is_retry, constraints) = (name.clone(), arrival.is_retry, arrival.constraints);
+        let rest = Request { constraints, ..Request::default() };
+        self.requests
+            .insert(id, Request { customer, plan, class, units, is_retry, arrived, deadline, ..rest });
+        self.topology.record_arrival();
         let customer = self.customers.entry(name.clone()).or_insert_with(|| {
-            let (salt, store) = (hash(&name) >> 8, Customer::start_of(&self.settings.plans[plan]));
-            Customer { plan, salt, store, store_at: now, demand_at: now, ..Customer::default() }
+            let (salt, balance) = (hash(&name) >> 8, Customer::initial_balance(&self.settings.plans[plan]));
+            Customer { plan, salt, balance, balance_at: now, demand_at: now, ..Customer::default() }
         });
         let gateways = self.settings.gateways;
-        customer.spread = f64::from(arrival.gateway_count.clamp(1, gateways));
-        customer.place =
+        customer.gateway_count = f64::from(arrival.gateway_count.clamp(1, gateways));
+        customer.position =
             (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
-        let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
+        let span = Customer::refill_time(&self.settings.plans[plan]) * DEMAND_SPAN;
         customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
         customer.demand_at = now;
-        if self.admit(id, out) {
-            self.ask(&name, out);
+        if self.admit(id, actions) {
+            self.call_counter(&name, actions);
         }
     }
 
-    fn on_sweep(&mut self, out: &mut Vec<Action>) {
+    fn on_housekeeping(&mut self, actions: &mut Vec<Action>) {
         let after = if self.settings.housekeeping_interval > 0.0 {
             self.settings.housekeeping_interval
         } else {
-            SWEEP
+            HOUSEKEEPING_INTERVAL
         };
-        out.push(Action::SetTimer { after, token: SWEEP_TOKEN });
+        actions.push(Action::SetTimer { after, token: HOUSEKEEPING_TOKEN });
         let now = self.now;
-        let (mut asking, mut idle) = (Vec::new(), Vec::new());
-        let (plans, ending) = (&self.settings.plans, self.ending);
-        self.told.retain(|_, (_, at)| now - *at < KEEP_MOST);
-        // Guards the memory, and each choice, against a fleet that is replaced all day.
-        self.backends.retain(|_, backend| !backend.gone || backend.out > 0);
-        // Guards the processor against customers seen once by the hundred thousand.
+        let (mut calling, mut idle) = (Vec::new(), Vec::new());
+        let (plans, shutting_down) = (&self.settings.plans, self.shutting_down);
+        self.probabilities.retain(|_, (_, at)| now - *at < MAX_TTL);
+        // Bounds memory and the cost of each choice while backends are constantly replaced.
+        self.backends.retain(|_, backend| !backend.gone || backend.in_flight > 0);
+        // Bounds the CPU time per round with hundreds of thousands of customers that are seen once.
         let all = self.customers.len();
-        let part = if ending { all } else { SWEEP_LEAST.max(all / SWEEP_PARTS) };
-        let after = self.swept.take().filter(|_| part < all).map_or(Bound::Unbounded, Bound::Excluded);
+        let batch = if shutting_down { all } else { MIN_VISITS.max(all / VISIT_ROUNDS) };
+        let after =
+            self.last_visited.take().filter(|_| batch < all).map_or(Bound::Unbounded, Bound::Excluded);
         let mut last = None;
-        for (name, customer) in self.customers.range_mut((after, Bound::Unbounded)).take(part) {
+        for (name, customer) in self.customers.range_mut((after, Bound::Unbounded)).take(batch) {
             let plan = &plans[customer.plan];
-            let (rests, turn) = (now - customer.demand_at, Customer::turn(plan));
-            customer.roll(now, plan, &self.partition);
-            // One that only this gateway serves has no other who could use what goes back.
-            let scarce = customer.store < plan.burst * NEAR_SHARE && customer.spread > 1.0;
-            if (scarce && rests > turn * BLOCK_SHARE || ending) && customer.lease >= 1.0 {
+            let (idle_time, refill_time) = (now - customer.demand_at, Customer::refill_time(plan));
+            customer.advance(now, plan, &self.partition);
+            // With a single gateway, no other could use what is returned.
+            let scarce = customer.balance < plan.burst * SCARCE_SHARE && customer.gateway_count > 1.0;
+            if (scarce && idle_time > refill_time * LEASE_SHARE || shutting_down) && customer.lease >= 1.0 {
                 let lease = std::mem::take(&mut customer.lease);
-                (customer.owed, customer.store) = (customer.owed - lease, customer.store + lease);
+                (customer.owed, customer.balance) = (customer.owed - lease, customer.balance + lease);
             }
-            let least = if ending { 1.0 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
-            let owes = !customer.thin(plan) && customer.owed.abs() >= least;
+            let minimum = if shutting_down { 1.0 } else { (plan.burst * LEASE_SHARE).max(1.0) };
+            let owes = !customer.is_sampled(plan) && customer.owed.abs() >= minimum;
             let waits = !customer.waiting.is_empty();
             if customer.call.is_none() && (owes || waits) {
-                asking.push((!waits, name.clone()));
+                calling.push((!waits, name.clone()));
             }
-            if customer.call.is_none() && customer.open == 0 && !waits && rests >= turn * IDLE_TURNS {
+            if customer.call.is_none()
+                && customer.in_flight == 0
+                && !waits
+                && idle_time >= refill_time * IDLE_REFILLS
+            {
                 idle.push(name.clone());
             }
             last = Some(name.clone());
         }
-        self.swept = last.filter(|_| part < all);
+        self.last_visited = last.filter(|_| batch < all);
         idle.iter().for_each(|name| drop(self.customers.remove(name)));
-        // Those who wait go before what goes back.
-        asking.sort();
-        for (tells, name) in asking {
+        // Waiting requests go before returned units.
+        calling.sort();
+        for (returns, name) in calling {
             let Some(counter) = self.customers.get(&name).map(|c| c.counter) else { continue };
-            let Some(calls) = self.counters.get(counter).filter(|_| !self.silent(counter)) else { continue };
-            let room = (calls.calls.len() as f64) < calls.calls_most() * TELL_SHARE && calls.line.is_empty();
-            if !tells || room || ending {
-                self.ask(&name, out);
+            let Some(state) = self.counters.get(counter).filter(|_| !self.is_silent(counter)) else {
+                continue;
+            };
+            let has_capacity =
+                (state.calls.len() as f64) < state.max_calls() * RETURN_SHARE && state.waiting.is_empty();
+            if !returns || has_capacity || shutting_down {
+                self.call_counter(&name, actions);
             }
         }
-        self.probe(out);
-        self.drain_queue(out);
+        self.probe_counters(actions);
+        self.drain_queue(actions);
     }
 
-    /// Asks each silent counter whether it is back, for any customer of it.
-    fn probe(&mut self, out: &mut Vec<Action>) {
+    /// Probes each silent counter with a call for any of its customers.
+    fn probe_counters(&mut self, actions: &mut Vec<Action>) {
         let (now, timeout) = (self.now, self.settings.counter_timeout);
         for at in 0..self.counters.len() {
             let counter = &mut self.counters[at];
             let asks = self.settings.counter && counter.calls.is_empty();
-            if asks && counter.health.silent(now, timeout) && counter.health.probe(now) {
+            if asks && counter.health.is_silent(now, timeout) && counter.health.probe_due(now) {
                 let name = self.customers.iter().find(|(_, c)| c.counter == at && c.call.is_none());
                 let name = name.map(|(name, _)| name.clone());
-                name.iter().for_each(|name| self.ask(name, out));
+                name.iter().for_each(|name| self.call_counter(name, actions));
             }
         }
     }
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -1,9 +1,10 @@
-//! The proxy's own figures in the text format of OpenMetrics, at `/metrics` of the port that the command line names.
+//! The metrics of the proxy in the OpenMetrics text format, at `/metrics` of the port given on the command
+//! line.
 //!
-//! Counters are read from where they are counted at the moment of a scrape; nothing is counted here.
+//! A scrape reads the counters from where they are kept; nothing is counted here.
 
 use crate::proxy::Proxy;
-use crate::service_engines::Service;
+use crate::service_engines::ServiceEngine;
 use bytes::Bytes;
 use doorcourse::Outcome;
 use fennelscale_host::call::Asked;
@@ -18,8 +19,8 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::Ordering;
 
-/// Where figures are asked for.
-const PATH: &str = "/metrics";
+/// The path of the metrics.
+const METRICS_PATH: &str = "/metrics";
 /// The media type of OpenMetrics text.
 const OPEN_METRICS: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
@@ -46,16 +47,16 @@
     what: &'static str,
 }
 
-/// All figures of one proxy.
+/// All metrics of one proxy.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     sends: Family<SendLabels, Counter>,
     ends: Family<EndLabels, Counter>,
-    held: Family<ServiceLabel, Gauge>,
-    listing: Gauge,
-    members: Gauge,
-    /// How old the core's word is, in ms; -1 before the first.
+    queued: Family<ServiceLabel, Gauge>,
+    list_number: Gauge,
+    ready_proxies: Gauge,
+    /// Time since a majority of the core confirmed the state, in ms; -1 before the first heartbeat.
     contact_age: Gauge,
     contested: Gauge,
     copies: Family<CopyLabel, Counter>,
@@ -66,7 +67,7 @@
         let mut registry = Registry::with_prefix("fennelscale_proxy");
         let (sends, ends) =
             (Family::<SendLabels, Counter>::default(), Family::<EndLabels, Counter>::default());
-        let (held, listing, members) =
+        let (queued, list_number, ready_proxies) =
             (Family::<ServiceLabel, Gauge>::default(), Gauge::default(), Gauge::default());
         registry.register(
             "backend_sends",
@@ -74,9 +75,17 @@
             sends.clone(),
         );
         registry.register("attempt_ends", "Attempts that ended, by outcome", ends.clone());
-        registry.register("held_requests", "Requests held because no backend may be sent one", held.clone());
-        registry.register("listing_stamp", "Number of the list of backends that is in use", listing.clone());
-        registry.register("members_ready", "Proxies that are known and take clients", members.clone());
+        registry.register(
+            "held_requests",
+            "Requests held because no backend may be sent one",
+            queued.clone(),
+        );
+        registry.register(
+            "listing_stamp",
+            "Number of the list of backends that is in use",
+            list_number.clone(),
+        );
+        registry.register("members_ready", "Proxies that are known and take clients", ready_proxies.clone());
         let (contact_age, contested) = (Gauge::default(), Gauge::default());
         let copies = Family::<CopyLabel, Counter>::default();
         registry.register(
@@ -94,29 +103,29 @@
             "What sessions brought of items: whole copies, entries, entries that were news, comparisons",
             copies.clone(),
         );
-        Self { registry, sends, ends, held, listing, members, contact_age, contested, copies }
+        Self { registry, sends, ends, queued, list_number, ready_proxies, contact_age, contested, copies }
     }
 }
 
 impl Metrics {
-    /// All figures as of now.
+    /// All metrics as of now.
     pub fn render(&self, proxy: &Proxy) -> String {
-        let held = proxy.held.borrow();
-        proxy.services.each(|name, service| self.read_service(name, service));
+        let state = proxy.routing_state.borrow();
+        proxy.services.for_each(|name, service| self.read_service(name, service));
         self.contact_age.set(proxy.contact_age().map_or(-1, |age| age as i64));
-        self.contested.set(held.table.contested_claims() as i64);
+        self.contested.set(state.table.contested_claims() as i64);
         let copies = proxy.copies();
-        let figures = [
-            ("whole", copies.whole),
+        let counts = [
+            ("whole", copies.complete),
             ("entries", copies.entries),
-            ("news", copies.news),
+            ("news", copies.changed),
             ("compared", copies.compared),
         ];
-        for (what, count) in figures {
+        for (what, count) in counts {
             self.copies.get_or_create(&CopyLabel { what }).inner().store(count, Ordering::Relaxed);
         }
-        self.listing.set(i64::try_from(held.backend_list.stamp.0).unwrap_or(i64::MAX));
-        self.members.set(held.proxies.iter().filter(|member| member.ready).count() as i64);
+        self.list_number.set(i64::try_from(state.backend_list.stamp.0).unwrap_or(i64::MAX));
+        self.ready_proxies.set(state.proxies.iter().filter(|proxy| proxy.ready).count() as i64);
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
@@ -127,9 +136,9 @@
         }
     }
 
-    fn read_service(&self, name: &str, service: &Service) {
+    fn read_service(&self, name: &str, service: &ServiceEngine) {
         let label = ServiceLabel { service: name.to_owned() };
-        let sends = service.figures().sends;
+        let sends = service.counts().sends;
         for (backend_state, count) in
             [("warm", sends.warm), ("cold", sends.cold), ("without_terms", sends.without_parameters)]
         {
@@ -140,7 +149,7 @@
             let labels = EndLabels { service: name.to_owned(), outcome: outcome_name(outcome) };
             self.ends.get_or_create(&labels).inner().store(count, Ordering::Relaxed);
         }
-        self.held.get_or_create(&label).set(service.engine.held() as i64);
+        self.queued.get_or_create(&label).set(service.engine.held() as i64);
     }
 }
 
@@ -158,9 +167,9 @@
     }
 }
 
-/// The answer to whoever asks for figures; none for another path.
-pub fn answer(asked: &Asked, text: impl FnOnce() -> String) -> Option<Response<Full<Bytes>>> {
-    if asked.path != PATH {
+/// The answer to a scrape; none for another path.
+pub fn answer(request: &Asked, text: impl FnOnce() -> String) -> Option<Response<Full<Bytes>>> {
+    if request.path != METRICS_PATH {
         return None;
     }
     let mut response = Response::new(Full::from(text()));
--- a/system/replication/src/lib.rs
+++ b/system/replication/src/lib.rs
@@ -1,40 +1,48 @@
-//! The store of configuration: one machine for each core, which holds a copy of every item (its *seat*) and lets any of them
-//! take a write. In the literature's terms: a replicated register map under quorums with per-item stamps, whose writer of
-//! the moment is fenced by a ballot.
+//! Replicated store of configuration entries. Every core machine runs one replica, which holds a copy of
+//! every entry, and any replica accepts calls.
 //!
-//! # What holds
+//! The algorithm is a quorum-replicated register map with a stamp per entry. A leader, fenced by its term as
+//! in Multi-Paxos, orders the writes.
 //!
-//! - An item that was acknowledged is on the disks of a quorum ([`quorum`]), and every later writer and every reader that
-//!   asks a quorum finds it. Two quorums share two seats where the number of seats allows, so one that has forgotten
-//!   everything cannot make it unseen.
-//! - Nothing goes out as news before it is chosen; so nobody ever sees a value that might not come to be.
-//! - A call is taken whole or not at all: its entries are one write, taken by each seat in one step of its disk.
-//! - A call that was refused is never in force: who writes next takes from earlier turns only what may have been chosen
-//!   ([`Replica::base`]), before it decides on anything.
-//! - Copies merge name by name, the higher stamp stays: order, repetition and loss of words change nothing.
+//! # Invariants
 //!
-//! # What the caller owes
+//! - An acknowledged entry is on the disks of a quorum ([`quorum`]), so every later leader and every reader
+//!   that asks a quorum finds it. Where there are enough members two quorums share two of them, so one member
+//!   that lost its disk cannot hide an entry.
+//! - An entry is published only after it is chosen, so nobody sees a value that might still be discarded.
+//! - A call is atomic: its entries form one write, which each member persists in one step.
+//! - A rejected call never takes effect: before it decides on any call, a new leader takes over from earlier
+//!   terms only what may have been chosen ([`Replica::recovered_entries`]).
+//! - Copies merge entry by entry and the higher stamp wins, so reordered, repeated or lost messages are
+//!   harmless.
 //!
-//! After each input: take [`Replica::take_writes`], bring them to the disk and sync, and only then carry out [`Replica::take_outputs`]. Words to
-//! one seat go out in order or not at all. `now` never goes back.
+//! # Duties of the host
 //!
-//! # Inside
+//! After each input, persist and sync [`Replica::take_writes`], and only then carry out
+//! [`Replica::take_outputs`]. Messages to one member are delivered in order or not at all. `now` never goes
+//! back.
 //!
-//! `seat` is what takes (promises, accepts), `writer` what proposes, `position` up to where a copy is complete, `catch_up` how one
-//! that is not gets there, `founding` and `membership` who has a seat, `calls` what callers are told, `versions` what a change
-//! comes to by the versions that its item has had.
-
+//! # Modules
+//!
+//! - `acceptor`: promises, and acceptance of writes.
+//! - `leader`: elections, and proposal of writes.
+//! - `position`: up to which stamp a copy is complete.
+//! - `catch_up`: transfer of missing entries.
+//! - `bootstrap`, `membership`: who is a member.
+//! - `calls`: calls and their responses.
+//! - `versions`: how a change relates to the earlier versions of its entry.
+
+mod acceptor;
+mod bootstrap;
 mod calls;
 mod catch_up;
-mod founding;
+mod leader;
 mod membership;
 mod position;
-mod seat;
 pub mod versions;
-mod writer;
 
+pub use bootstrap::BootstrapRole;
 pub use catch_up::CHUNK_BYTES;
-pub use founding::BootstrapRole;
 pub use position::Progress;
 
 pub use calls::Origin;
@@ -44,56 +52,58 @@
 use fennelscale_messages::store::{
     Entry, Member, MemberList, NamedEntry, Stamp, StoreMessage, StoreResponse, Term,
 };
+use leader::Role;
+pub use leader::{ACCEPT_TIMEOUT, QUORUM_CONTACT_TIMEOUT};
 use std::collections::{BTreeMap, BTreeSet};
-use writer::Turn;
-pub use writer::{ACCEPT_TIMEOUT, QUORUM_CONTACT_TIMEOUT};
 
-/// Milliseconds of a clock that never goes back.
+/// Milliseconds of a monotonic clock.
 pub type Millis = f64;
 
-/// The name of the list of seats.
+/// Name of the entry that holds the member list.
 pub const MEMBERS_KEY: &str = "m:seats";
 
-/// Between two beats.
+/// Interval between heartbeats.
 pub const HEARTBEAT_INTERVAL: Millis = 400.0;
-/// A seat that was not heard for this long is not counted on: three beats, and the longest way.
+/// A member that was not heard from for this long does not count as up: three heartbeats and the longest
+/// one-way delay.
 pub const PEER_TIMEOUT: Millis = 1300.0;
-/// A write that a living writer does not choose is asked for after this.
-const STUCK: Millis = 2600.0;
-/// Seats that ask by themselves do so one after the other, this far apart.
-const APART: Millis = 250.0;
+/// Time after which a member starts an election because a leader that is up has not reported a write as
+/// chosen.
+const STUCK_WRITE_TIMEOUT: Millis = 2600.0;
+/// Delay between the elections of successive members, so that they do not compete.
+const ELECTION_STAGGER: Millis = 250.0;
 
-/// Of one name: what is chosen, and what was taken but is not known to be.
+/// State of one entry: the chosen version, and one that was accepted but is not known to be chosen.
 #[derive(Clone, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub struct Item {
-    /// Chosen.
+    /// Newest version known to be chosen.
     pub chosen: Option<Entry>,
-    /// Taken.
+    /// Accepted version that is not known to be chosen.
     pub pending: Option<Entry>,
 }
 
-/// What a seat must not forget beside its items.
+/// Durable state of the acceptor besides its entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub struct AcceptorState {
-    /// Nothing of earlier turns is taken any more.
+    /// Highest promised term; writes of earlier terms are rejected.
     pub promised: Term,
-    /// The turn whose first write was taken last.
+    /// Latest term whose first write was accepted.
     pub joined: Term,
 }
 
-/// What was on the disk at the start.
+/// Contents of the disk at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// What was promised; none on an empty disk.
+    /// Acceptor state; none on an empty disk.
     pub acceptor: Option<AcceptorState>,
-    /// How far the copy goes, and how this store was started first.
+    /// Up to where the copy is complete, and the role at the first start.
     pub progress: Progress,
-    /// The items.
+    /// Entries by name.
     pub items: BTreeMap<String, Item>,
 }
 
 impl PersistedState {
-    /// What a disk holds after a write.
+    /// Applies a write, as the disk does.
     pub fn apply(&mut self, writes: DiskWrites) {
         let DiskWrites { acceptor, progress, items } = writes;
         self.acceptor = acceptor.or(self.acceptor);
@@ -102,206 +112,207 @@
     }
 }
 
-/// What must be on the disk before anything is sent.
+/// Changes that must be persisted before any output is carried out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiskWrites {
-    /// The promises, where they have changed.
+    /// Acceptor state, if it changed.
     pub acceptor: Option<AcceptorState>,
-    /// How far the copy goes, with all else that is written.
+    /// Progress, stored with every other write.
     pub progress: Option<Progress>,
-    /// The items that have changed.
+    /// Entries that changed.
     pub items: Vec<(String, Item)>,
 }
 
-/// What the host does, once the writes are safe.
+/// Action for the host to carry out once the writes are persisted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Sends a word to a seat.
+    /// Sends a message to another replica.
     Send(Host, StoreMessage),
-    /// Answers a call of this machine's registry.
+    /// Answers a call of the local registry.
     Answer(u64, StoreResponse),
-    /// Tells the registry of entries that are chosen now.
+    /// Reports newly chosen entries to the registry.
     Chosen(Vec<NamedEntry>),
-    /// Tells the registry of the seats.
+    /// Reports the member list to the registry.
     Members(MemberList),
-    /// Tells the registry whether this copy is as new as a quorum's, with each beat.
+    /// Reports with each heartbeat whether this copy is as new as a quorum's.
     UpToDate(bool),
-    /// A line for the log: the event and what it is about.
+    /// Writes a log line: the event and its details.
     Log(&'static str, String),
 }
 
-/// What the machine is told of its place.
+/// Settings of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
     /// This machine.
     pub local: Member,
-    /// Machines that are told to be there, in the order of the settings.
+    /// Configured addresses of machines to contact first, in order.
     pub seeds: Vec<Host>,
-    /// The whole system starts for the first time.
+    /// Whether the whole cluster starts for the first time.
     pub bootstrap: bool,
-    /// The machines, zones and regions that may be lost at once.
+    /// Numbers of machines, zones and regions whose simultaneous loss is tolerated.
     pub fault_tolerance: (usize, usize, usize),
-    /// A number of this life, for what is drawn by chance.
+    /// Number of this incarnation of the process; also seeds random choices.
     pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    heard: Millis,
-    votes: bool,
+    last_heartbeat: Millis,
+    voting: bool,
     leaving: bool,
     unconfirmed: bool,
-    /// The stamp after the newest entry that it holds as chosen.
-    newest: Stamp,
-    /// Beats in a row in which it held the same up to the same place, by its word, and something else by its digest.
-    differs: u8,
+    /// Stamp after the newest entry that the peer holds as chosen.
+    chosen_end: Stamp,
+    /// Consecutive heartbeats with the same position as this copy and a different digest.
+    digest_mismatches: u8,
 }
 
-/// One store.
+/// State machine of one replica.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    place: ReplicaConfig,
+    config: ReplicaConfig,
     acceptor: AcceptorState,
     items: BTreeMap<String, Item>,
-    /// What the items say, by the newest word on each.
-    standing: ConfigIndex,
-    /// Of the chosen entries.
+    /// Configuration view of the latest version of each entry.
+    latest_config: ConfigIndex,
+    /// Hash of all chosen entries.
     digest: u64,
-    /// The chosen entries by their stamps.
-    by_stamp: BTreeSet<(Stamp, String)>,
-    /// Names with something that was taken and is not known to be chosen.
-    pending: BTreeSet<String>,
+    /// Chosen entries by stamp.
+    chosen_by_stamp: BTreeSet<(Stamp, String)>,
+    /// Names of entries with an accepted version that is not known to be chosen.
+    pending_names: BTreeSet<String>,
     progress: Progress,
-    contiguous: position::Contiguous,
+    accepted_prefix: position::AcceptedPrefix,
     transfer: Option<catch_up::Transfer>,
-    seats: MemberList,
-    /// This seat has forgotten nothing.
-    votes: bool,
+    members: MemberList,
+    /// Whether this member votes: it remembers every promise that it gave.
+    voting: bool,
     leaving: bool,
-    turn: Turn,
+    role: Role,
     peers: BTreeMap<Host, Peer>,
-    /// When the last word of any kind came from each seat.
-    contact: BTreeMap<Host, Millis>,
-    /// Machines without a seat that would take one.
-    candidates: BTreeMap<Host, membership::Candidate>,
+    /// When the last message of any kind came from each member.
+    last_contact: BTreeMap<Host, Millis>,
+    /// Machines that are not members and would like to be.
+    learners: BTreeMap<Host, membership::Learner>,
     calls: calls::Calls,
-    /// The highest turn that was heard of.
-    round: u64,
-    /// When the next beat, announcement and change of seats are due.
-    beat_at: Millis,
-    announce_at: Millis,
-    reseat_at: Millis,
-    /// When this life began, when the list of seats last changed, and the time as it was told last.
-    born: Millis,
-    seated: Millis,
-    told: Millis,
-    fresh: bool,
-    /// The oldest write that was taken here and is not known to be chosen, and since when it is.
-    stuck: Option<(Stamp, Millis)>,
-    /// There was such a write on the disk at the start: it may have been acknowledged.
-    inherited: bool,
-    /// What learned from whom, while everything is forgotten.
-    learned: BTreeSet<Host>,
-    lesson: BTreeMap<String, Item>,
-    dirty: BTreeSet<String>,
+    /// Highest term number seen.
+    highest_term_number: u64,
+    /// When the next heartbeat, announcement and membership change are due.
+    next_heartbeat: Millis,
+    next_announcement: Millis,
+    next_membership_change: Millis,
+    /// When this incarnation started, when the member list last changed, and the time of the last tick.
+    started_at: Millis,
+    members_changed_at: Millis,
+    last_tick: Millis,
+    up_to_date: bool,
+    /// Oldest accepted write that is not known to be chosen, and since when it is pending.
+    oldest_pending: Option<(Stamp, Millis)>,
+    /// Whether such a write was on the disk at startup; it may have been acknowledged.
+    unconfirmed: bool,
+    /// Members whose state was received during recovery, and the pending entries that they reported.
+    recovery_sources: BTreeSet<Host>,
+    recovered_pending: BTreeMap<String, Item>,
+    dirty_items: BTreeSet<String>,
     dirty_acceptor: bool,
     dirty_progress: bool,
-    news: Vec<NamedEntry>,
-    out: Vec<Output>,
+    newly_chosen: Vec<NamedEntry>,
+    outputs: Vec<Output>,
 }
 
-/// How many of these seats a write needs: so many that two quorums share two seats, where that many are still there after
-/// the losses that are to be borne; else a bare majority, which is what is left then.
-pub fn quorum(seats: &MemberList, (machines, zones, regions): (usize, usize, usize)) -> usize {
-    let n = seats.members.len();
+/// Number of members that a write needs. Two quorums share two members if that many remain after the
+/// tolerated losses; otherwise a bare majority is enough, since no more would be left.
+pub fn quorum(members: &MemberList, (machines, zones, regions): (usize, usize, usize)) -> usize {
+    let n = members.members.len();
     let largest = |of: fn(&Member) -> &str, count: usize| {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
-        seats.members.iter().for_each(|seat| *sizes.entry(of(seat)).or_default() += 1);
+        members.members.iter().for_each(|member| *sizes.entry(of(member)).or_default() += 1);
         let mut sizes: Vec<usize> = sizes.into_values().collect();
         sizes.sort_unstable_by(|a, b| b.cmp(a));
         sizes.into_iter().take(count).sum::<usize>()
     };
     let lost = machines.max(largest(|s| &s.zone, zones)).max(largest(|s| &s.region, regions));
     let majority = n / 2 + 1;
-    let twice = (n + 3) / 2;
-    twice.min(n.saturating_sub(lost)).max(majority).min(n.max(1))
+    let two_shared = (n + 3) / 2;
+    two_shared.min(n.saturating_sub(lost)).max(majority).min(n.max(1))
 }
 
 impl Replica {
-    /// A store with what its disk held.
-    pub fn new(place: ReplicaConfig, memory: PersistedState, now: Millis) -> Self {
-        let PersistedState { acceptor, progress, items } = memory;
+    /// Creates a replica from the contents of its disk.
+    pub fn new(config: ReplicaConfig, persisted: PersistedState, now: Millis) -> Self {
+        let PersistedState { acceptor, progress, items } = persisted;
         let blank = acceptor.is_none();
-        let mut book = Self {
+        let mut replica = Self {
             acceptor: acceptor.unwrap_or_default(),
             items,
-            standing: ConfigIndex::default(),
+            latest_config: ConfigIndex::default(),
             digest: 0,
-            by_stamp: BTreeSet::new(),
-            pending: BTreeSet::new(),
+            chosen_by_stamp: BTreeSet::new(),
+            pending_names: BTreeSet::new(),
             progress,
-            contiguous: position::Contiguous::default(),
+            accepted_prefix: position::AcceptedPrefix::default(),
             transfer: None,
-            seats: MemberList::default(),
-            votes: false,
+            members: MemberList::default(),
+            voting: false,
             leaving: false,
-            turn: Turn::Idle,
+            role: Role::Follower,
             peers: BTreeMap::new(),
-            contact: BTreeMap::new(),
-            candidates: BTreeMap::new(),
-            calls: calls::Calls::new(place.incarnation),
-            round: 0,
-            beat_at: now,
-            announce_at: now,
-            reseat_at: now,
-            born: now,
-            seated: now,
-            told: now,
-            fresh: false,
-            stuck: None,
-            inherited: false,
-            learned: BTreeSet::new(),
-            lesson: BTreeMap::new(),
-            dirty: BTreeSet::new(),
+            last_contact: BTreeMap::new(),
+            learners: BTreeMap::new(),
+            calls: calls::Calls::new(config.incarnation),
+            highest_term_number: 0,
+            next_heartbeat: now,
+            next_announcement: now,
+            next_membership_change: now,
+            started_at: now,
+            members_changed_at: now,
+            last_tick: now,
+            up_to_date: false,
+            oldest_pending: None,
+            unconfirmed: false,
+            recovery_sources: BTreeSet::new(),
+            recovered_pending: BTreeMap::new(),
+            dirty_items: BTreeSet::new(),
             dirty_acceptor: false,
             dirty_progress: false,
-            news: Vec::new(),
-            out: Vec::new(),
-            place,
+            newly_chosen: Vec::new(),
+            outputs: Vec::new(),
+            config,
         };
-        book.round = book.acceptor.promised.number;
-        book.index();
-        book.contiguous = position::Contiguous::at_start(book.progress.position, book.acceptor.joined);
-        book.take_seats();
-        book.votes = !blank && book.is_seat(book.place.local.host);
-        book.inherited = !book.pending.is_empty();
+        replica.highest_term_number = replica.acceptor.promised.number;
+        replica.rebuild_indexes();
+        replica.accepted_prefix =
+            position::AcceptedPrefix::at_start(replica.progress.position, replica.acceptor.joined);
+        replica.load_members();
+        replica.voting = !blank && replica.is_member(replica.config.local.host);
+        replica.unconfirmed = !replica.pending_names.is_empty();
         if blank {
-            book.note_first_start();
+            replica.record_bootstrap_role();
         }
-        book
+        replica
     }
 
-    /// Makes all that is derived from the items.
-    fn index(&mut self) {
+    /// Rebuilds everything that is derived from the entries.
+    fn rebuild_indexes(&mut self) {
         let names: Vec<String> = self.items.keys().cloned().collect();
         for name in &names {
-            self.refact(name);
+            self.update_config(name);
             let item = &self.items[name];
             if let Some(entry) = &item.chosen {
                 self.digest ^= fennelscale_config::entry_hash((name, entry));
-                self.by_stamp.insert((entry.stamp, name.clone()));
+                self.chosen_by_stamp.insert((entry.stamp, name.clone()));
             }
             if item.pending.is_some() {
-                self.pending.insert(name.clone());
+                self.pending_names.insert(name.clone());
             }
         }
     }
 
-    /// What must be on the disk before [`Self::take_outputs`] are carried out.
+    /// Takes the changes that must be persisted before [`Self::take_outputs`] is carried out.
     pub fn take_writes(&mut self) -> DiskWrites {
         let acceptor = std::mem::take(&mut self.dirty_acceptor).then_some(self.acceptor);
-        let dirty = std::mem::take(&mut self.dirty);
-        // How far the copy goes is told with what it goes by; alone it is not worth a sync.
+        let dirty = std::mem::take(&mut self.dirty_items);
+        // Progress is persisted with other changes; on its own it is not worth a sync.
         let write = std::mem::take(&mut self.dirty_progress) || acceptor.is_some() || !dirty.is_empty();
         let progress = write.then_some(self.progress);
         let item = |name: String| {
@@ -311,217 +322,227 @@
         DiskWrites { acceptor, progress, items: dirty.into_iter().map(item).collect() }
     }
 
-    /// What is to be done, in this order.
+    /// Takes the pending actions, in the order in which they are to be carried out.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        let news = std::mem::take(&mut self.news);
-        if !news.is_empty() {
-            self.out.push(Output::Chosen(news));
+        let chosen = std::mem::take(&mut self.newly_chosen);
+        if !chosen.is_empty() {
+            self.outputs.push(Output::Chosen(chosen));
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// All that is chosen, for a registry that begins to listen.
+    /// All chosen entries except the member list, for a registry that connects.
     pub fn published_entries(&self) -> Vec<NamedEntry> {
         let chosen = self.chosen_entries().filter(|(name, _)| *name != MEMBERS_KEY);
-        chosen.map(|(name, entry)| (name.clone(), versions::published(entry))).collect()
+        chosen.map(|(name, entry)| (name.clone(), versions::without_history(entry))).collect()
     }
 
-    /// The entries that are chosen, the list of seats among them.
+    /// All chosen entries, including the member list.
     pub fn chosen_entries(&self) -> impl Iterator<Item = (&String, &Entry)> {
         self.items.iter().filter_map(|(name, item)| Some((name, item.chosen.as_ref()?)))
     }
 
-    /// The list of seats.
+    /// Current member list.
     pub fn members(&self) -> &MemberList {
-        &self.seats
+        &self.members
     }
 
     /// Whether this copy is as new as a quorum's.
     pub fn is_up_to_date(&self) -> bool {
-        self.fresh
+        self.up_to_date
     }
 
-    /// Whether this store is the one that writes.
+    /// Whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
-        matches!(self.turn, Turn::Holding(_))
+        matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this store counts towards a quorum.
+    /// Whether this replica votes and counts towards a quorum.
     pub fn is_voting(&self) -> bool {
-        self.votes
+        self.voting
     }
 
-    /// What was promised.
+    /// Durable state of the acceptor.
     pub fn acceptor(&self) -> AcceptorState {
         self.acceptor
     }
 
-    /// An item, with what is pending of it.
+    /// State of one entry, including its pending version.
     pub fn item(&self, name: &str) -> Option<&Item> {
         self.items.get(name)
     }
 
-    fn is_seat(&self, host: Host) -> bool {
-        self.seats.members.iter().any(|seat| seat.host == host)
+    fn is_member(&self, host: Host) -> bool {
+        self.members.members.iter().any(|member| member.host == host)
     }
 
     fn quorum(&self) -> usize {
-        quorum(&self.seats, self.place.fault_tolerance)
+        quorum(&self.members, self.config.fault_tolerance)
     }
 
-    fn others(&self) -> Vec<Host> {
-        let me = self.place.local.host;
-        self.seats.members.iter().map(|seat| seat.host).filter(|host| *host != me).collect()
+    fn other_members(&self) -> Vec<Host> {
+        let local = self.config.local.host;
+        self.members.members.iter().map(|member| member.host).filter(|host| *host != local).collect()
     }
 
-    fn send(&mut self, to: Host, word: StoreMessage) {
-        self.out.push(Output::Send(to, word));
+    fn send(&mut self, to: Host, message: StoreMessage) {
+        self.outputs.push(Output::Send(to, message));
     }
 
-    fn log(&mut self, event: &'static str, what: String) {
-        self.out.push(Output::Log(event, what));
+    fn log(&mut self, event: &'static str, details: String) {
+        self.outputs.push(Output::Log(event, details));
     }
 
-    /// The newest word on a name: what is taken in this turn goes before what is chosen.
-    fn view(&self, name: &str) -> Option<&Entry> {
+    /// Latest version of an entry: the pending one if there is one, otherwise the chosen one.
+    fn latest_entry(&self, name: &str) -> Option<&Entry> {
         let item = self.items.get(name)?;
         item.pending.as_ref().or(item.chosen.as_ref())
     }
 
-    fn refact(&mut self, name: &str) {
-        let entry = self.view(name).and_then(|e| Some((e.host.clone(), e.body.clone()?)));
+    fn update_config(&mut self, name: &str) {
+        let entry = self.latest_entry(name).and_then(|e| Some((e.host.clone(), e.body.clone()?)));
         let fact = entry.and_then(|(host, body)| fennelscale_config::parse_item(name, &host, &body).ok());
-        self.standing.set(name, fact);
+        self.latest_config.set(name, fact);
     }
 
-    /// Time passes; to be told every so often, at least each quarter of a [`HEARTBEAT_INTERVAL`].
+    /// Handles timeouts; must be called at least every quarter of a [`HEARTBEAT_INTERVAL`].
     pub fn tick(&mut self, now: Millis) {
         self.membership_tick(now);
         self.transfer_tick(now);
-        self.writer_tick(now);
+        self.leader_tick(now);
         self.calls_tick(now);
-        if now < self.beat_at {
+        if now < self.next_heartbeat {
             return;
         }
-        // After a start others are to find soon that this copy is as new as theirs, or not.
-        self.beat_at = now + if self.fresh { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
-        self.look_stuck(now);
-        if self.votes {
-            let beat = StoreMessage::Heartbeat {
-                members_version: self.seats.version,
+        // Until this copy is up to date, heartbeats are more frequent, so that both sides soon learn who is
+        // behind.
+        self.next_heartbeat =
+            now + if self.up_to_date { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 3.0 };
+        self.resolve_stuck_write(now);
+        if self.voting {
+            let heartbeat = StoreMessage::Heartbeat {
+                members_version: self.members.version,
                 promised: self.acceptor.promised,
                 voting: true,
                 leaving: self.leaving,
-                unconfirmed: self.inherited,
-                newest: self.newest(),
+                unconfirmed: self.unconfirmed,
+                newest: self.chosen_end(),
                 digest: self.digest,
             };
-            for host in self.others() {
-                self.send(host, beat.clone());
+            for host in self.other_members() {
+                self.send(host, heartbeat.clone());
             }
         }
-        self.look_fresh(now);
+        self.update_freshness(now);
     }
 
-    /// A copy is as new as a quorum's if it holds all that each of them held at its last beat. Changes in quick succession do not
-    /// make it doubtful: places are compared, not contents at a moment.
-    fn look_fresh(&mut self, now: Millis) {
+    /// A copy is as new as a quorum's if it is complete up to the positions that a quorum reported in its
+    /// last heartbeats. Positions are compared rather than contents, so that a copy stays up to date during
+    /// rapid changes.
+    fn update_freshness(&mut self, now: Millis) {
         let position = self.progress.position;
         let covered = |peer: &Peer| {
-            peer.votes && !peer.unconfirmed && now - peer.heard < PEER_TIMEOUT && peer.newest <= position
+            peer.voting
+                && !peer.unconfirmed
+                && now - peer.last_heartbeat < PEER_TIMEOUT
+                && peer.chosen_end <= position
         };
-        let heard = self.others().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
-        let enough = heard + usize::from(self.votes) >= self.quorum();
-        self.fresh = !self.seats.members.is_empty() && enough && !self.inherited;
-        // Said with each beat: the registry goes by it for a while only, since a store that hangs cannot take it back.
-        self.out.push(Output::UpToDate(self.fresh));
+        let heard =
+            self.other_members().iter().filter(|host| self.peers.get(host).is_some_and(covered)).count();
+        let enough = heard + usize::from(self.voting) >= self.quorum();
+        self.up_to_date = !self.members.members.is_empty() && enough && !self.unconfirmed;
+        // Repeated with each heartbeat: the registry relies on it only for a short time, since a hung replica
+        // cannot withdraw it.
+        self.outputs.push(Output::UpToDate(self.up_to_date));
     }
 
-    /// Seats that ask by themselves take their turns, by their place in the list.
-    pub(crate) fn place_in_list(&self) -> f64 {
-        self.seats.members.iter().position(|seat| seat.host == self.place.local.host).unwrap_or(0) as f64
+    /// Position in the member list; staggers elections that members start by themselves.
+    pub(crate) fn member_index(&self) -> f64 {
+        self.members.members.iter().position(|member| member.host == self.config.local.host).unwrap_or(0)
+            as f64
     }
 
-    /// A write that was taken here stays unknown where its writer died before it could say that it is chosen, though it may have
-    /// acknowledged it. Who takes the next turn finds out; with no caller, a seat does so by itself.
-    fn look_stuck(&mut self, now: Millis) {
+    /// A leader may fail after it acknowledged a write and before it reported the write as chosen. The next
+    /// leader finds out; without a call that triggers an election, a member starts one itself.
+    fn resolve_stuck_write(&mut self, now: Millis) {
         let stamp = |name: &String| self.items[name].pending.as_ref().map(|entry| entry.stamp);
-        let oldest = self.pending.iter().filter_map(stamp).min();
+        let oldest = self.pending_names.iter().filter_map(stamp).min();
         let Some(oldest) = oldest else {
-            (self.stuck, self.inherited) = (None, false);
+            (self.oldest_pending, self.unconfirmed) = (None, false);
             return;
         };
-        if !self.votes || !matches!(self.turn, Turn::Idle) {
+        if !self.voting || !matches!(self.role, Role::Follower) {
             return;
         }
-        let since = self.stuck.filter(|(stamp, _)| *stamp == oldest).map_or(now, |(_, since)| since);
-        self.stuck = Some((oldest, since));
-        // A writer that lives will say so, unless it has forgotten.
-        let wait = if self.writer(now).is_some() { STUCK } else { PEER_TIMEOUT };
-        if now - since >= wait + self.place_in_list() * APART {
-            self.stuck = None;
-            self.ask_turn(now);
+        let since = self.oldest_pending.filter(|(stamp, _)| *stamp == oldest).map_or(now, |(_, since)| since);
+        self.oldest_pending = Some((oldest, since));
+        // A leader that is up reports the write as chosen, unless it has forgotten it.
+        let wait = if self.known_leader(now).is_some() { STUCK_WRITE_TIMEOUT } else { PEER_TIMEOUT };
+        if now - since >= wait + self.member_index() * ELECTION_STAGGER {
+            self.oldest_pending = None;
+            self.start_election(now);
         }
     }
 
-    /// A word from another store.
-    pub fn receive(&mut self, now: Millis, from: Host, word: StoreMessage) {
-        // Only who writes, or asks to, goes by it.
-        if !matches!(self.turn, Turn::Idle) && self.is_seat(from) {
-            self.contact.insert(from, now);
+    /// Handles a message from another replica.
+    pub fn receive(&mut self, now: Millis, from: Host, message: StoreMessage) {
+        // Only the leader and candidates use the time of last contact.
+        if !matches!(self.role, Role::Follower) && self.is_member(from) {
+            self.last_contact.insert(from, now);
         }
-        match word {
-            StoreMessage::Announce { member: seat, position } => self.on_announce(now, from, seat, position),
+        match message {
+            StoreMessage::Announce { member, position } => self.on_announce(now, from, member, position),
             StoreMessage::Heartbeat {
-                members_version: seats,
+                members_version: members,
                 promised,
-                voting: votes,
+                voting,
                 leaving,
                 unconfirmed,
                 newest,
                 digest,
             } => {
-                self.round = self.round.max(promised.number);
+                self.highest_term_number = self.highest_term_number.max(promised.number);
                 let peer = self.peers.entry(from).or_default();
-                (peer.heard, peer.votes, peer.leaving) = (now, votes, leaving);
-                (peer.unconfirmed, peer.newest) = (unconfirmed, newest);
-                if seats > self.seats.version {
+                (peer.last_heartbeat, peer.voting, peer.leaving) = (now, voting, leaving);
+                (peer.unconfirmed, peer.chosen_end) = (unconfirmed, newest);
+                if members > self.members.version {
                     self.announce_to(from);
-                } else if seats < self.seats.version {
-                    // Its place may have been taken while it was away: then nobody else says a word to it.
-                    self.tell_seats(from);
+                } else if members < self.members.version {
+                    // It may have been replaced while it was away, in which case no other replica sends it
+                    // anything.
+                    self.send_members(from);
                 }
-                if votes {
-                    self.compare(now, from, newest, digest);
+                if voting {
+                    self.compare_with_peer(now, from, newest, digest);
                 }
             }
-            StoreMessage::Prepare(epoch, since) => self.on_prepare(from, epoch, since),
-            StoreMessage::Promise { term: epoch, joined, chosen, more, pending } => {
+            StoreMessage::Prepare(term, since) => self.on_prepare(from, term, since),
+            StoreMessage::Promise { term, joined, chosen, more, pending } => {
                 if more {
-                    self.give_up_asking(now, from, epoch);
+                    self.abandon_election(now, from, term);
                 } else {
-                    self.on_promise(now, from, epoch, joined, chosen, pending);
+                    self.on_promise(now, from, term, joined, chosen, pending);
                 }
             }
-            StoreMessage::BeginTerm { term: epoch, entries, digest, missing: lacked } => {
-                self.on_begin(from, epoch, entries, digest, lacked);
+            StoreMessage::BeginTerm { term, entries, digest, missing } => {
+                self.on_begin(from, term, entries, digest, missing);
             }
             StoreMessage::Accept { stamp, entries, chosen } => self.on_accept(from, stamp, entries, chosen),
             StoreMessage::Accepted(stamp) => self.on_accepted(now, from, stamp),
-            StoreMessage::Rejected(epoch) => self.on_refused(epoch),
-            StoreMessage::Behind(epoch, since) => self.on_behind(from, epoch, since),
-            StoreMessage::Chosen(stamp) => self.choose(stamp.term, stamp.sequence + 1),
-            StoreMessage::MemberList(entry) => self.merge(vec![(MEMBERS_KEY.to_owned(), entry)]),
-            StoreMessage::CatchUp => self.begin_transfer(now, from),
+            StoreMessage::Rejected(term) => self.on_rejected(term),
+            StoreMessage::Behind(term, since) => self.on_behind(from, term, since),
+            StoreMessage::Chosen(stamp) => self.mark_chosen(stamp.term, stamp.sequence + 1),
+            StoreMessage::MemberList(entry) => self.merge_chosen(vec![(MEMBERS_KEY.to_owned(), entry)]),
+            StoreMessage::CatchUp => self.start_transfer(now, from),
             StoreMessage::Fetch { since, after } => self.on_fetch(from, since, after),
             StoreMessage::Chunk(chunk) => self.on_chunk(now, from, chunk),
-            StoreMessage::Recover(since) => self.on_learn(from, since),
-            StoreMessage::RecoveryState { more: true, .. } => self.begin_transfer(now, from),
+            StoreMessage::Recover(since) => self.on_recovery_request(from, since),
+            StoreMessage::RecoveryState { more: true, .. } => self.start_transfer(now, from),
             StoreMessage::RecoveryState { promised, joined, chosen, more: false, pending } => {
-                self.on_learned(from, promised, joined, chosen, pending);
+                self.on_recovery_response(from, promised, joined, chosen, pending);
             }
-            StoreMessage::Forward(id, ask) => self.submit(now, Origin::Peer(from, id), ask),
-            StoreMessage::ForwardResponse(id, told) => self.on_passed(now, from, id, told),
+            StoreMessage::Forward(id, request) => self.submit(now, Origin::Peer(from, id), request),
+            StoreMessage::ForwardResponse(id, response) => self.on_forward_response(now, from, id, response),
         }
     }
 }
--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -100,7 +100,7 @@
         }
         let (Some(replica), Some(registry)) = (&self.replica, self.registry.as_mut()) else { return };
         self.joins_at = None;
-        registry.on_seats(now, replica.members().clone());
+        registry.on_core_members(now, replica.members().clone());
         registry.on_items(now, true, replica.published_entries());
         registry.on_store_freshness(now, replica.is_up_to_date());
     }
@@ -121,7 +121,7 @@
                 Output::Answer(id, response) => outputs.push(CoreOutput::Answer(id, response)),
                 Output::Chosen(_) | Output::Members(_) | Output::UpToDate(_) if !joined => {}
                 Output::Chosen(entries) => registry.on_items(now, false, entries),
-                Output::Members(members) => registry.on_seats(now, members),
+                Output::Members(members) => registry.on_core_members(now, members),
                 Output::UpToDate(up_to_date) => registry.on_store_freshness(now, up_to_date),
                 Output::Log(..) => {}
             }
--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -7,7 +7,7 @@
 use fennelscale_messages::session::{ProxyInfo, ProxyToRegistry, RegistryToProxy};
 use fennelscale_proxy::registry_choice::RegistryChoice;
 use fennelscale_proxy::routing_state::{ProxyLocation, RoutingState};
-use fennelscale_quota_lease::{Admission, Cache, Comer, Terms};
+use fennelscale_quota_lease::{Admission, LeaseCache, Quota, QuotaRequest};
 use std::collections::BTreeMap;
 
 /// The heartbeat interval and the session timeout, in ms, as in the program.
@@ -27,7 +27,7 @@
     pub(crate) routing_state: RoutingState,
     /// Chooses backends for requests, in simulations with backend load.
     decisions: Option<Decisions>,
-    cache: Cache,
+    cache: LeaseCache,
     /// The core machine of the session, and its incarnation.
     pub(crate) session: Option<(usize, u64)>,
     last_message_at: Millis,
@@ -58,7 +58,7 @@
             incarnation: 0,
             routing_state: RoutingState::new(location),
             decisions,
-            cache: Cache::new(0.0, 0),
+            cache: LeaseCache::new(0.0, 0),
             session: None,
             last_message_at: 0.0,
             next_heartbeat: 0.0,
@@ -82,7 +82,7 @@
         let with_decisions = self.decisions.is_some();
         self.decisions = with_decisions.then(|| Decisions::new(&self.zone, self.host, self.incarnation));
         self.cache =
-            Cache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.incarnation << 32));
+            LeaseCache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.incarnation << 32));
         (self.session, self.next_heartbeat) = (None, now);
         self.choice = RegistryChoice::default();
         self.seen.clear();
@@ -161,15 +161,15 @@
                 self.routing_state.up_to_date |= fresh;
             }
             RegistryToProxy::BackendList(backend_list) => {
-                drop(self.routing_state.set_backend_list(now, backend_list.clone()))
+                self.routing_state.set_backend_list(now, backend_list.clone());
             }
             RegistryToProxy::Proxies(members, gateways) => {
                 self.routing_state.set_proxies(now, members.clone(), *gateways);
-                self.cache.gateways(self.routing_state.proxy_count);
+                self.cache.set_proxy_count(self.routing_state.proxy_count);
             }
             RegistryToProxy::Grant(grant) => {
                 let mut admissions = Vec::new();
-                self.cache.grant(now, grant.clone(), out, &mut admissions);
+                self.cache.on_grant(now, grant.clone(), out, &mut admissions);
                 self.on_admissions(admissions);
             }
             RegistryToProxy::Heartbeat { contact_age } => {
@@ -222,7 +222,7 @@
             ready,
             items_hash: items,
             list_stamp: backend_list,
-            self_granted: self.cache.alone(now),
+            self_granted: self.cache.self_granted_shards(now),
         }
     }
 
@@ -235,8 +235,8 @@
 
     fn count(&mut self, tenant: String, admission: Admission) {
         match admission {
-            Admission::Taken => self.admitted.push(tenant),
-            Admission::Refused(_) | Admission::Waits => self.refused += 1,
+            Admission::Admitted => self.admitted.push(tenant),
+            Admission::Rejected(_) | Admission::Queued => self.refused += 1,
         }
     }
 
@@ -249,7 +249,7 @@
             .routing_state
             .table
             .tenant_by_name(tenant)
-            .map(|t| Terms { rate: t.rate_per_s, burst: t.burst })
+            .map(|t| Quota { rate: t.rate_per_s, burst: t.burst })
         else {
             return;
         };
@@ -258,10 +258,10 @@
             now,
             tenant,
             terms,
-            Comer { request: self.next, until: now + MAX_LEASE_WAIT, late: false },
+            QuotaRequest { id: self.next, deadline: now + MAX_LEASE_WAIT, is_late: false },
             out,
         );
-        if admission == Admission::Waits {
+        if admission == Admission::Queued {
             self.waiting.insert(self.next, tenant.to_owned());
         } else {
             self.count(tenant.to_owned(), admission);
--- a/system/simulation/src/simulation.rs
+++ b/system/simulation/src/simulation.rs
@@ -541,9 +541,9 @@
                 | Output::StoreEvents(_)
                 | Output::ReadEvents(..)
                 | Output::DeliverEvents(..) => {}
-                Output::ReadRequestTrace(..)
-                | Output::DeliverRequestTrace(..)
-                | Output::DeliverProxyTrace(..)
+                Output::LookUpRequest(..)
+                | Output::DeliverRequestRecords(..)
+                | Output::DeliverRequestRecord(..)
                 | Output::Log(..) => {}
             }
         }
--- a/system/simulation/tests/hard.rs
+++ b/system/simulation/tests/hard.rs
@@ -1,6 +1,6 @@
 //! Hard cases: faults that must be tolerated but are rarely drawn at random.
 
-use fennelscale_membership::duties::bit_of;
+use fennelscale_membership::duties::shard_bit;
 use fennelscale_simulation::{Config, Fault, Rng, Simulation};
 
 fn regions(n: usize) -> [usize; 2] {
@@ -85,7 +85,7 @@
         let mut simulation = Simulation::new(seed, Config { proxies: 6, tenants: 2, ..Config::default() });
         simulation.fault(Fault::Overload(0, 8.0));
         simulation.run(2000.0 + 90.0 * seed as f64);
-        let holder = simulation.holder(bit_of("t0")).expect("a registry holds the duty");
+        let holder = simulation.holder(shard_bit("t0")).expect("a registry holds the duty");
         let before = simulation.served;
         simulation.fault(Fault::KillCore(holder));
         simulation.run(4000.0);
@@ -96,7 +96,7 @@
             "seed {seed}: {} in four seconds",
             simulation.served - before
         );
-        assert!(simulation.holder(bit_of("t0")).is_some_and(|next| next != holder), "seed {seed}");
+        assert!(simulation.holder(shard_bit("t0")).is_some_and(|next| next != holder), "seed {seed}");
         simulation.fault(Fault::StartCore(holder));
         simulation.recover();
         check(&simulation, &format!("seed {seed}"));
