--- a/system/simulation/src/proxy.rs
+++ b/system/simulation/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy: what it holds of the news, its lease cache, its session.
+//! A proxy: its routing state, its quota lease cache and its session.
 
 use crate::Millis;
 use crate::decisions::{Decisions, Send};
@@ -10,11 +10,11 @@
 use fennelscale_quota_lease::{Admission, LeaseCache, Quota, QuotaRequest};
 use std::collections::BTreeMap;
 
-/// As the program has it: beats and silence.
-const BEAT: Millis = 400.0;
-const SILENT: Millis = 1500.0;
-/// A request waits for a block at most so long.
-const WAITS: Millis = 150.0;
+/// The heartbeat interval and the session timeout, in ms, as in the program.
+const HEARTBEAT_INTERVAL: Millis = 400.0;
+const SESSION_TIMEOUT: Millis = 1500.0;
+/// How long a request waits at most for a quota lease, in ms.
+const MAX_LEASE_WAIT: Millis = 150.0;
 
 /// One proxy.
 pub(crate) struct Proxy {
@@ -23,45 +23,45 @@
     pub(crate) region: String,
     zones: BTreeMap<String, String>,
     pub(crate) up: bool,
-    pub(crate) life: u64,
-    pub(crate) held: RoutingState,
-    /// Where clients press: which backends get their requests.
+    pub(crate) incarnation: u64,
+    pub(crate) routing_state: RoutingState,
+    /// Chooses backends for requests, in simulations with backend load.
     decisions: Option<Decisions>,
     cache: LeaseCache,
-    /// The core machine of the session, and its life.
+    /// The core machine of the session, and its incarnation.
     pub(crate) session: Option<(usize, u64)>,
-    heard: Millis,
-    beat_at: Millis,
+    last_message_at: Millis,
+    next_heartbeat: Millis,
     choice: RegistryChoice,
-    /// The newest version of each item that this life has held.
+    /// The newest version of each item that this incarnation has held.
     seen: BTreeMap<String, u64>,
     waiting: BTreeMap<u64, String>,
     next: u64,
-    /// Whose requests were let in since it was last asked.
+    /// The tenants of requests admitted since the last check.
     pub(crate) admitted: Vec<String>,
     pub(crate) refused: usize,
     pub(crate) violations: Vec<String>,
 }
 
 impl Proxy {
-    pub(crate) fn new(n: usize, zones: &BTreeMap<String, String>, pressed: bool) -> Self {
+    pub(crate) fn new(n: usize, zones: &BTreeMap<String, String>, with_decisions: bool) -> Self {
         let zone = format!("z{}", n % zones.len());
         let (host, region) = (Host(1000 + n as u32), zones[&zone].clone());
-        let place = place(host, &zone, &region, zones);
-        let decisions = pressed.then(|| Decisions::new(&zone, host, 0));
+        let location = location(host, &zone, &region, zones);
+        let decisions = with_decisions.then(|| Decisions::new(&zone, host, 0));
         Self {
             host,
             zone,
             region,
             zones: zones.clone(),
             up: false,
-            life: 0,
-            held: RoutingState::new(place),
+            incarnation: 0,
+            routing_state: RoutingState::new(location),
             decisions,
             cache: LeaseCache::new(0.0, 0),
             session: None,
-            heard: 0.0,
-            beat_at: 0.0,
+            last_message_at: 0.0,
+            next_heartbeat: 0.0,
             choice: RegistryChoice::default(),
             seen: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -76,14 +76,14 @@
         if self.up {
             return;
         }
-        self.life += 1;
+        self.incarnation += 1;
         self.up = true;
-        self.held = RoutingState::new(place(self.host, &self.zone, &self.region, &self.zones));
-        let pressed = self.decisions.is_some();
-        self.decisions = pressed.then(|| Decisions::new(&self.zone, self.host, self.life));
+        self.routing_state = RoutingState::new(location(self.host, &self.zone, &self.region, &self.zones));
+        let with_decisions = self.decisions.is_some();
+        self.decisions = with_decisions.then(|| Decisions::new(&self.zone, self.host, self.incarnation));
         self.cache =
-            LeaseCache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.life << 32));
-        (self.session, self.beat_at) = (None, now);
+            LeaseCache::new(now, fennelscale_messages::mix(u64::from(self.host.0) ^ self.incarnation << 32));
+        (self.session, self.next_heartbeat) = (None, now);
         self.choice = RegistryChoice::default();
         self.seen.clear();
         self.waiting.clear();
@@ -93,33 +93,33 @@
         (self.up, self.session) = (false, None);
     }
 
-    pub(crate) fn member(&self) -> ProxyInfo {
+    pub(crate) fn info(&self) -> ProxyInfo {
         ProxyInfo {
             host: self.host,
-            incarnation: self.life,
+            incarnation: self.incarnation,
             zone: self.zone.clone(),
             region: self.region.clone(),
             port: 80,
-            ready: self.held.is_ready(),
+            ready: self.routing_state.is_ready(),
             idle_nodes: Vec::new(),
         }
     }
 
-    /// The session is over, and its registry not thought of for a while.
-    pub(crate) fn lost(&mut self, now: Millis) {
+    /// Ends the session; its registry is not tried again for a while.
+    pub(crate) fn on_session_lost(&mut self, now: Millis) {
         if let Some((core, _)) = self.session.take() {
             self.choice.record_failure(now, core_host(core));
         }
     }
 
-    /// The core machine to dial; `cores` are all that are known, the nearest first.
+    /// The core machine to connect to; `cores` are all known ones, nearest first.
     pub(crate) fn next_core(&mut self, now: Millis, cores: &[usize]) -> Option<usize> {
         let hosts: Vec<Host> = cores.iter().map(|core| core_host(*core)).collect();
         let next = self.choice.next_registry(now, &hosts)?;
         cores.iter().copied().find(|core| core_host(*core) == next)
     }
 
-    /// Core machines to look at in place of the session's, which is out of contact.
+    /// Core machines to try instead of the session's, which is out of contact.
     pub(crate) fn alternatives(&mut self, now: Millis, cores: &[usize]) -> Vec<usize> {
         let Some((current, _)) = self.session else { return Vec::new() };
         let hosts: Vec<Host> = cores.iter().map(|core| core_host(*core)).collect();
@@ -127,28 +127,29 @@
         cores.iter().copied().filter(|core| chosen.contains(&core_host(*core))).collect()
     }
 
-    pub(crate) fn dialled(&mut self, now: Millis, core: usize, life: u64) -> ProxyToRegistry {
-        (self.session, self.heard, self.beat_at) = (Some((core, life)), now, now + BEAT);
-        if self.held.items_hash() == 0 {
-            ProxyToRegistry::Hello(self.member())
+    pub(crate) fn on_connected(&mut self, now: Millis, core: usize, incarnation: u64) -> ProxyToRegistry {
+        (self.session, self.last_message_at, self.next_heartbeat) =
+            (Some((core, incarnation)), now, now + HEARTBEAT_INTERVAL);
+        if self.routing_state.items_hash() == 0 {
+            ProxyToRegistry::Hello(self.info())
         } else {
-            ProxyToRegistry::Resume(self.member(), self.held.digest())
+            ProxyToRegistry::Resume(self.info(), self.routing_state.digest())
         }
     }
 
-    pub(crate) fn dial_failed(&mut self, now: Millis, core: usize) {
+    pub(crate) fn on_connect_failed(&mut self, now: Millis, core: usize) {
         self.choice.record_failure(now, core_host(core));
     }
 
-    /// A word of the session's registry.
-    pub(crate) fn word(&mut self, now: Millis, word: &RegistryToProxy, out: &mut Vec<ProxyToRegistry>) {
-        self.heard = now;
-        let was = self.held.is_ready();
-        match word {
+    /// Handles a message of the session's registry.
+    pub(crate) fn receive(&mut self, now: Millis, message: &RegistryToProxy, out: &mut Vec<ProxyToRegistry>) {
+        self.last_message_at = now;
+        let was_ready = self.routing_state.is_ready();
+        match message {
             RegistryToProxy::Items { up_to_date: fresh, entries, .. } => {
                 for (name, entry) in entries {
                     let seen = self.seen.entry(name.clone()).or_default();
-                    let known = self.held.merge(now, vec![(name.clone(), entry.clone())]);
+                    let known = self.routing_state.merge(now, vec![(name.clone(), entry.clone())]);
                     if known.is_empty() {
                         continue;
                     }
@@ -157,70 +158,76 @@
                     }
                     *seen = entry.revision;
                 }
-                self.held.up_to_date |= fresh;
+                self.routing_state.up_to_date |= fresh;
+            }
+            RegistryToProxy::BackendList(backend_list) => {
+                self.routing_state.set_backend_list(now, backend_list.clone());
             }
-            RegistryToProxy::BackendList(listing) => drop(self.held.set_backend_list(now, listing.clone())),
             RegistryToProxy::Proxies(members, gateways) => {
-                self.held.set_proxies(now, members.clone(), *gateways);
-                self.cache.set_proxy_count(self.held.proxy_count);
+                self.routing_state.set_proxies(now, members.clone(), *gateways);
+                self.cache.set_proxy_count(self.routing_state.proxy_count);
             }
             RegistryToProxy::Grant(grant) => {
-                let mut told = Vec::new();
-                self.cache.on_grant(now, grant.clone(), out, &mut told);
-                self.told(told);
+                let mut admissions = Vec::new();
+                self.cache.on_grant(now, grant.clone(), out, &mut admissions);
+                self.on_admissions(admissions);
             }
             RegistryToProxy::Heartbeat { contact_age } => {
                 self.choice.record_heartbeat(now, f64::from(*contact_age))
             }
-            RegistryToProxy::RequestDigest => out.push(ProxyToRegistry::Digest(self.held.digest())),
+            RegistryToProxy::RequestDigest => out.push(ProxyToRegistry::Digest(self.routing_state.digest())),
             RegistryToProxy::Registries(_)
             | RegistryToProxy::Time(..)
             | RegistryToProxy::LookUpRequest(..) => {}
         }
-        // As in the program: whatever may bear on the choice of a backend is told to the decisions with the word that brought it.
+        // As in the program, anything that may affect the choice of a backend reaches the decision engine
+        // with the message that brought it.
         if matches!(
-            word,
+            message,
             RegistryToProxy::Items { .. } | RegistryToProxy::BackendList(_) | RegistryToProxy::Proxies(..)
         ) && let Some(decisions) = &mut self.decisions
         {
-            decisions.tell(now, &mut self.held);
+            decisions.update(now, &mut self.routing_state);
         }
-        if !was && self.held.is_ready() {
-            out.push(self.beat(now));
+        if !was_ready && self.routing_state.is_ready() {
+            out.push(self.heartbeat(now));
         }
     }
 
-    /// So many requests come that go on to backends. Those that do.
-    pub(crate) fn press(&mut self, now: Millis, arrivals: usize) -> Vec<Send> {
+    /// Submits new requests to the decision engine; returns those that are sent to backends.
+    pub(crate) fn send_backend_requests(&mut self, now: Millis, arrivals: usize) -> Vec<Send> {
         let Some(decisions) = self.decisions.as_mut().filter(|_| self.up) else { return Vec::new() };
-        let arrivals = if self.held.is_ready() { arrivals } else { 0 };
-        decisions.tick(now, arrivals, &mut self.held)
+        let arrivals = if self.routing_state.is_ready() { arrivals } else { 0 };
+        decisions.tick(now, arrivals, &mut self.routing_state)
     }
 
-    /// How a request that went to a backend ends.
-    pub(crate) fn ends(&mut self, now: Millis, sent: Send, outcome: Outcome, after: Millis) {
+    /// Schedules the end of a request that was sent to a backend.
+    pub(crate) fn finish_request(&mut self, now: Millis, sent: Send, outcome: Outcome, after: Millis) {
         if let Some(decisions) = &mut self.decisions {
-            decisions.ends(now, sent, outcome, after);
+            decisions.finish_request(now, sent, outcome, after);
         }
     }
 
-    pub(crate) fn sent_without_terms(&self) -> u64 {
-        self.decisions.as_ref().map_or(0, Decisions::sent_without_terms)
+    pub(crate) fn sent_without_parameters(&self) -> u64 {
+        self.decisions.as_ref().map_or(0, Decisions::sent_without_parameters)
     }
 
-    fn beat(&self, now: Millis) -> ProxyToRegistry {
-        let (ready, items, listing) =
-            (self.held.is_ready(), self.held.items_hash(), self.held.backend_list.stamp);
+    fn heartbeat(&self, now: Millis) -> ProxyToRegistry {
+        let (ready, items, backend_list) = (
+            self.routing_state.is_ready(),
+            self.routing_state.items_hash(),
+            self.routing_state.backend_list.stamp,
+        );
         ProxyToRegistry::Heartbeat {
             ready,
             items_hash: items,
-            list_stamp: listing,
+            list_stamp: backend_list,
             self_granted: self.cache.self_granted_shards(now),
         }
     }
 
-    fn told(&mut self, told: Vec<(u64, Admission)>) {
-        for (request, admission) in told {
+    fn on_admissions(&mut self, admissions: Vec<(u64, Admission)>) {
+        for (request, admission) in admissions {
             let Some(tenant) = self.waiting.remove(&request) else { continue };
             self.count(tenant, admission);
         }
@@ -233,13 +240,16 @@
         }
     }
 
-    /// A request of a tenant.
+    /// Handles a request of a tenant.
     pub(crate) fn request(&mut self, now: Millis, tenant: &str, out: &mut Vec<ProxyToRegistry>) {
-        if !self.up || !self.held.is_ready() {
+        if !self.up || !self.routing_state.is_ready() {
             return;
         }
-        let Some(terms) =
-            self.held.table.tenant_by_name(tenant).map(|t| Quota { rate: t.rate_per_s, burst: t.burst })
+        let Some(terms) = self
+            .routing_state
+            .table
+            .tenant_by_name(tenant)
+            .map(|t| Quota { rate: t.rate_per_s, burst: t.burst })
         else {
             return;
         };
@@ -248,7 +258,7 @@
             now,
             tenant,
             terms,
-            QuotaRequest { id: self.next, deadline: now + WAITS, is_late: false },
+            QuotaRequest { id: self.next, deadline: now + MAX_LEASE_WAIT, is_late: false },
             out,
         );
         if admission == Admission::Queued {
@@ -259,27 +269,27 @@
     }
 
     pub(crate) fn tick(&mut self, now: Millis, out: &mut Vec<ProxyToRegistry>) {
-        let mut told = Vec::new();
-        self.cache.tick(now, out, &mut told);
-        self.told(told);
-        if self.session.is_some() && now - self.heard >= SILENT {
-            self.lost(now);
+        let mut admissions = Vec::new();
+        self.cache.tick(now, out, &mut admissions);
+        self.on_admissions(admissions);
+        if self.session.is_some() && now - self.last_message_at >= SESSION_TIMEOUT {
+            self.on_session_lost(now);
         }
-        if self.session.is_some() && now >= self.beat_at {
-            self.beat_at = now + BEAT;
-            out.push(self.beat(now));
+        if self.session.is_some() && now >= self.next_heartbeat {
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+            out.push(self.heartbeat(now));
         }
     }
 
-    pub(crate) fn held_size(&self) -> usize {
-        format!("{:?}", self.held).len()
+    pub(crate) fn routing_state_size(&self) -> usize {
+        format!("{:?}", self.routing_state).len()
     }
 
     pub(crate) fn cache_size(&self) -> usize {
         format!("{:?}", self.cache).len()
     }
 
-    /// The version of an item that is in force here, and whether it stands.
+    /// The version of an item that is in force here; 0 if there is none.
     pub(crate) fn version(&self, name: &str) -> u64 {
         self.seen.get(name).copied().unwrap_or(0)
     }
@@ -290,7 +300,7 @@
     Host(core as u32 + 1)
 }
 
-fn place(host: Host, zone: &str, region: &str, zones: &BTreeMap<String, String>) -> ProxyLocation {
+fn location(host: Host, zone: &str, region: &str, zones: &BTreeMap<String, String>) -> ProxyLocation {
     ProxyLocation {
         host,
         zone: zone.to_owned(),
