--- a/crates/dataplane/src/back/backends.rs
+++ b/crates/dataplane/src/back/backends.rs
@@ -1,7 +1,7 @@
 //! The backends' side: where they listen, the connections to them, attempts and probes and how they end.
 
-use crate::back::link::{Link, Progress, is_descriptor_shortage};
-use crate::observe::Life;
+use crate::back::connection::{HttpConnection, Progress, is_descriptor_shortage};
+use crate::lifecycle::Lifecycle;
 use bytes::Bytes;
 use doorcourse::{BackendState, LoadReport, LoadReportSource, Name, Outcome};
 use fennelscale_settings::list::List;
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// The largest body that is taken, either way.
-pub const LARGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY: usize = 64 * 1024;
 /// An answer that has begun must be whole after this: it is small and ready when its first byte is written.
 const ANSWER: Duration = Duration::from_millis(250);
 /// Idle connections are looked after this often.
@@ -60,7 +60,7 @@
     pub id: HeaderValue,
     /// Whether it may be sent again if its connection breaks.
     pub repeatable: bool,
-    /// The headers that go on; [`Speech::request`] adds those that it needs.
+    /// The headers that go on; [`Protocol::build_request`] adds those that it needs.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
@@ -79,7 +79,7 @@
 
 /// How an attempt or a probe ended.
 #[derive(Debug)]
-pub struct End {
+pub struct AttemptResult {
     /// How it ended.
     pub outcome: Outcome,
     /// What was served.
@@ -88,7 +88,7 @@
     pub load: Option<LoadReport>,
 }
 
-impl From<Outcome> for End {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
         Self { outcome, answer: None, load: None }
     }
@@ -113,21 +113,21 @@
     /// It is the client's answer.
     Served,
     /// The request was turned away and has not run.
-    Full,
+    Rejected,
     /// Another backend has its address by now; the request has not run.
-    Elsewhere,
+    Misdirected,
     /// It is none for the client; the request may have run.
     Error,
 }
 
 /// What a deployment's backends speak, beyond HTTP.
-pub trait Speech {
+pub trait Protocol {
     /// The head of a request; `left` is the time until its client gives up.
-    fn request(&self, message: &Message, backend: &Name, dial: SocketAddr, left: Duration) -> Builder;
+    fn build_request(&self, message: &Message, backend: &Name, dial: SocketAddr, left: Duration) -> Builder;
     /// What an answer says; of a request that is `repeatable`, another backend's answer may be the better one.
     fn verdict(&self, head: &response::Parts, repeatable: bool) -> Verdict;
     /// The path that is asked for a sign of life, or for a load report where there are any.
-    fn probe(&self) -> &str;
+    fn probe_path(&self) -> &str;
 }
 
 struct Backend {
@@ -138,7 +138,7 @@
     /// When it last answered anything.
     heard: Instant,
     /// Free connections, the one used last at the end, and since when.
-    idle: Vec<(Link, Instant)>,
+    idle: Vec<(HttpConnection, Instant)>,
     /// When bytes for nobody last came from it.
     fault: Option<Instant>,
     /// How long it keeps idle connections, where it says so.
@@ -209,19 +209,19 @@
 
 /// What connections to backends may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// The most connections to all backends together.
-    pub most_open: usize,
+    pub max_connections: usize,
     /// The largest body of an answer.
-    pub largest_body: usize,
+    pub max_body: usize,
     /// An answer that has begun must be whole after this.
-    pub answer: Duration,
+    pub answer_timeout: Duration,
 }
 
-impl Bounds {
+impl ConnectionLimits {
     /// Those of small answers, which are ready when their first byte is written.
-    pub fn small(most_open: usize) -> Self {
-        Self { most_open, largest_body: LARGEST_BODY, answer: ANSWER }
+    pub fn for_small_answers(max_connections: usize) -> Self {
+        Self { max_connections, max_body: MAX_BODY, answer_timeout: ANSWER }
     }
 }
 
@@ -269,8 +269,8 @@
     longest_idle: Duration,
     reports: LoadReportSource,
     reuse: Reuse,
-    speech: Rc<dyn Speech>,
-    bounds: Bounds,
+    protocol: Rc<dyn Protocol>,
+    bounds: ConnectionLimits,
     busy: Rc<Cell<usize>>,
     breaks: RefCell<Breaks>,
     working: RefCell<HashMap<Name, Working>>,
@@ -282,7 +282,7 @@
     /// No backends yet; connections to them are used again by the rules of `reuse`.
     pub fn new(
         connect_timeout: Duration, backend_idle: Duration, reports: LoadReportSource, reuse: Reuse,
-        speech: Rc<dyn Speech>, bounds: Bounds,
+        protocol: Rc<dyn Protocol>, bounds: ConnectionLimits,
     ) -> Rc<Self> {
         Rc::new(Self {
             known: RefCell::default(),
@@ -290,7 +290,7 @@
             longest_idle: backend_idle.mul_f64(IDLE_SHARE),
             reports,
             reuse,
-            speech,
+            protocol,
             bounds,
             busy: Rc::default(),
             breaks: RefCell::default(),
@@ -300,17 +300,17 @@
     }
 
     /// Calls this when there is no descriptor for a connection, before it is tried again.
-    pub fn on_shortage(&self, call: Rc<dyn Fn()>) {
+    pub fn on_descriptor_shortage(&self, call: Rc<dyn Fn()>) {
         *self.shortage.borrow_mut() = Some(call);
     }
 
     /// A new connection. Where descriptors have run out, something outside the budget took them: free connections and whoever can
     /// spare one give theirs, for a request that was taken goes before all these. With none to be had nothing speaks against
     /// the backend.
-    async fn connect(&self, dial: SocketAddr) -> std::io::Result<Option<Link>> {
+    async fn connect(&self, dial: SocketAddr) -> std::io::Result<Option<HttpConnection>> {
         let begun = Instant::now();
         loop {
-            match Link::connect(dial, self.connect_timeout, self.reuse.times_answers()).await {
+            match HttpConnection::connect(dial, self.connect_timeout, self.reuse.times_answers()).await {
                 Err(error) if is_descriptor_shortage(&error) => {
                     self.known.borrow_mut().values_mut().for_each(|backend| backend.idle.clear());
                     if let Some(call) = self.shortage.borrow().as_ref() {
@@ -328,7 +328,7 @@
 
     /// Backends that may have a request of this gateway's at work: one that is out, or one that ended without an answer and
     /// whose time is not over.
-    pub fn working(&self) -> Vec<Name> {
+    pub fn busy_backends(&self) -> Vec<Name> {
         let now = Instant::now();
         let mut working = self.working.borrow_mut();
         working.retain(|_, at| at.open > 0 || at.unclear.is_some_and(|until| now < until));
@@ -364,14 +364,14 @@
     }
 
     /// Drops free connections that have stood too long or have been closed, for ever.
-    pub async fn keep_tidy(self: Rc<Self>) {
+    pub async fn close_stale_connections(self: Rc<Self>) {
         loop {
             sleep(ROUND).await;
             for backend in self.known.borrow_mut().values_mut() {
                 let longest = backend.longest_idle(self.longest_idle);
                 let Backend { idle, fault, .. } = backend;
                 idle.retain(|(link, since)| {
-                    let stands = link.stands();
+                    let stands = link.is_alive();
                     if link.fault().is_some() {
                         *fault = Some(Instant::now());
                     }
@@ -387,10 +387,10 @@
     pub async fn attempt(
         &self, name: &Name, message: Message, until: Instant, write_by: Option<Instant>,
         called_off: oneshot::Receiver<()>,
-    ) -> End {
+    ) -> AttemptResult {
         let build = |dial: SocketAddr| {
             let left = until.saturating_duration_since(Instant::now());
-            (self.speech.request(&message, name, dial, left), message.body.clone())
+            (self.protocol.build_request(&message, name, dial, left), message.body.clone())
         };
         let repeatable = message.repeatable;
         let own = self.reuse.needs_own(repeatable, message.target.path());
@@ -398,20 +398,20 @@
         let begun = Instant::now();
         let mut at_work = AtWork::new(&self.working, name, until);
         // Each arm ends the exchange, which closes its connection, before the end is told.
-        let life = Life::new(Attempt::Decided);
+        let lifecycle = Lifecycle::new(Attempt::Decided);
         let answer = tokio::select! {
             biased;
-            answer = self.exchange(&life, name, wants, build) => answer,
+            answer = self.exchange(&lifecycle, name, wants, build) => answer,
             _ = called_off => {
-                life.step(Event::CalledOff);
+                lifecycle.step(Event::CalledOff);
                 None
             }
             () = sleep_until(until) => {
-                life.step(Event::TimedOut);
+                lifecycle.step(Event::TimedOut);
                 None
             }
         };
-        let end = self.end(&life, answer, repeatable);
+        let end = self.end(&lifecycle, answer, repeatable);
         match end.outcome {
             Outcome::TimedOut => self.doubt(name, begun),
             Outcome::Misdirected => self.departed(name),
@@ -441,67 +441,70 @@
     }
 
     /// Asks a backend for its load, or where there are no reports for a sign of life.
-    pub async fn probe(&self, name: &Name) -> End {
+    pub async fn probe(&self, name: &Name) -> AttemptResult {
         let build = |dial: SocketAddr| {
-            (Request::get(self.speech.probe()).header("Host", dial.to_string()), Bytes::new())
+            (Request::get(self.protocol.probe_path()).header("Host", dial.to_string()), Bytes::new())
         };
-        let life = Life::new(Attempt::Decided);
+        let lifecycle = Lifecycle::new(Attempt::Decided);
         let wants = Wants { repeatable: true, own: false, id: None, write_by: None };
-        match tokio::time::timeout(self.connect_timeout, self.exchange(&life, name, wants, build)).await {
+        match tokio::time::timeout(self.connect_timeout, self.exchange(&lifecycle, name, wants, build)).await
+        {
             Ok(Some((head, body))) if head.status == StatusCode::OK => {
                 let load = std::str::from_utf8(&body).ok().and_then(load::read);
-                End { outcome: Outcome::Served, answer: None, load }
+                AttemptResult { outcome: Outcome::Served, answer: None, load }
             }
             Ok(Some(_)) => Outcome::Error.into(),
-            Ok(None) => self.end(&life, None, true),
+            Ok(None) => self.end(&lifecycle, None, true),
             Err(_) => Outcome::TimedOut.into(),
         }
     }
 
     /// How an attempt ended, by its life: with an answer, or as it broke.
-    fn end(&self, life: &Life<Attempt>, answer: Option<(response::Parts, Bytes)>, repeatable: bool) -> End {
+    fn end(
+        &self, lifecycle: &Lifecycle<Attempt>, answer: Option<(response::Parts, Bytes)>, repeatable: bool,
+    ) -> AttemptResult {
         if let Some(answer) = answer {
             let end = self.judge(answer, repeatable);
-            life.step(Event::Answered(end.outcome));
+            lifecycle.step(Event::Answered(end.outcome));
             return end;
         }
         // Without an answer it is over in every case; in doubt it may have run.
-        life.now().outcome().unwrap_or(Outcome::ConnectionLost).into()
+        lifecycle.state().outcome().unwrap_or(Outcome::ConnectionLost).into()
     }
 
     /// Finds a connection and has the request answered on it. With no answer the life says how it ended.
     async fn exchange(
-        &self, life: &Life<Attempt>, name: &Name, wants: Wants<'_>,
+        &self, lifecycle: &Lifecycle<Attempt>, name: &Name, wants: Wants<'_>,
         build: impl Fn(SocketAddr) -> (Builder, Bytes),
     ) -> Option<(response::Parts, Bytes)> {
         let withdrawn = || {
-            life.step(Event::Withdrawn);
+            lifecycle.step(Event::Withdrawn);
             None
         };
-        while life.now().outcome().is_none() {
+        while lifecycle.state().outcome().is_none() {
             let Some((dial, pooled)) = self.free_link(name, wants) else { return withdrawn() };
             let idle = pooled.as_ref().map(|(_, idle)| *idle);
             let Some(_slot) = self.slot() else { return withdrawn() };
             let mut link = match pooled {
                 Some((link, _)) => {
-                    life.step(Event::Kept);
+                    lifecycle.step(Event::Kept);
                     link
                 }
                 None => {
-                    life.step(Event::Dial);
+                    lifecycle.step(Event::Dial);
                     let link = match self.connect(dial).await {
                         Ok(Some(link)) => link,
                         Ok(None) => {
                             // Given up here, before anything was sent: nothing that its backend did.
-                            life.step(Event::CalledOff);
+                            lifecycle.step(Event::CalledOff);
                             return None;
                         }
                         Err(_) => {
-                            life.step(Event::NotConnected);
+                            lifecycle.step(Event::NotConnected);
                             return None;
                         }
                     };
-                    life.step(Event::Connected);
+                    lifecycle.step(Event::Connected);
                     link
                 }
             };
@@ -512,9 +515,10 @@
             }
             let (builder, body) = build(dial);
             let Ok(request) = builder.body(Full::new(body)) else { return withdrawn() };
-            life.step(Event::Begin);
-            let end =
-                link.exchange(request, self.bounds.largest_body, self.bounds.answer, wants.write_by).await;
+            lifecycle.step(Event::Begin);
+            let end = link
+                .exchange(request, self.bounds.max_body, self.bounds.answer_timeout, wants.write_by)
+                .await;
             // A connection that ended, or brought something, before the first byte was written says nothing of its age.
             if !matches!(end, Err(Progress::Unsent)) {
                 let broke = matches!(end, Err(Progress::Whole | Progress::Partly));
@@ -530,10 +534,10 @@
                         self.answered(name, dial, free.then_some(link), behind, keeps(&head));
                         return Some((head, body));
                     }
-                    life.step(Event::Broke(Progress::Spoilt));
+                    lifecycle.step(Event::Broke(Progress::Spoilt));
                 }
                 // Of a kept connection that its backend closed just now nothing was written: another is sought.
-                Err(progress) => life.step(Event::Broke(progress)),
+                Err(progress) => lifecycle.step(Event::Broke(progress)),
             }
             if fault.is_some() {
                 self.suspect(name, dial);
@@ -549,7 +553,9 @@
 
     /// A backend that may be sent something new, with a free connection that stands and may be trusted if there
     /// is one, and for how long that was idle.
-    fn free_link(&self, name: &Name, wants: Wants<'_>) -> Option<(SocketAddr, Option<(Link, Duration)>)> {
+    fn free_link(
+        &self, name: &Name, wants: Wants<'_>,
+    ) -> Option<(SocketAddr, Option<(HttpConnection, Duration)>)> {
         let mut known = self.known.borrow_mut();
         let backend = known.get_mut(name).filter(|b| b.is_open())?;
         if wants.own {
@@ -563,7 +569,7 @@
             // Guards unsafe requests: one written to a connection that is closed or about to be is lost in
             // doubt.
             let idle = since.elapsed();
-            let trusted = idle < backend.longest_idle(self.longest_idle) && link.is_up();
+            let trusted = idle < backend.longest_idle(self.longest_idle) && link.appears_idle();
             if trusted && self.breaks.borrow_mut().trusts(idle, wants.repeatable) {
                 return Some((backend.dial, Some((link, idle))));
             }
@@ -574,13 +580,13 @@
     /// Room for one more busy connection; free ones give way.
     fn slot(&self) -> Option<Slot> {
         let busy = self.busy.get();
-        if busy >= self.bounds.most_open {
+        if busy >= self.bounds.max_connections {
             return None;
         }
         self.busy.set(busy + 1);
         let mut known = self.known.borrow_mut();
         let idle: usize = known.values().map(|b| b.idle.len()).sum();
-        for _ in self.bounds.most_open..busy + 1 + idle {
+        for _ in self.bounds.max_connections..busy + 1 + idle {
             let fullest = known.values_mut().max_by_key(|b| b.idle.len());
             if let Some(fullest) = fullest.filter(|b| !b.idle.is_empty()) {
                 fullest.idle.remove(0);
@@ -592,7 +598,8 @@
     /// Notes that a backend answered, and keeps the connection if it is free again and may be kept. `behind` tells that
     /// more came than the answer.
     fn answered(
-        &self, name: &Name, dial: SocketAddr, link: Option<Link>, behind: bool, keeps: Option<Duration>,
+        &self, name: &Name, dial: SocketAddr, link: Option<HttpConnection>, behind: bool,
+        keeps: Option<Duration>,
     ) {
         if behind {
             self.suspect(name, dial);
@@ -607,8 +614,10 @@
     }
 
     /// Why a whole answer is not this request's, if that shows.
-    fn foreign(&self, link: &Link, head: &response::Parts, id: Option<&HeaderValue>) -> Option<Fault> {
-        if link.first_byte_after().is_some_and(|after| self.reuse.is_too_fast(after)) {
+    fn foreign(
+        &self, link: &HttpConnection, head: &response::Parts, id: Option<&HeaderValue>,
+    ) -> Option<Fault> {
+        if link.time_to_first_byte().is_some_and(|after| self.reuse.is_too_fast(after)) {
             return Some(Fault::TooFast);
         }
         let (id, header) = (id?, self.reuse.identity_header()?);
@@ -627,11 +636,11 @@
         }
     }
 
-    fn judge(&self, (mut head, body): (response::Parts, Bytes), repeatable: bool) -> End {
-        let outcome = match self.speech.verdict(&head, repeatable) {
+    fn judge(&self, (mut head, body): (response::Parts, Bytes), repeatable: bool) -> AttemptResult {
+        let outcome = match self.protocol.verdict(&head, repeatable) {
             Verdict::Served => Outcome::Served,
-            Verdict::Full => Outcome::Rejected,
-            Verdict::Elsewhere => Outcome::Misdirected,
+            Verdict::Rejected => Outcome::Rejected,
+            Verdict::Misdirected => Outcome::Misdirected,
             Verdict::Error => Outcome::Error,
         };
         let report = head.headers.remove(LOAD).filter(|_| self.reports == LoadReportSource::Responses);
@@ -644,6 +653,6 @@
             }
             Answer { status: head.status, headers: head.headers, body }
         });
-        End { outcome, answer, load }
+        AttemptResult { outcome, answer, load }
     }
 }
--- a/crates/dataplane/src/back/link.rs
+++ b/crates/dataplane/src/back/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection to a server. Whoever uses it drives it: it does nothing by itself, sends nothing
 //! twice, and is closed for certain the moment it is dropped.
 
-use crate::observe::Life;
+use crate::lifecycle::Lifecycle;
 use bytes::Bytes;
 use fennelscale_wire::reuse::Fault;
 use http_body_util::{BodyExt, Full, Limited};
@@ -39,7 +39,7 @@
 
 /// What the socket has seen of the present exchange.
 struct Trace {
-    life: Life<Connection>,
+    lifecycle: Lifecycle<Connection>,
     begins: Notify,
     /// Bytes came that were no answer to what was out then, and why so.
     fault: Cell<Option<Fault>>,
@@ -51,14 +51,16 @@
 impl Trace {
     fn note_read(&self, bytes: &[u8]) {
         // Answers 1xx go ahead of the real one, by as long as they like, but not ahead of the request.
-        let busy =
-            matches!(self.life.now(), Connection::Busy { written: Written::Part | Written::Whole, .. });
+        let busy = matches!(
+            self.lifecycle.state(),
+            Connection::Busy { written: Written::Part | Written::Whole, .. }
+        );
         let ahead = busy && bytes.starts_with(b"HTTP/1.1 1") && bytes.ends_with(b"\r\n\r\n");
         if bytes.is_empty() {
-            self.life.step(Event::Ended);
+            self.lifecycle.step(Event::Ended);
         } else if !ahead {
-            let before = self.life.now();
-            self.life.step(Event::Heard);
+            let before = self.lifecycle.state();
+            self.lifecycle.step(Event::Heard);
             let fault = match before {
                 Connection::Busy { written: Written::Whole, .. } | Connection::Ended => None,
                 Connection::Busy { written: Written::Part, .. } => Some(Fault::Early),
@@ -85,14 +87,14 @@
     /// been ended, by the kernel's newest word: what the event loop has heard may be old. Nothing behind bytes that
     /// came ahead of the request's last one.
     fn may_write(&self, stream: &TcpStream) -> io::Result<()> {
-        match self.life.now() {
+        match self.lifecycle.state() {
             Connection::Busy { written: Written::Nothing, heard: false } => match peek(stream) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Ok(1..) => {
-                    self.life.step(Event::Heard);
+                    self.lifecycle.step(Event::Heard);
                     self.blame(Fault::Unasked);
                 }
-                Ok(0) | Err(_) => self.life.step(Event::Ended),
+                Ok(0) | Err(_) => self.lifecycle.step(Event::Ended),
             },
             Connection::Busy { heard: false, .. } => return Ok(()),
             _ => {}
@@ -146,7 +148,7 @@
             match self.stream.try_write_vectored(bufs) {
                 Ok(written) => {
                     if written > 0 {
-                        self.trace.life.step(Event::Wrote);
+                        self.trace.lifecycle.step(Event::Wrote);
                     }
                     return Poll::Ready(Ok(written));
                 }
@@ -164,8 +166,8 @@
     /// bodies are in memory.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         let begun =
-            matches!(self.trace.life.now(), Connection::Busy { written: Written::Part, heard: false });
-        self.trace.life.step(Event::Flushed);
+            matches!(self.trace.lifecycle.state(), Connection::Busy { written: Written::Part, heard: false });
+        self.trace.lifecycle.step(Event::Flushed);
         if begun && self.timed {
             self.trace.written.set(Some(Instant::now()));
         }
@@ -178,7 +180,7 @@
 }
 
 /// One connection.
-pub struct Link {
+pub struct HttpConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     /// Gone once it has ended.
     driver: Driver,
@@ -186,8 +188,8 @@
     trace: Rc<Trace>,
 }
 
-impl Link {
-    /// Connects. Where answers are `timed`, [`Self::first_byte_after`] tells how long each took.
+impl HttpConnection {
+    /// Connects. Where answers are `timed`, [`Self::time_to_first_byte`] tells how long each took.
     ///
     /// # Errors
     /// When no connection comes up in time.
@@ -195,7 +197,7 @@
         let stream = tokio::time::timeout(timeout, TcpStream::connect(to)).await??;
         stream.set_nodelay(true)?;
         let trace = Rc::new(Trace {
-            life: Life::new(Connection::Dialling),
+            lifecycle: Lifecycle::new(Connection::Dialling),
             begins: Notify::new(),
             fault: Cell::default(),
             written: Cell::default(),
@@ -205,24 +207,24 @@
         let wire = TokioIo::new(Wire { stream: stream.clone(), trace: trace.clone(), timed });
         let handshake = http1::Builder::new().max_buf_size(LONGEST_HEAD).handshake(wire);
         let (sender, driver) = handshake.await.map_err(io::Error::other)?;
-        trace.life.step(Event::Connected);
+        trace.lifecycle.step(Event::Connected);
         Ok(Self { sender, driver: Some(Box::pin(driver)), stream, trace })
     }
 
     /// Whether the idle connection is free, by what was heard of it so far. The socket is asked once more before the first
     /// byte of a request is written to it.
-    pub fn is_up(&self) -> bool {
-        self.trace.life.now() == Connection::Free && self.driver.is_some()
+    pub fn appears_idle(&self) -> bool {
+        self.trace.lifecycle.state() == Connection::Free && self.driver.is_some()
     }
 
     /// Whether the idle connection still stands, by the kernel's newest word: asks the socket itself, since
     /// what the event loop has heard so far may be old. Data that nobody asked for is a fault too.
-    pub fn stands(&self) -> bool {
+    pub fn is_alive(&self) -> bool {
         let peeked = peek(&self.stream);
         if matches!(peeked, Ok(1..)) {
             self.trace.blame(Fault::Unasked);
         }
-        self.is_up() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+        self.appears_idle() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Why bytes that came on it were nobody's, if any were.
@@ -231,7 +233,7 @@
     }
 
     /// How long after the last request's last byte the first byte of its answer came, where answers are timed.
-    pub fn first_byte_after(&self) -> Option<Duration> {
+    pub fn time_to_first_byte(&self) -> Option<Duration> {
         self.trace.heard.get()
     }
 
@@ -246,10 +248,10 @@
         &mut self, request: Request<Full<Bytes>>, most: usize, rest: Duration, write_by: Option<Instant>,
     ) -> Result<(response::Parts, Bytes), Progress> {
         // Guards against connections on which something came or ended meanwhile.
-        if self.trace.life.now() != Connection::Free {
+        if self.trace.lifecycle.state() != Connection::Free {
             return Err(Progress::Unsent);
         }
-        self.trace.life.step(Event::Begin);
+        self.trace.lifecycle.step(Event::Begin);
         self.trace.written.set(None);
         self.trace.heard.set(None);
         // A word from before is of an answer from before.
@@ -264,7 +266,7 @@
         let late = async {
             trace.begins.notified().await;
             // Bytes ahead of the request's last one are no answer that could be waited for.
-            if matches!(trace.life.now(), Connection::Busy { written: Written::Whole, .. }) {
+            if matches!(trace.lifecycle.state(), Connection::Busy { written: Written::Whole, .. }) {
                 sleep(rest).await;
             }
         };
@@ -272,7 +274,7 @@
             let Some(by) = write_by else { return pending().await };
             sleep_until(by).await;
             if !matches!(
-                trace.life.now(),
+                trace.lifecycle.state(),
                 Connection::Busy { written: Written::Nothing | Written::Part, heard: false }
             ) {
                 pending::<()>().await;
@@ -284,14 +286,14 @@
             () = late => Err(()),
             () = unwritten => Err(()),
         };
-        let life = &trace.life;
-        if end.is_ok() && matches!(life.now(), Connection::Busy { heard: false, .. }) {
+        let lifecycle = &trace.lifecycle;
+        if end.is_ok() && matches!(lifecycle.state(), Connection::Busy { heard: false, .. }) {
             // It came together with what goes ahead of it.
-            life.step(Event::Heard);
+            lifecycle.step(Event::Heard);
         }
-        match (end, life.now()) {
+        match (end, lifecycle.state()) {
             (Ok(answer), Connection::Busy { written: Written::Whole, .. }) => {
-                life.step(Event::Whole);
+                lifecycle.step(Event::Whole);
                 Ok(answer)
             }
             // An answer to what was not written whole is none to this request.
@@ -308,10 +310,10 @@
         })
         .await
             && self.driver.is_some();
-        if ready && self.trace.life.now() == Connection::Answered {
-            self.trace.life.step(Event::Quiet);
+        if ready && self.trace.lifecycle.state() == Connection::Answered {
+            self.trace.lifecycle.step(Event::Quiet);
         }
-        ready && self.trace.life.now() == Connection::Free
+        ready && self.trace.lifecycle.state() == Connection::Free
     }
 }
 
--- a/crates/dataplane/src/clock.rs
+++ b/crates/dataplane/src/clock.rs
@@ -13,7 +13,7 @@
 
 impl Clock {
     /// Anchors the clock to the system's time now.
-    pub fn anchored() -> Self {
+    pub fn from_system_time() -> Self {
         // A system time before 1970 is no time at all: count from zero rather than fail.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { unix, start: Instant::now() }
@@ -26,11 +26,11 @@
 }
 
 /// A span of milliseconds as a duration; what is negative or no number is zero.
-pub fn span(millis: Millis) -> Duration {
+pub fn to_duration(millis: Millis) -> Duration {
     Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
 
 /// A duration in milliseconds.
-pub fn millis(span: Duration) -> Millis {
+pub fn to_millis(span: Duration) -> Millis {
     span.as_secs_f64() * 1000.0
 }
--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -2,10 +2,10 @@
 //! requests and what is allowed to happen to them are the core's (package `life`); this holds what the core's effects
 //! need to be carried out.
 
-use crate::back::backends::{Answer, Backends, End, Message};
-use crate::clock::{Clock, millis, span};
+use crate::back::backends::{Answer, AttemptResult, Backends, Message};
+use crate::clock::{Clock, to_duration, to_millis};
 use crate::faults::{self, Fault};
-use crate::observe;
+use crate::lifecycle;
 use crate::task::spawn;
 use doorcourse::{
     Action, Arrival, Event, Gateway, Millis, Name, Outcome, RequestId, SendCounts, Settings, SettingsError,
@@ -26,10 +26,10 @@
 const COUNTER_PATIENCE: u32 = 4;
 
 /// How the end of a counter call is told: the count's name, how it ended, how long it took.
-pub type Report = dyn Fn(u64, doorcourse::CountOutcome, Millis);
+pub type CounterReplyHandler = dyn Fn(u64, doorcourse::CountOutcome, Millis);
 
-/// The host's side of the shared counters. Whoever makes it reports how each of its calls ends.
-pub trait Counting {
+/// The host's side of the shared counters. Whoever makes it reports how each of its calls outcome_counts.
+pub trait CounterClient {
     /// What the decisions have to know of them.
     fn partition(&self) -> Partition;
     /// Makes a call; its end is reported later or, with nobody to call, at once.
@@ -48,7 +48,7 @@
 }
 
 /// What is kept for a request until its final answer.
-struct Held {
+struct PendingRequest {
     message: Message,
     until: Instant,
     reply: oneshot::Sender<Reply>,
@@ -58,14 +58,14 @@
 pub struct Engine {
     clock: Clock,
     backends: Rc<Backends>,
-    counters: Option<Rc<dyn Counting>>,
-    core: RefCell<Core<Held>>,
+    counters: Option<Rc<dyn CounterClient>>,
+    core: RefCell<Core<PendingRequest>>,
     /// How to stop the attempts that are out.
-    stops: RefCell<HashMap<RequestId, oneshot::Sender<()>>>,
+    cancellations: RefCell<HashMap<RequestId, oneshot::Sender<()>>>,
     events: RefCell<VecDeque<Event>>,
     running: Cell<bool>,
     /// How many attempts ended in each way, for metrics.
-    ends: RefCell<HashMap<Outcome, u64>>,
+    outcome_counts: RefCell<HashMap<Outcome, u64>>,
     me: Weak<Self>,
 }
 
@@ -77,9 +77,9 @@
     /// When the settings cannot be used.
     pub fn start(
         settings: Settings, seed: u64, backends: Rc<Backends>,
-        counters: Option<impl FnOnce(Duration, Rc<Report>) -> Rc<dyn Counting>>,
+        counters: Option<impl FnOnce(Duration, Rc<CounterReplyHandler>) -> Rc<dyn CounterClient>>,
     ) -> Result<Rc<Self>, SettingsError> {
-        let patience = span(settings.counter_timeout) * COUNTER_PATIENCE;
+        let patience = to_duration(settings.counter_timeout) * COUNTER_PATIENCE;
         let gateway = Gateway::new(settings, seed)?;
         let core = Core::new(gateway);
         let engine = Rc::new_cyclic(|me: &Weak<Self>| {
@@ -93,23 +93,23 @@
                 counters(patience, Rc::new(report))
             });
             Self {
-                clock: Clock::anchored(),
+                clock: Clock::from_system_time(),
                 backends,
                 counters,
                 core: RefCell::new(core),
-                stops: RefCell::default(),
+                cancellations: RefCell::default(),
                 events: RefCell::default(),
                 running: Cell::new(false),
-                ends: RefCell::default(),
+                outcome_counts: RefCell::default(),
                 me: me.clone(),
             }
         });
-        engine.tell_counters();
+        engine.update_counter_partition();
         Ok(engine)
     }
 
     /// Has the decisions know which counters there are, where there can be more than one.
-    pub fn tell_counters(&self) {
+    pub fn update_counter_partition(&self) {
         // Where there is only ever one, nothing is to be told.
         let partition = self.counters.as_ref().map(|counters| counters.partition());
         if let Some(partition) = partition.filter(|p| p.addresses().len() > 1) {
@@ -123,48 +123,48 @@
     }
 
     /// Takes in a request; the reply comes once, unless the client leaves first.
-    pub fn open(
+    pub fn submit(
         &self, arrival: impl FnOnce(RequestId) -> Arrival, message: Message, until: Instant,
     ) -> (RequestId, oneshot::Receiver<Reply>) {
         let (reply, receiver) = oneshot::channel();
-        let held = Held { message, until, reply };
-        let id = self.run(None, |core, now, out, answers| core.open(now, arrival, held, out, answers));
+        let pending = PendingRequest { message, until, reply };
+        let id = self.run(None, |core, now, out, answers| core.open(now, arrival, pending, out, answers));
         (id, receiver)
     }
 
     /// The client is gone: nothing is owed to it any more, and what is out for it is given up.
-    pub fn client_left(&self, id: RequestId) {
+    pub fn client_disconnected(&self, id: RequestId) {
         self.run(None, |core, now, out, answers| core.client_left(now, id, out, answers));
     }
 
-    /// No more requests come: what is held of the quotas goes back. Takes effect within the time given.
-    pub async fn hand_back(&self, time: Duration) {
+    /// No more requests come: what is pending of the quotas goes back. Takes effect within the time given.
+    pub async fn return_units(&self, time: Duration) {
         self.post(Event::ShuttingDown);
         tokio::time::sleep(time).await;
     }
 
     /// How many requests wait for their final answer.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.core.borrow().open_requests()
     }
 
     /// How many requests were sent, by what was known of their backends.
-    pub fn sends(&self) -> SendCounts {
+    pub fn send_counts(&self) -> SendCounts {
         self.core.borrow().gateway().send_counts()
     }
 
     /// How many attempts ended in each way.
-    pub fn ends(&self) -> HashMap<Outcome, u64> {
-        self.ends.borrow().clone()
+    pub fn outcome_counts(&self) -> HashMap<Outcome, u64> {
+        self.outcome_counts.borrow().clone()
     }
 
     /// How many attempts ended in this way.
-    pub fn ended_as(&self, outcome: Outcome) -> u64 {
-        self.ends.borrow().get(&outcome).copied().unwrap_or_default()
+    pub fn outcome_count(&self, outcome: Outcome) -> u64 {
+        self.outcome_counts.borrow().get(&outcome).copied().unwrap_or_default()
     }
 
-    /// Requests that are held because no backend may be sent one.
-    pub fn held(&self) -> usize {
+    /// Requests that are pending because no backend may be sent one.
+    pub fn queued(&self) -> usize {
         self.core.borrow().gateway().queued()
     }
 
@@ -180,7 +180,12 @@
     /// Has the core take something in, and carries out what that and the events in line lead to.
     fn run<T>(
         &self, served: Option<Answer>,
-        deed: impl FnOnce(&mut Core<Held>, Millis, &mut Vec<Effect>, &mut Vec<Answered<Held>>) -> T,
+        deed: impl FnOnce(
+            &mut Core<PendingRequest>,
+            Millis,
+            &mut Vec<Effect>,
+            &mut Vec<Answered<PendingRequest>>,
+        ) -> T,
     ) -> T {
         let (mut effects, mut answers) = (Vec::new(), Vec::new());
         let done = deed(&mut self.core.borrow_mut(), self.clock.now(), &mut effects, &mut answers);
@@ -196,13 +201,14 @@
     }
 
     fn carry_out(
-        &self, effects: &mut Vec<Effect>, answers: &mut Vec<Answered<Held>>, mut served: Option<Answer>,
+        &self, effects: &mut Vec<Effect>, answers: &mut Vec<Answered<PendingRequest>>,
+        mut served: Option<Answer>,
     ) {
         for Answered { answer, retry_after, kept, .. } in answers.drain(..) {
             let reply = match answer {
                 Final::Served => served.take().map_or(Reply::Failed(false), Reply::Served),
                 Final::Refused => Reply::Refused(retry_after),
-                Final::Failed { .. } if faults::on(Fault::RefuseInDoubt) => Reply::Refused(0.0),
+                Final::Failed { .. } if faults::is_active(Fault::RefuseInDoubt) => Reply::Refused(0.0),
                 Final::Failed { timed_out } => Reply::Failed(timed_out),
             };
             let _ = kept.reply.send(reply);
@@ -213,20 +219,20 @@
                     self.begin(id, number, backend, timeout, write_by);
                 }
                 Effect::Stop { id } => {
-                    if let Some(stop) = self.stops.borrow_mut().remove(&id) {
+                    if let Some(stop) = self.cancellations.borrow_mut().remove(&id) {
                         let _ = stop.send(());
                     }
                 }
                 Effect::Other(action) => self.perform(action),
             }
         }
-        self.core.borrow_mut().take_illegal().into_iter().for_each(observe::illegal);
+        self.core.borrow_mut().take_illegal().into_iter().for_each(lifecycle::report_illegal_transition);
     }
 
     fn perform(&self, action: Action) {
         match action {
             Action::SetTimer { after, token } => {
-                let (due, me) = (Instant::now() + span(after), self.me.clone());
+                let (due, me) = (Instant::now() + to_duration(after), self.me.clone());
                 spawn(async move {
                     tokio::time::sleep_until(due).await;
                     if let Some(engine) = me.upgrade() {
@@ -237,9 +243,9 @@
             Action::Probe { backend } => {
                 let (backends, me, begun) = (self.backends.clone(), self.me.clone(), Instant::now());
                 spawn(async move {
-                    let End { outcome, load, .. } = backends.probe(&backend).await;
+                    let AttemptResult { outcome, load, .. } = backends.probe(&backend).await;
                     if let Some(engine) = me.upgrade() {
-                        let latency = millis(begun.elapsed());
+                        let latency = to_millis(begun.elapsed());
                         engine.post(Event::ProbeEnded { backend, outcome, latency, load });
                     }
                 });
@@ -269,18 +275,21 @@
         let begun = Instant::now();
         let (message, until) = {
             let core = self.core.borrow();
-            let Some(held) = core.kept(id) else {
+            let Some(pending) = core.kept(id) else {
                 // Its client left in the moment of the decision: it is not sent, and its end is told as ever.
                 drop(core);
                 return self.ended(id, number, backend, Outcome::NeverSent.into(), 0.0);
             };
-            (held.message.clone(), timeout.map_or(held.until, |t| held.until.min(begun + span(t))))
+            (
+                pending.message.clone(),
+                timeout.map_or(pending.until, |t| pending.until.min(begun + to_duration(t))),
+            )
         };
-        let write_by = write_by.map(|left| begun + span(left));
+        let write_by = write_by.map(|left| begun + to_duration(left));
         let (stop, stopped) = oneshot::channel();
-        self.stops.borrow_mut().insert(id, stop);
+        self.cancellations.borrow_mut().insert(id, stop);
         let (backends, me) = (self.backends.clone(), self.me.clone());
-        if faults::strikes(Fault::SecondCopy, id) {
+        if faults::affects(Fault::SecondCopy, id) {
             let (message, backends, backend) = (message.clone(), backends.clone(), backend.clone());
             spawn(async move {
                 let (_never, stopped) = oneshot::channel();
@@ -288,19 +297,19 @@
             });
         }
         spawn(async move {
-            let to = faults::backend(&backend, &message.method);
+            let to = faults::alter_backend(&backend, &message.method);
             let end = backends.attempt(&to, message, until, write_by, stopped).await;
             if let Some(engine) = me.upgrade() {
-                engine.ended(id, number, backend, end, millis(begun.elapsed()));
+                engine.ended(id, number, backend, end, to_millis(begun.elapsed()));
             }
         });
     }
 
-    fn ended(&self, id: RequestId, number: u32, backend: Name, end: End, latency: Millis) {
-        let End { outcome, answer, load } = end;
-        let outcome = faults::outcome(outcome);
-        self.stops.borrow_mut().remove(&id);
-        *self.ends.borrow_mut().entry(outcome).or_default() += 1;
+    fn ended(&self, id: RequestId, number: u32, backend: Name, end: AttemptResult, latency: Millis) {
+        let AttemptResult { outcome, answer, load } = end;
+        let outcome = faults::alter_outcome(outcome);
+        self.cancellations.borrow_mut().remove(&id);
+        *self.outcome_counts.borrow_mut().entry(outcome).or_default() += 1;
         let ended = Ended { id, number, backend, outcome, latency, load };
         self.run(answer, |core, now, out, answers| core.attempt_ended(now, ended, out, answers));
     }
--- a/crates/dataplane/src/faults.rs
+++ b/crates/dataplane/src/faults.rs
@@ -1,5 +1,5 @@
 //! Deliberate faults, one for each way in which a build could break a rule. They are there to show that the rehearsal
-//! finds them. Without the feature `broken-builds` none exists: [`on`] is false at compile time.
+//! finds them. Without the feature `broken-builds` none exists: [`is_active`] is false at compile time.
 
 #[cfg(all(feature = "broken-builds", not(debug_assertions)))]
 compile_error!("the feature broken-builds breaks the rules on purpose and cannot be built for release");
@@ -34,7 +34,7 @@
 
 /// Whether this build has a fault: the one that `FENNELSCALE_FAULT` names.
 #[cfg(feature = "broken-builds")]
-pub fn on(fault: Fault) -> bool {
+pub fn is_active(fault: Fault) -> bool {
     static CHOSEN: std::sync::OnceLock<Option<Fault>> = std::sync::OnceLock::new();
     let chosen = CHOSEN.get_or_init(|| {
         Some(match std::env::var("FENNELSCALE_FAULT").ok()?.as_str() {
@@ -55,19 +55,19 @@
 /// Whether this build has a fault: it has none.
 #[cfg(not(feature = "broken-builds"))]
 #[inline(always)]
-pub const fn on(_: Fault) -> bool {
+pub const fn is_active(_: Fault) -> bool {
     false
 }
 
 /// Whether a fault strikes the request of a number: some only, so that the service goes on.
-pub fn strikes(fault: Fault, number: u64) -> bool {
-    on(fault) && number.is_multiple_of(7)
+pub fn affects(fault: Fault, number: u64) -> bool {
+    is_active(fault) && number.is_multiple_of(7)
 }
 
 /// What the decisions are told of an attempt's end.
-pub fn outcome(outcome: Outcome) -> Outcome {
+pub fn alter_outcome(outcome: Outcome) -> Outcome {
     match outcome {
-        Outcome::Error | Outcome::TimedOut | Outcome::ConnectionLost if on(Fault::ResendInDoubt) => {
+        Outcome::Error | Outcome::TimedOut | Outcome::ConnectionLost if is_active(Fault::ResendInDoubt) => {
             Outcome::ConnectFailed
         }
         outcome => outcome,
@@ -75,13 +75,13 @@
 }
 
 /// What is believed of the list of backends.
-pub fn list(mut list: List) -> List {
+pub fn alter_list(mut list: List) -> List {
     for host in &mut list.hosts {
-        if on(Fault::IgnoreDrains) && host.entry.state == BackendState::Draining {
+        if is_active(Fault::IgnoreDrains) && host.entry.state == BackendState::Draining {
             host.entry.state = BackendState::Ready;
         }
     }
-    if on(Fault::IgnoreColdShare) {
+    if is_active(Fault::IgnoreColdShare) {
         let ready =
             list.hosts.iter().filter(|h| h.entry.state == BackendState::Ready && h.entry.started.is_some());
         let newest =
@@ -98,17 +98,18 @@
 }
 
 /// Where an attempt really goes.
-pub fn backend(chosen: &Name, method: &Method) -> Name {
-    if on(Fault::IgnoreColdShare) && method.is_safe() {
+pub fn alter_backend(chosen: &Name, method: &Method) -> Name {
+    if is_active(Fault::IgnoreColdShare) && method.is_safe() {
         return NEWEST.with_borrow(|newest| newest.clone()).unwrap_or_else(|| chosen.clone());
     }
     chosen.clone()
 }
 
 /// What is believed of the settings.
-pub fn settings(mut settings: Settings) -> Settings {
+pub fn alter_settings(mut settings: Settings) -> Settings {
     const TIMES: f64 = 20.0;
-    for plan in settings.plans.iter_mut().filter(|p| on(Fault::IgnoreCeiling) && p.ceiling_rate > 0.0) {
+    for plan in settings.plans.iter_mut().filter(|p| is_active(Fault::IgnoreCeiling) && p.ceiling_rate > 0.0)
+    {
         (plan.rate, plan.burst, plan.ceiling_rate) = (plan.rate * TIMES, plan.burst * TIMES, 0.0);
     }
     settings
--- a/crates/dataplane/src/front/door.rs
+++ b/crates/dataplane/src/front/acceptor.rs
@@ -1,7 +1,7 @@
 //! Where clients come in: accepts, asks package `admission`, and carries out what it says: serve, hold, refuse, evict.
 
-use crate::back::link::is_descriptor_shortage;
-use crate::front::guest::{Desk, Guest};
+use crate::back::connection::is_descriptor_shortage;
+use crate::front::client_connection::{AdmissionControl, ClientConnection};
 use crate::task::spawn;
 use fennelscale_admission::Id;
 use fennelscale_admission::admission::{Action, Admission, Room, Tell, Why};
@@ -27,61 +27,61 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 /// Of what a refused client has sent, so much is read before its connection is closed: a close with bytes unread is a reset, which
 /// takes the answer with it. A request's head fits.
-const READ_AWAY: usize = 64 * 1024;
-/// What was refused is told in the log this often at most.
-const TELL: Duration = Duration::from_secs(10);
+const MAX_DISCARDED: usize = 64 * 1024;
+/// What was refused is reported in the log this often at most.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 /// A descriptor kept to be let go of: guards against those outside the budget (another library, an inherited limit) that take
 /// the last. With it a connection can be accepted and refused, where it would wait unheard, or one backend connection made.
 #[derive(Default)]
-struct Spare(RefCell<Option<OwnedFd>>);
+struct SpareDescriptor(RefCell<Option<OwnedFd>>);
 
-impl Spare {
+impl SpareDescriptor {
     fn keep(&self, listener: &TcpListener) {
         if self.0.borrow().is_none() {
             *self.0.borrow_mut() = listener.as_fd().try_clone_to_owned().ok();
         }
     }
 
-    fn let_go(&self) -> bool {
+    fn release(&self) -> bool {
         self.0.take().is_some()
     }
 }
 
 /// A connection that is not served yet, and what was read of it.
-type Waiting = (TcpStream, Vec<u8>);
+type PendingClient = (TcpStream, Vec<u8>);
 /// Serves a connection.
-type Serve = dyn Fn(TcpStream, Vec<u8>, Rc<Guest>);
+type Serve = dyn Fn(TcpStream, Vec<u8>, Rc<ClientConnection>);
 
 /// The door of one gateway.
-pub struct Door {
+pub struct Acceptor {
     /// The decisions.
-    pub desk: Rc<Desk>,
+    pub admission: Rc<AdmissionControl>,
     /// Woken when a connection has gone.
-    pub left: Notify,
+    pub connection_closed: Notify,
     settings: Settings,
     serve: RefCell<Option<Rc<Serve>>>,
-    waiting: RefCell<HashMap<Id, Waiting>>,
-    guests: RefCell<HashMap<Id, Rc<Guest>>>,
-    spare: Spare,
-    rearm: Notify,
-    told: Cell<u64>,
+    pending: RefCell<HashMap<Id, PendingClient>>,
+    clients: RefCell<HashMap<Id, Rc<ClientConnection>>>,
+    spare: SpareDescriptor,
+    timer_changed: Notify,
+    reported: Cell<u64>,
 }
 
-impl Door {
+impl Acceptor {
     /// A door by the operators' settings, with its part of the descriptors.
     pub fn new(settings: Settings, budget: Budget) -> Rc<Self> {
         let room = Room { clients: budget.clients, held: budget.held, lingering: budget.lingering };
-        let desk = Desk::new(Admission::new(&settings, room), Pace::new(&settings.pace));
+        let admission = AdmissionControl::new(Admission::new(&settings, room), Pace::new(&settings.pace));
         Rc::new(Self {
-            desk,
-            left: Notify::new(),
+            admission,
+            connection_closed: Notify::new(),
             settings,
             serve: RefCell::default(),
-            waiting: RefCell::default(),
-            guests: RefCell::default(),
-            spare: Spare::default(),
-            rearm: Notify::new(),
-            told: Cell::new(0),
+            pending: RefCell::default(),
+            clients: RefCell::default(),
+            spare: SpareDescriptor::default(),
+            timer_changed: Notify::new(),
+            reported: Cell::new(0),
         })
     }
 
@@ -92,27 +92,27 @@
 
     /// Whether nobody is served and nobody waits to be.
     pub fn is_empty(&self) -> bool {
-        self.guests.borrow().is_empty() && self.waiting.borrow().is_empty()
+        self.clients.borrow().is_empty() && self.pending.borrow().is_empty()
     }
 
     /// Admitted connections are served by this from now on.
-    pub fn open(self: &Rc<Self>, serve: Rc<Serve>) {
+    pub fn start(self: &Rc<Self>, serve: Rc<Serve>) {
         *self.serve.borrow_mut() = Some(serve);
-        spawn(self.clone().keep_time());
-        spawn(self.clone().keep_log());
+        spawn(self.clone().run_timers());
+        spawn(self.clone().report_refusals());
     }
 
     /// Takes the next connection; returns when it is decided on, or tried to.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         self.spare.keep(listener);
         // Without a line of our own who finds no room waits in the machine's.
-        while !self.desk.ask(|admission, _| admission.holds())
+        while !self.admission.with(|admission, _| admission.holds())
             && !self.tell(|a, now, out| a.may_accept(now, out))
         {
-            self.left.notified().await;
+            self.connection_closed.notified().await;
         }
         match listener.accept().await {
-            Ok((stream, peer)) => self.take(stream, peer.ip()),
+            Ok((stream, peer)) => self.on_accepted(stream, peer.ip()),
             Err(error) if is_descriptor_shortage(&error) => self.refuse_without_descriptor(listener).await,
             // The client has gone before it was accepted.
             Err(error)
@@ -125,28 +125,28 @@
     }
 
     /// Takes what the machine has accepted for us already, for a while: a flood would go on for ever.
-    pub async fn accept_the_last(self: &Rc<Self>, listener: &TcpListener, until: Instant) {
+    pub async fn accept_backlog(self: &Rc<Self>, listener: &TcpListener, until: Instant) {
         while Instant::now() < until
             && let Ok(Ok((stream, peer))) = timeout(Duration::ZERO, listener.accept()).await
         {
-            self.take(stream, peer.ip());
+            self.on_accepted(stream, peer.ip());
         }
     }
 
-    fn take(self: &Rc<Self>, stream: TcpStream, peer: IpAddr) {
-        // The decisions may ask for it before they have told its number.
+    fn on_accepted(self: &Rc<Self>, stream: TcpStream, peer: IpAddr) {
+        // The decisions may ask for it before they have reported its number.
         let mut out = Vec::new();
-        let id = self.desk.ask(|admission, now| admission.connected(now, peer, &mut out));
-        self.waiting.borrow_mut().insert(id, (stream, Vec::new()));
+        let id = self.admission.with(|admission, now| admission.connected(now, peer, &mut out));
+        self.pending.borrow_mut().insert(id, (stream, Vec::new()));
         self.carry_out(out);
     }
 
     /// Lets go of the spare descriptor, so that one connection can be accepted and refused.
     async fn refuse_without_descriptor(self: &Rc<Self>, listener: &TcpListener) {
         self.tell(|admission, now, out| admission.exhausted(now, out));
-        let had = self.spare.let_go();
+        let had = self.spare.release();
         if let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
-            say_no(&stream, self.settings.retry_after.0);
+            try_refuse(&stream, self.settings.retry_after.0);
         }
         self.spare.keep(listener);
         if !had || self.spare.0.borrow().is_none() {
@@ -157,8 +157,8 @@
 
     /// There was no descriptor for a connection to a backend. Lets go of the spare one, which that connection may have; it is
     /// kept again with the next accept.
-    pub fn short_of_descriptors(self: &Rc<Self>) {
-        self.spare.let_go();
+    pub fn on_descriptor_shortage(self: &Rc<Self>) {
+        self.spare.release();
         self.tell(|admission, now, out| admission.exhausted(now, out));
     }
 
@@ -168,9 +168,9 @@
         what: impl FnOnce(&mut Admission, fennelscale_admission::Time, &mut Vec<Action>) -> T,
     ) -> T {
         let mut out = Vec::new();
-        let told = self.desk.ask(|admission, now| what(admission, now, &mut out));
+        let reported = self.admission.with(|admission, now| what(admission, now, &mut out));
         self.carry_out(out);
-        told
+        reported
     }
 
     fn carry_out(self: &Rc<Self>, actions: Vec<Action>) {
@@ -184,40 +184,40 @@
                 Action::Evict(id) => self.evict(id),
             }
         }
-        if self.desk.ask(|admission, _| admission.next_wake().is_some()) {
-            self.rearm.notify_one();
+        if self.admission.with(|admission, _| admission.next_wake().is_some()) {
+            self.timer_changed.notify_one();
         }
     }
 
     fn admit(&self, id: Id) {
-        let Some((stream, ahead)) = self.waiting.borrow_mut().remove(&id) else { return };
-        let guest = Guest::new(id, &self.desk);
-        self.guests.borrow_mut().insert(id, guest.clone());
+        let Some((stream, buffered)) = self.pending.borrow_mut().remove(&id) else { return };
+        let client = ClientConnection::new(id, &self.admission);
+        self.clients.borrow_mut().insert(id, client.clone());
         if let Some(serve) = self.serve.borrow().as_ref() {
-            serve(stream, ahead, guest);
+            serve(stream, buffered, client);
         }
     }
 
     /// A connection that was served is closed.
-    pub fn gone(self: &Rc<Self>, guest: &Guest) {
-        self.guests.borrow_mut().remove(&guest.id);
-        self.closed(guest.id);
+    pub fn on_closed(self: &Rc<Self>, client: &ClientConnection) {
+        self.clients.borrow_mut().remove(&client.id);
+        self.closed(client.id);
     }
 
     fn closed(self: &Rc<Self>, id: Id) {
         self.tell(|admission, now, out| admission.closed(now, id, out));
-        self.left.notify_one();
+        self.connection_closed.notify_one();
     }
 
     fn evict(&self, id: Id) {
-        if let Some(guest) = self.guests.borrow().get(&id) {
-            guest.leave.notify_one();
+        if let Some(client) = self.clients.borrow().get(&id) {
+            client.close_requested.notify_one();
         }
     }
 
     /// Closes so that the client hears of it at once, and nothing is kept for it.
     fn reset(self: &Rc<Self>, id: Id) {
-        if let Some((stream, _)) = self.waiting.borrow_mut().remove(&id) {
+        if let Some((stream, _)) = self.pending.borrow_mut().remove(&id) {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
         self.closed(id);
@@ -225,73 +225,73 @@
 
     /// Answers 503 and closes at once.
     fn refuse_briefly(self: &Rc<Self>, id: Id, wait: f64) {
-        if let Some((stream, _)) = self.waiting.borrow_mut().remove(&id) {
+        if let Some((stream, _)) = self.pending.borrow_mut().remove(&id) {
             // Of a connection that was accepted just now the event loop has heard nothing yet: the socket itself is asked.
-            say_no(&stream, wait);
+            try_refuse(&stream, wait);
         }
         self.closed(id);
     }
 
     /// Answers 503 and closes once that was read, or its time is over.
     async fn refuse(self: Rc<Self>, id: Id, wait: f64) {
-        let waiting = self.waiting.borrow_mut().remove(&id);
-        if let Some((mut stream, _)) = waiting {
+        let pending = self.pending.borrow_mut().remove(&id);
+        if let Some((mut stream, _)) = pending {
             let linger =
                 Duration::try_from_secs_f64(self.settings.refusals.linger.0 / 1000.0).unwrap_or_default();
-            let farewell = async {
+            let respond = async {
                 if stream.write_all(refusal(wait).as_bytes()).await.is_err() {
                     return;
                 }
                 let _ = socket2::SockRef::from(&stream).shutdown(Shutdown::Write);
-                let (mut away, mut room) = ([0; 2048], READ_AWAY);
-                while let Ok(read) = stream.read(&mut away).await {
+                let (mut discarded, mut room) = ([0; 2048], MAX_DISCARDED);
+                while let Ok(read) = stream.read(&mut discarded).await {
                     room = room.saturating_sub(read);
                     if read == 0 || room == 0 {
                         return;
                     }
                 }
             };
-            let _ = timeout(linger, farewell).await;
+            let _ = timeout(linger, respond).await;
         }
         self.closed(id);
     }
 
     /// Reads a proxy's header.
     async fn identify(self: Rc<Self>, id: Id) {
-        let waiting = self.waiting.borrow_mut().remove(&id);
-        let Some((mut stream, mut ahead)) = waiting else { return };
+        let pending = self.pending.borrow_mut().remove(&id);
+        let Some((mut stream, mut buffered)) = pending else { return };
         let limit = Duration::try_from_secs_f64(self.settings.pace.head.0 / 1000.0).unwrap_or_default();
         let read = async {
             loop {
-                match origin::proxy_header(&ahead) {
+                match origin::proxy_header(&buffered) {
                     Start::Header { length, client } => return Some((length, client)),
                     Start::Unusable => return None,
                     Start::Partial => {}
                 }
-                stream.read_buf(&mut ahead).await.ok().filter(|read| *read > 0)?;
+                stream.read_buf(&mut buffered).await.ok().filter(|read| *read > 0)?;
             }
         };
         let header = timeout(limit, read).await.ok().flatten();
         let peer = stream.peer_addr().map(|peer| peer.ip());
         let (Some((length, client)), Ok(peer)) = (header, peer) else {
             // Not what was agreed on, or nothing at all: nobody knows whose it is.
-            self.waiting.borrow_mut().insert(id, (stream, ahead));
+            self.pending.borrow_mut().insert(id, (stream, buffered));
             return self.reset(id);
         };
-        ahead.drain(..length);
-        self.waiting.borrow_mut().insert(id, (stream, ahead));
+        buffered.drain(..length);
+        self.pending.borrow_mut().insert(id, (stream, buffered));
         self.tell(|admission, now, out| admission.identified(now, id, client.unwrap_or(peer), out));
     }
 
     /// Refuses those who have waited long enough, in time.
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
-            match self.desk.ask(|admission, _| admission.next_wake()) {
-                None => self.rearm.notified().await,
+            match self.admission.with(|admission, _| admission.next_wake()) {
+                None => self.timer_changed.notified().await,
                 Some(at) => {
                     tokio::select! {
-                        () = sleep_until(self.desk.instant(at)) => self.tell(|a, now, out| a.wake(now, out)),
-                        () = self.rearm.notified() => {}
+                        () = sleep_until(self.admission.instant(at)) => self.tell(|a, now, out| a.wake(now, out)),
+                        () = self.timer_changed.notified() => {}
                     }
                 }
             }
@@ -299,12 +299,12 @@
     }
 
     /// Tells of refusals now and then.
-    async fn keep_log(self: Rc<Self>) {
+    async fn report_refusals(self: Rc<Self>) {
         loop {
-            sleep(TELL).await;
-            let counts = self.desk.ask(|admission, _| admission.counts());
+            sleep(REPORT_INTERVAL).await;
+            let counts = self.admission.with(|admission, _| admission.counts());
             let all = counts.refusals() + counts.exhausted;
-            if self.told.replace(all) == all {
+            if self.reported.replace(all) == all {
                 continue;
             }
             let mut reasons = String::new();
@@ -326,12 +326,12 @@
     }
 }
 
-/// Reads away what is there and answers 503, as far as that goes without waiting.
-fn say_no(stream: &TcpStream, wait: f64) {
+/// Reads away what is there and answers 503, as far as that goes without pending.
+fn try_refuse(stream: &TcpStream, wait: f64) {
     let socket = socket2::SockRef::from(stream);
-    let mut away = [MaybeUninit::uninit(); 4096];
-    let mut room = READ_AWAY;
-    while let Ok(read) = socket.recv(&mut away) {
+    let mut discarded = [MaybeUninit::uninit(); 4096];
+    let mut room = MAX_DISCARDED;
+    while let Ok(read) = socket.recv(&mut discarded) {
         room = room.saturating_sub(read);
         if read == 0 || room == 0 {
             break;
--- a/crates/dataplane/src/front/mod.rs
+++ b/crates/dataplane/src/front/mod.rs
@@ -1,4 +1,4 @@
 //! Clients: connections let in, and whose they are.
 
-pub mod door;
-pub mod guest;
+pub mod acceptor;
+pub mod client_connection;
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod engine;
 pub mod faults;
 pub mod front;
-pub mod observe;
+pub mod lifecycle;
 pub mod task;
--- a/crates/dataplane/src/observe.rs
+++ b/crates/dataplane/src/lifecycle.rs
@@ -8,7 +8,7 @@
 const SOFTWARE_FAULT: i32 = 70;
 
 /// Notes an illegal event. The state stays as it was and the gateway goes on; a debug build ends at once.
-pub fn illegal(what: Illegal) {
+pub fn report_illegal_transition(what: Illegal) {
     eprintln!("illegal transition: {what}");
     if cfg!(debug_assertions) {
         std::process::exit(SOFTWARE_FAULT);
@@ -16,24 +16,24 @@
 }
 
 /// A life that is shared by all that move it on.
-pub struct Life<M>(Cell<M>);
+pub struct Lifecycle<M>(Cell<M>);
 
-impl<M: Machine> Life<M> {
+impl<M: Machine> Lifecycle<M> {
     /// One that begins here.
     pub const fn new(start: M) -> Self {
         Self(Cell::new(start))
     }
 
     /// Where it is.
-    pub fn now(&self) -> M {
+    pub fn state(&self) -> M {
         self.0.get()
     }
 
     /// Moves it on.
     pub fn step(&self, event: M::Event) {
-        match self.now().step(event) {
+        match self.state().step(event) {
             Ok(next) => self.0.set(next),
-            Err(what) => illegal(what),
+            Err(what) => report_illegal_transition(what),
         }
     }
 }
--- a/gateway/src/back/discovery.rs
+++ b/gateway/src/back/discovery.rs
@@ -1,7 +1,7 @@
 //! The watch that keeps the list of backends fresh.
 
 use crate::back::backends::Backends;
-use crate::back::link::Link;
+use crate::back::connection::HttpConnection;
 use crate::engine::Engine;
 use crate::faults;
 use bytes::Bytes;
@@ -30,7 +30,7 @@
 
 /// Brings a list to the connections first, so that nothing is sent by an older word, then to the decisions.
 pub fn tell(list: List, backends: &Backends, engine: &Engine) {
-    let list = faults::list(list);
+    let list = faults::alter_list(list);
     backends.update(&list);
     let entries = list.hosts.into_iter().map(|h| h.entry).collect();
     engine.post(if list.whole { Event::BackendList(entries) } else { Event::BackendChanges(entries) });
@@ -56,7 +56,7 @@
 async fn stay(address: SocketAddr, mut seq: Option<u64>, backends: &Backends, engine: &Engine) {
     let mut told = false;
     loop {
-        let fault = match Link::connect(address, CONNECT_TIMEOUT, false).await {
+        let fault = match HttpConnection::connect(address, CONNECT_TIMEOUT, false).await {
             Ok(mut link) => calls(&mut link, address, &mut seq, backends, engine).await,
             Err(error) => format!("no connection: {error}"),
         };
@@ -69,7 +69,8 @@
 
 /// One call after another on one connection, until something is wrong with it.
 async fn calls(
-    link: &mut Link, address: SocketAddr, seq: &mut Option<u64>, backends: &Backends, engine: &Engine,
+    link: &mut HttpConnection, address: SocketAddr, seq: &mut Option<u64>, backends: &Backends,
+    engine: &Engine,
 ) -> String {
     loop {
         let uri = match seq {
--- a/gateway/src/back/mod.rs
+++ b/gateway/src/back/mod.rs
@@ -2,4 +2,4 @@
 
 pub mod discovery;
 pub mod speech;
-pub use fennelscale_dataplane::back::{backends, link};
+pub use fennelscale_dataplane::back::{backends, connection};
--- a/gateway/src/back/speech.rs
+++ b/gateway/src/back/speech.rs
@@ -1,7 +1,7 @@
 //! What the backends of the deployments in service speak.
 
-use crate::back::backends::{Message, Speech, Verdict};
-use crate::clock::millis;
+use crate::back::backends::{Message, Protocol, Verdict};
+use crate::clock::to_millis;
 use doorcourse::{LoadReportSource, Name};
 use hyper::http::request::Builder;
 use hyper::http::response;
@@ -18,14 +18,14 @@
     pub reports: LoadReportSource,
 }
 
-impl Speech for Metered {
-    fn request(&self, message: &Message, _: &Name, dial: SocketAddr, left: Duration) -> Builder {
+impl Protocol for Metered {
+    fn build_request(&self, message: &Message, _: &Name, dial: SocketAddr, left: Duration) -> Builder {
         let mut builder = Request::builder()
             .method(message.method.clone())
             .uri(message.target.clone())
             .header("Host", dial.to_string())
             .header("Req-Id", message.id.clone())
-            .header("Req-Deadline-Ms", millis(left).floor().to_string());
+            .header("Req-Deadline-Ms", to_millis(left).floor().to_string());
         for (name, value) in &message.headers {
             builder = builder.header(name, value);
         }
@@ -36,13 +36,13 @@
         let declined = head.headers.get(DECLINED).is_some_and(|v| v == "1");
         match head.status {
             StatusCode::OK => Verdict::Served,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Verdict::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Verdict::Rejected,
             // Whatever else it says, it may have run.
             _ => Verdict::Error,
         }
     }
 
-    fn probe(&self) -> &str {
+    fn probe_path(&self) -> &str {
         if self.reports == LoadReportSource::None { "/alive" } else { "/metrics/load" }
     }
 }
--- a/gateway/src/counting/counter.rs
+++ b/gateway/src/counting/counter.rs
@@ -1,7 +1,7 @@
 //! The shared counter: pipelined RESP2 calls on a few connections.
 
-use crate::clock::millis;
-use crate::engine::Report;
+use crate::clock::to_millis;
+use crate::engine::CounterReplyHandler;
 use doorcourse::{CountOutcome, Millis};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
@@ -52,7 +52,7 @@
 struct Lane {
     address: SocketAddr,
     patience: Duration,
-    report: Rc<Report>,
+    report: Rc<CounterReplyHandler>,
     pipeline: RefCell<Pipeline>,
     wake: Notify,
     told_bad: Cell<bool>,
@@ -64,13 +64,13 @@
 pub struct Counter {
     address: Cell<SocketAddr>,
     patience: Duration,
-    report: Rc<Report>,
+    report: Rc<CounterReplyHandler>,
     lanes: RefCell<Vec<Rc<Lane>>>,
 }
 
 impl Counter {
     /// Connects and stays connected from now on. A call without an answer for `patience` is reported unknown.
-    pub fn start(address: SocketAddr, patience: Duration, report: Rc<Report>) -> Self {
+    pub fn start(address: SocketAddr, patience: Duration, report: Rc<CounterReplyHandler>) -> Self {
         let lanes = lanes(address, patience, &report).into();
         Self { address: Cell::new(address), patience, report, lanes }
     }
@@ -98,7 +98,7 @@
     }
 }
 
-fn lanes(address: SocketAddr, patience: Duration, report: &Rc<Report>) -> Vec<Rc<Lane>> {
+fn lanes(address: SocketAddr, patience: Duration, report: &Rc<CounterReplyHandler>) -> Vec<Rc<Lane>> {
     let lane = |_| {
         let (pipeline, wake) = (Pipeline { up: true, ..Pipeline::default() }.into(), Notify::new());
         let (told_bad, retired, report) = (Cell::new(false), Cell::new(false), report.clone());
@@ -180,7 +180,7 @@
 
     fn tell(&self, call: &Call, outcome: CountOutcome) {
         if let (Some(name), false) = (call.name, call.told) {
-            (self.report)(name, outcome, millis(call.made.elapsed()));
+            (self.report)(name, outcome, to_millis(call.made.elapsed()));
         }
     }
 
--- a/gateway/src/counting/counters.rs
+++ b/gateway/src/counting/counters.rs
@@ -1,7 +1,7 @@
 //! The counters that accounts are over, and how a change of them comes about while the gateway runs.
 
 use crate::counting::counter::{Counter, LANES};
-use crate::engine::{Counting, Report};
+use crate::engine::{CounterClient, CounterReplyHandler};
 use doorcourse::{CountOutcome, Millis};
 use fennelscale_quota::Partition;
 use fennelscale_settings::quota::{PartitionRule, addresses};
@@ -16,7 +16,7 @@
     /// Each in its place.
     parts: RefCell<Vec<Counter>>,
     patience: Duration,
-    report: Rc<Report>,
+    report: Rc<CounterReplyHandler>,
 }
 
 /// Descriptors that counters hold beyond those of one.
@@ -32,7 +32,7 @@
 
 impl Counters {
     /// Connects to the counters of a partition, and stays connected.
-    pub fn start(partition: Partition, patience: Duration, report: Rc<Report>) -> Self {
+    pub fn start(partition: Partition, patience: Duration, report: Rc<CounterReplyHandler>) -> Self {
         let counters = Self { partition: partition.into(), parts: RefCell::default(), patience, report };
         counters.connect();
         counters
@@ -92,7 +92,7 @@
     }
 }
 
-impl Counting for Counters {
+impl CounterClient for Counters {
     fn partition(&self) -> Partition {
         Self::partition(self)
     }
--- a/gateway/src/front/clients.rs
+++ b/gateway/src/front/clients.rs
@@ -1,11 +1,11 @@
 //! The clients' side: takes requests in, reads their headers, writes their answers, drains at the end.
 
-use crate::back::backends::{LARGEST_BODY, Message};
-use crate::clock::millis;
+use crate::back::backends::{MAX_BODY, Message};
+use crate::clock::to_millis;
 use crate::engine::{Engine, Reply};
 use crate::faults;
-use crate::front::door::Door;
-use crate::front::guest::{BUFFER, Guest, Tap};
+use crate::front::acceptor::Acceptor;
+use crate::front::client_connection::{ClientConnection, ClientStream, READ_BUFFER_SIZE};
 use bytes::Bytes;
 use doorcourse::{Arrival, Name, RequestId, RetrySafety, Settings};
 use fennelscale_admission::origin;
@@ -89,13 +89,13 @@
     gateways: u32,
     /// The ids of all requests without an answer.
     ids: RefCell<OpenIds<HeaderValue>>,
-    door: Rc<Door>,
+    acceptor: Rc<Acceptor>,
     draining: Cell<bool>,
 }
 
 impl Front {
-    /// A front side behind a door.
-    pub fn new(engine: Rc<Engine>, settings: &Settings, door: Rc<Door>) -> Rc<Self> {
+    /// A front side behind an acceptor.
+    pub fn new(engine: Rc<Engine>, settings: &Settings, acceptor: Rc<Acceptor>) -> Rc<Self> {
         let shares = |worths: Vec<f64>| {
             let most = worths.iter().copied().fold(0.0, f64::max);
             worths.into_iter().map(|w| if most > 0.0 { w / most } else { 1.0 }).collect()
@@ -112,7 +112,7 @@
             gateways: settings.gateways,
             ids: RefCell::default(),
             worths,
-            door,
+            acceptor,
             draining: Cell::new(false),
         })
     }
@@ -131,51 +131,51 @@
             sleep(LINGER / 2).await;
         };
         let front = self.clone();
-        self.door.open(Rc::new(move |stream, ahead, guest| {
-            front.clone().welcome(stream, ahead, guest, closing.clone());
+        self.acceptor.start(Rc::new(move |stream, ahead, client| {
+            front.clone().welcome(stream, ahead, client, closing.clone());
         }));
         let mut ended = pin!(ended);
         loop {
             tokio::select! {
                 () = ended.as_mut() => break,
-                () = self.door.accept(&listener) => {}
+                () = self.acceptor.accept(&listener) => {}
             }
         }
         // What the machine has accepted for us already is ours to answer.
-        self.door.accept_the_last(&listener, Instant::now() + LINGER / 2).await;
+        self.acceptor.accept_backlog(&listener, Instant::now() + LINGER / 2).await;
         drop(listener);
-        self.engine.hand_back(HAND_BACK).await;
+        self.engine.return_units(HAND_BACK).await;
         close.send_modify(|round| *round += 1);
         // Guards the end against clients that stop half-way: once nothing that was taken waits for its answer,
         // the last answers and the last bodies have this long.
         let mut quiet = Instant::now();
-        while !self.door.is_empty() && quiet.elapsed() < LAST_WORDS {
-            let _ = timeout(LAST_WORDS / 10, self.door.left.notified()).await;
-            if self.engine.waiting() > 0 {
+        while !self.acceptor.is_empty() && quiet.elapsed() < LAST_WORDS {
+            let _ = timeout(LAST_WORDS / 10, self.acceptor.connection_closed.notified()).await;
+            if self.engine.pending_requests() > 0 {
                 quiet = Instant::now();
             }
         }
     }
 
     fn welcome(
-        self: Rc<Self>, stream: TcpStream, ahead: Vec<u8>, guest: Rc<Guest>,
+        self: Rc<Self>, stream: TcpStream, ahead: Vec<u8>, client: Rc<ClientConnection>,
         mut closing: watch::Receiver<u32>,
     ) {
         let round = *closing.borrow();
         crate::task::spawn(async move {
             let _ = stream.set_nodelay(true);
             let service = service_fn(|request| {
-                let (front, guest) = (self.clone(), guest.clone());
+                let (front, client) = (self.clone(), client.clone());
                 async move {
-                    let (response, share) = front.answer(request, &guest).await;
-                    guest.done(share);
+                    let (response, share) = front.answer(request, &client).await;
+                    client.response_ready(share);
                     Ok::<_, Infallible>(response)
                 }
             });
             let connection = http1::Builder::new()
                 .header_read_timeout(None)
-                .max_buf_size(BUFFER)
-                .serve_connection(TokioIo::new(Tap::new(stream, ahead, guest.clone())), service);
+                .max_buf_size(READ_BUFFER_SIZE)
+                .serve_connection(TokioIo::new(ClientStream::new(stream, ahead, client.clone())), service);
             let mut connection = pin!(connection);
             // Lets go of what `wait_for` hands out: it locks the channel, and the next round would wait for
             // it on this one thread for ever.
@@ -183,28 +183,28 @@
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => {}
-                () = guest.over() => guest.life.step(Event::TimeUp),
+                () = client.deadline_passed() => client.lifecycle.step(Event::TimeUp),
                 () = closing.as_mut() => {
                     connection.as_mut().graceful_shutdown();
                     let _ = connection.await;
                 }
-                () = guest.leave.notified() => {
+                () = client.close_requested.notified() => {
                     connection.as_mut().graceful_shutdown();
                     // A request that came just now is answered still.
                     let over = timeout(LAST_CALL, connection.as_mut()).await.is_ok();
-                    if !over && guest.is_busy() {
+                    if !over && client.has_open_request() {
                         let _ = connection.await;
                     }
                 }
             }
-            guest.life.step(Event::Closed);
-            self.door.gone(&guest);
+            client.lifecycle.step(Event::Closed);
+            self.acceptor.on_closed(&client);
         });
     }
 
     /// The one answer to a request, and what it was worth if it was served.
     async fn answer(
-        &self, request: Request<Incoming>, guest: &Guest,
+        &self, request: Request<Incoming>, client: &ClientConnection,
     ) -> (Response<Full<Bytes>>, Option<f64>) {
         let mut last = request.headers().contains_key(TRANSFER_ENCODING);
         let has_body = !request.body().is_end_stream();
@@ -212,13 +212,13 @@
         let mut response = if request.uri().path() == "/up" {
             self.up(request.method())
         } else {
-            let taken = match self.place(request.headers(), guest) {
-                Ok(()) => self.take(request, guest).await,
+            let taken = match self.place(request.headers(), client) {
+                Ok(()) => self.take(request, client).await,
                 Err(fault) => Err(fault),
             };
             match taken.and_then(|ticket| Ok((self.enter(ticket.message.id.clone())?, ticket))) {
                 Ok((_entry, ticket)) => {
-                    guest.taken();
+                    client.request_received();
                     let worth = self.worth(&ticket);
                     let (response, served) = self.decide(ticket).await;
                     share = served.then_some(worth);
@@ -232,7 +232,7 @@
             }
         };
         // So that clients find another gateway, or make room for others here.
-        let full = || self.door.desk.ask(|admission, now| admission.is_full(now, guest.id));
+        let full = || self.acceptor.admission.with(|admission, now| admission.is_full(now, client.id));
         if last || self.draining.get() || full() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -248,10 +248,10 @@
     }
 
     /// Whose a request is, where its connection is a proxy's that many share; a proxy's header from who is none is a fault.
-    fn place(&self, headers: &HeaderMap, guest: &Guest) -> Result<(), Fault> {
-        let header = match self.door.desk.ask(|admission, _| admission.shared(guest.id)) {
+    fn place(&self, headers: &HeaderMap, client: &ClientConnection) -> Result<(), Fault> {
+        let header = match self.acceptor.admission.with(|admission, _| admission.shared(client.id)) {
             Some(header) => header,
-            None if self.door.settings().forged == Forged::Ignore => return Ok(()),
+            None if self.acceptor.settings().forged == Forged::Ignore => return Ok(()),
             None if headers.contains_key(FORWARDED) => {
                 return Err(Fault::Bad("Forwarded, from no proxy that is known"));
             }
@@ -264,16 +264,16 @@
             let values = headers.get_all(name).iter().map(|v| v.to_str());
             values.collect::<Result<Vec<_>, _>>().map_err(|_| origin::Malformed)
         };
-        self.door.desk.ask(|admission, now| {
-            let client = match header {
+        self.acceptor.admission.with(|admission, now| {
+            let address = match header {
                 Header::Forwarded => {
                     values(FORWARDED).and_then(|v| origin::forwarded(&v, admission.networks()))
                 }
                 _ => values(X_FORWARDED_FOR).and_then(|v| origin::x_forwarded_for(&v, admission.networks())),
             };
-            match client.map_err(|origin::Malformed| Fault::Bad("Forwarded or X-Forwarded-For"))? {
+            match address.map_err(|origin::Malformed| Fault::Bad("Forwarded or X-Forwarded-For"))? {
                 None => Ok(()),
-                Some(client) => admission.rides(now, guest.id, client).map_err(Fault::TooMany),
+                Some(address) => admission.rides(now, client.id, address).map_err(Fault::TooMany),
             }
         })
     }
@@ -299,9 +299,9 @@
     }
 
     /// Reads a request whole.
-    async fn take(&self, request: Request<Incoming>, guest: &Guest) -> Result<Ticket, Fault> {
+    async fn take(&self, request: Request<Incoming>, client: &ClientConnection) -> Result<Ticket, Fault> {
         // Guards against requests hidden in the body of another.
-        if request.headers().contains_key(TRANSFER_ENCODING) && !guest.is_plainly_chunked(&request) {
+        if request.headers().contains_key(TRANSFER_ENCODING) && !client.is_chunked_without_length(&request) {
             return Err(Fault::Bad("Transfer-Encoding"));
         }
         let (head, body) = request.into_parts();
@@ -313,11 +313,11 @@
         if ticket.message.method == Method::GET {
             return Err(Fault::Bad("a body where none belongs"));
         }
-        if body.size_hint().lower() > LARGEST_BODY as u64 {
+        if body.size_hint().lower() > MAX_BODY as u64 {
             return Err(Fault::TooLarge);
         }
         // The connection's own time bounds this: it is closed when that is over.
-        match Limited::new(body, LARGEST_BODY).collect().await {
+        match Limited::new(body, MAX_BODY).collect().await {
             Ok(body) => ticket.message.body = body.to_bytes(),
             Err(error) if error.is::<LengthLimitError>() => return Err(Fault::TooLarge),
             Err(_) => return Err(Fault::Bad("body")),
@@ -394,8 +394,8 @@
         let Ticket { class, plan, customer, units, spread, first, repeat, patience, message } = ticket;
         let margin = MARGIN.min(patience.mul_f64(MARGIN_SHARE));
         let (patience, now) = (patience - margin, Instant::now());
-        let patience_ms = millis(patience);
-        let (id, reply) = self.engine.open(
+        let patience_ms = to_millis(patience);
+        let (id, reply) = self.engine.submit(
             |id| Arrival {
                 id,
                 customer,
@@ -415,7 +415,7 @@
         // Guards the one final answer: should the decisions forget a request, it still gets one in time.
         let reply = timeout_at(now + patience + BACKSTOP.min(margin / 2), reply).await;
         drop(waiting);
-        if faults::strikes(faults::Fault::NeverAnswer, id) {
+        if faults::affects(faults::Fault::NeverAnswer, id) {
             std::future::pending::<()>().await;
         }
         match reply {
@@ -444,7 +444,7 @@
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.engine.client_left(self.id);
+        self.engine.client_disconnected(self.id);
     }
 }
 
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod counting;
 pub mod fleet;
 pub mod front;
-pub use fennelscale_dataplane::{clock, engine, faults, observe, task};
+pub use fennelscale_dataplane::{clock, engine, faults, lifecycle, task};
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -7,15 +7,15 @@
 use clap::Parser;
 use commands::cli::{Cli, Command};
 use commands::{quota, rehearse, routes};
-use fennelscale::back::backends::{Backends, Bounds};
+use fennelscale::back::backends::{Backends, ConnectionLimits};
 use fennelscale::back::discovery;
 use fennelscale::back::speech::Metered;
 use fennelscale::counting::counters::{self, Counters};
-use fennelscale::engine::{Counting, Engine};
+use fennelscale::engine::{CounterClient, Engine};
 use fennelscale::faults;
 use fennelscale::fleet::Fleet;
+use fennelscale::front::acceptor::Acceptor;
 use fennelscale::front::clients::Front;
-use fennelscale::front::door::Door;
 use fennelscale::task::spawn;
 use fennelscale_admission::budget::{Budget, Limit};
 use fennelscale_quota::Partition;
@@ -95,16 +95,17 @@
     };
     let more = partition.as_ref().map_or(0, counters::descriptors_more);
     let budget = Budget::divide(limit.usable, admission.hold.most, admission.refusals.lingering, more);
-    let mut settings = faults::settings(config.settings);
+    let mut settings = faults::alter_settings(config.settings);
     settings.loss = quota.losses;
     let reuse = Reuse::new(&operators.upstream.unwrap_or_default());
     let reports = settings.load_reports;
-    let (speech, bounds) = (Rc::new(Metered { reports }), Bounds::small(budget.backends));
+    let (speech, bounds) =
+        (Rc::new(Metered { reports }), ConnectionLimits::for_small_answers(budget.backends));
     let backends = Backends::new(config.connect_timeout, config.backend_idle, reports, reuse, speech, bounds);
     let counters: Rc<OnceCell<Rc<Counters>>> = Rc::default();
     let counting = partition.map(|partition| {
         let counters = counters.clone();
-        move |patience, report| -> Rc<dyn Counting> {
+        move |patience, report| -> Rc<dyn CounterClient> {
             counters.get_or_init(|| Rc::new(Counters::start(partition, patience, report))).clone()
         }
     });
@@ -113,15 +114,15 @@
         Err(error) => return unusable(&error),
     };
     let counters = counters.get().cloned();
-    let door = Door::new(admission, budget);
-    backends.on_shortage({
-        let door = door.clone();
-        Rc::new(move || door.short_of_descriptors())
+    let acceptor = Acceptor::new(admission, budget);
+    backends.on_descriptor_shortage({
+        let acceptor = acceptor.clone();
+        Rc::new(move || acceptor.on_descriptor_shortage())
     });
-    let front = Front::new(engine.clone(), &settings, door);
+    let front = Front::new(engine.clone(), &settings, acceptor);
     let seq = config.known.seq;
     discovery::tell(config.known, &backends, &engine);
-    spawn(backends.clone().keep_tidy());
+    spawn(backends.clone().close_stale_connections());
     let fleet = match operators.fleet {
         // The seed of a process is its own: with it go a stranger's number and the order of its probes.
         Some(rules) => match Fleet::start(rules, &config.name, config.seed).await {
@@ -169,7 +170,7 @@
     };
     match rule.map(|rule| counters.change(&rule, engine.now())) {
         Some(Ok(true)) => {
-            engine.tell_counters();
+            engine.update_counter_partition();
             eprintln!("counters change at the time that the settings name");
         }
         Some(Err(what)) => eprintln!("counters not changed: {what}"),
--- a/gateway/tests/backends.rs
+++ b/gateway/tests/backends.rs
@@ -2,7 +2,7 @@
 
 mod helper;
 
-use fennelscale::back::link::{Link, Progress};
+use fennelscale::back::connection::{HttpConnection, Progress};
 use fennelscale_wire::reuse::Fault;
 use helper::{Backend, Do, Gateway, Mood, Setup, World, list, ok, pause, request, row};
 use http_body_util::Full;
@@ -244,7 +244,8 @@
     let at = listener.local_addr().expect("an address");
     // Larger than any socket buffer, to a peer that reads little of it and closes: not written whole.
     for (size, heard, progress) in [(64 << 20, 10, Progress::Partly), (10, 40, Progress::Whole)] {
-        let mut link = Link::connect(at, Duration::from_secs(60), false).await.expect("a connection");
+        let mut link =
+            HttpConnection::connect(at, Duration::from_secs(60), false).await.expect("a connection");
         let (mut peer, _) = listener.accept().await.expect("a connection");
         let request = hyper::Request::post("/x").body(Full::from(vec![b'x'; size])).expect("a request");
         let close = async move {
@@ -254,7 +255,7 @@
         };
         let (end, ()) = tokio::join!(link.exchange(request, 100, helper::LONG, None), close);
         assert_eq!(end.expect_err("a broken connection"), progress);
-        assert!(!link.stands());
+        assert!(!link.is_alive());
     }
 }
 
@@ -264,7 +265,7 @@
     let at = listener.local_addr().expect("an address");
     let soon = || Some(tokio::time::Instant::now() + Duration::from_millis(100));
     // Larger than any socket buffer, to a peer that reads nothing: it is cut off and surely never ran.
-    let mut link = Link::connect(at, Duration::from_secs(60), false).await.expect("a connection");
+    let mut link = HttpConnection::connect(at, Duration::from_secs(60), false).await.expect("a connection");
     let (mut peer, _) = listener.accept().await.expect("a connection");
     let size = 64 << 20;
     let request = hyper::Request::post("/x").body(Full::from(vec![b'x'; size])).expect("a request");
@@ -275,7 +276,7 @@
     let _ = peer.read_to_end(&mut bytes).await;
     assert!(bytes.len() < size);
     // Written in time, it may be answered at any time.
-    let mut link = Link::connect(at, Duration::from_secs(60), false).await.expect("a connection");
+    let mut link = HttpConnection::connect(at, Duration::from_secs(60), false).await.expect("a connection");
     let (mut peer, _) = listener.accept().await.expect("a connection");
     let request = hyper::Request::post("/x").body(Full::from("b")).expect("a request");
     let answer = async move {
@@ -290,10 +291,10 @@
 }
 
 /// A connection and its other side.
-async fn pair() -> (Link, TcpStream) {
+async fn pair() -> (HttpConnection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let link = Link::connect(at, Duration::from_secs(60), false).await.expect("a connection");
+    let link = HttpConnection::connect(at, Duration::from_secs(60), false).await.expect("a connection");
     (link, listener.accept().await.expect("a connection").0)
 }
 
@@ -326,7 +327,7 @@
         while let Ok(read @ 1..) = peer.try_read(&mut part) {
             room += read;
         }
-        assert!(room > 0 && !link.is_free().await && !link.stands());
+        assert!(room > 0 && !link.is_free().await && !link.is_alive());
         drop(link);
         assert!(rest_of(&mut peer).await + room + 100 < size);
     }
@@ -345,12 +346,12 @@
             };
             let (end, ()) = tokio::join!(link.exchange(request(), 100, helper::LONG, None), speak);
             assert_eq!(end.expect("an answer").1, "x");
-            assert!(link.is_free().await && link.stands());
+            assert!(link.is_free().await && link.is_alive());
         }
         peer.write_all(ok("bad").as_bytes()).await.expect("written");
         let port = peer.local_addr().expect("an address").port();
         helper::until("the stray bytes", || has_come_from(port)).await;
-        assert!(link.is_up(), "the event loop has heard nothing");
+        assert!(link.appears_idle(), "the event loop has heard nothing");
         let end = link.exchange(request(), 100, helper::LONG, None).await;
         assert_eq!(end.expect_err("no exchange"), Progress::Unsent);
         assert_eq!(link.fault(), Some(Fault::Unasked));
--- a/system/proxy/src/backend_protocol.rs
+++ b/system/proxy/src/backend_protocol.rs
@@ -3,7 +3,7 @@
 
 use crate::request_trace::RequestTrace;
 use doorcourse::Name;
-use fennelscale_dataplane::back::backends::{Message, Speech, Verdict};
+use fennelscale_dataplane::back::backends::{Message, Protocol, Verdict};
 use hyper::header::{CONTENT_ENCODING, HOST, HeaderName};
 use hyper::http::request::Builder;
 use hyper::http::response;
@@ -36,8 +36,8 @@
     pub started_at: Instant,
 }
 
-impl Speech for BackendProtocol {
-    fn request(
+impl Protocol for BackendProtocol {
+    fn build_request(
         &self, message: &Message, backend: &Name, address: SocketAddr, remaining: Duration,
     ) -> Builder {
         let mut builder = Request::builder().method(message.method.clone()).uri(message.target.clone());
@@ -63,8 +63,8 @@
         let verdict = verdict(head, repeatable);
         if let Some(id) = head.headers.get(REQUEST_ID) {
             let outcome = match verdict {
-                Verdict::Elsewhere => "not-it",
-                Verdict::Full => "full",
+                Verdict::Misdirected => "not-it",
+                Verdict::Rejected => "full",
                 Verdict::Error => "unusable",
                 _ => "served",
             };
@@ -74,17 +74,17 @@
         verdict
     }
 
-    fn probe(&self) -> &str {
+    fn probe_path(&self) -> &str {
         &self.health_path
     }
 }
 
 fn verdict(head: &response::Parts, repeatable: bool) -> Verdict {
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        return Verdict::Elsewhere;
+        return Verdict::Misdirected;
     }
     if head.headers.contains_key(NOT_EXECUTED) {
-        return Verdict::Full;
+        return Verdict::Rejected;
     }
     let is_valid = head.headers.contains_key(SIGNATURE) && !head.headers.contains_key(CONTENT_ENCODING);
     match head.status {
@@ -111,8 +111,8 @@
         assert_eq!(verdict_of(200, &[signed], false), Verdict::Served);
         assert_eq!(verdict_of(200, &[], false), Verdict::Error);
         assert_eq!(verdict_of(200, &[signed, ("content-encoding", "gzip")], false), Verdict::Error);
-        assert_eq!(verdict_of(503, &[("fennelscale-not-executed", "1")], true), Verdict::Full);
-        assert_eq!(verdict_of(421, &[], false), Verdict::Elsewhere);
+        assert_eq!(verdict_of(503, &[("fennelscale-not-executed", "1")], true), Verdict::Rejected);
+        assert_eq!(verdict_of(421, &[], false), Verdict::Misdirected);
         assert_eq!(verdict_of(500, &[], false), Verdict::Served);
         assert_eq!(verdict_of(500, &[], true), Verdict::Error);
         assert_eq!(verdict_of(404, &[signed], true), Verdict::Served);
--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -11,8 +11,8 @@
 use fennelscale_config::{Route, RouteKind, Tenant};
 use fennelscale_dataplane::back::backends::Message;
 use fennelscale_dataplane::engine::{Engine, Reply};
-use fennelscale_dataplane::front::door::Door;
-use fennelscale_dataplane::front::guest::{BUFFER, Guest, Tap};
+use fennelscale_dataplane::front::acceptor::Acceptor;
+use fennelscale_dataplane::front::client_connection::{ClientConnection, ClientStream, READ_BUFFER_SIZE};
 use fennelscale_fault_injection::{Caller, Verdict, What};
 use fennelscale_host::call::{Asked, failed};
 use fennelscale_host::error::{Failure, Kind};
@@ -61,7 +61,7 @@
 /// The client side of the proxy.
 pub struct Frontend {
     proxy: Rc<Proxy>,
-    acceptor: Rc<Door>,
+    acceptor: Rc<Acceptor>,
     refusing: Cell<bool>,
     /// Bytes of request bodies that are being read.
     body_bytes: Cell<usize>,
@@ -123,7 +123,7 @@
         let idle = fennelscale_config::Limits::default().idle_timeout;
         admission.pace.request = Quantity::of(idle);
         admission.pace.head = Quantity::of(idle);
-        let acceptor = Door::new(admission, budget);
+        let acceptor = Acceptor::new(admission, budget);
         proxy.set_acceptor(acceptor.clone());
         Rc::new(Self { proxy, acceptor, refusing: Cell::new(false), body_bytes: Cell::new(0) })
     }
@@ -134,7 +134,7 @@
     ) {
         let (close, closing) = watch::channel(false);
         let frontend = self.clone();
-        self.acceptor.open(Rc::new(move |stream, buffered, client| {
+        self.acceptor.start(Rc::new(move |stream, buffered, client| {
             frontend.clone().serve_connection(stream, buffered, client, closing.clone());
         }));
         let mut end = pin!(end);
@@ -156,17 +156,17 @@
             }
         }
         self.refusing.set(true);
-        self.acceptor.accept_the_last(&listener, Instant::now() + Duration::from_millis(100)).await;
+        self.acceptor.accept_backlog(&listener, Instant::now() + Duration::from_millis(100)).await;
         drop(listener);
         close.send_replace(true);
         let answer_until = shutdown_start + grace.mul_f64(ANSWER_SHARE);
         while !self.acceptor.is_empty() && Instant::now() < answer_until {
-            let _ = timeout(Duration::from_millis(50), self.acceptor.left.notified()).await;
+            let _ = timeout(Duration::from_millis(50), self.acceptor.connection_closed.notified()).await;
         }
     }
 
     fn serve_connection(
-        self: Rc<Self>, stream: TcpStream, buffered: Vec<u8>, client: Rc<Guest>,
+        self: Rc<Self>, stream: TcpStream, buffered: Vec<u8>, client: Rc<ClientConnection>,
         mut closing: watch::Receiver<bool>,
     ) {
         fennelscale_dataplane::task::spawn(async move {
@@ -176,37 +176,37 @@
                 async move {
                     let response = frontend.handle(request, &client).await;
                     let served = response.as_ref().is_ok_and(|response| response.status().is_success());
-                    client.done(served.then_some(1.0));
+                    client.response_ready(served.then_some(1.0));
                     response
                 }
             });
             let connection = http1::Builder::new()
                 .header_read_timeout(None)
-                .max_buf_size(BUFFER + 8 * 1024)
-                .serve_connection(TokioIo::new(Tap::new(stream, buffered, client.clone())), service);
+                .max_buf_size(READ_BUFFER_SIZE + 8 * 1024)
+                .serve_connection(TokioIo::new(ClientStream::new(stream, buffered, client.clone())), service);
             let mut connection = pin!(connection);
             let mut closing = pin!(async { drop(closing.wait_for(|closing| *closing).await) });
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => {}
-                () = client.over() => client.life.step(Event::TimeUp),
+                () = client.deadline_passed() => client.lifecycle.step(Event::TimeUp),
                 () = closing.as_mut() => {
                     connection.as_mut().graceful_shutdown();
                     let _ = connection.await;
                 }
-                () = client.leave.notified() => {
+                () = client.close_requested.notified() => {
                     connection.as_mut().graceful_shutdown();
                     let _ = connection.await;
                 }
             }
-            client.life.step(Event::Closed);
-            self.acceptor.gone(&client);
+            client.lifecycle.step(Event::Closed);
+            self.acceptor.on_closed(&client);
         });
     }
 
     /// Answers a request, with the failure that a failure order injects.
     async fn handle(
-        &self, request: Request<Incoming>, client: &Guest,
+        &self, request: Request<Incoming>, client: &ClientConnection,
     ) -> Result<Response<ResponseBody>, ConnectionCut> {
         let injected = match self.failure_verdict(&request) {
             Verdict::Met(met) => InjectedFailure::new(&self.proxy, &met),
@@ -277,14 +277,14 @@
     }
 
     /// Answers a request without injected failures.
-    async fn process(&self, request: Request<Incoming>, client: &Guest) -> Response<Full<Bytes>> {
+    async fn process(&self, request: Request<Incoming>, client: &ClientConnection) -> Response<Full<Bytes>> {
         let mut must_close =
             request.headers().contains_key(TRANSFER_ENCODING) && !request.body().is_end_stream();
         let has_body = !request.body().is_end_stream();
         let id = single(request.headers(), &REQUEST_ID).map(|id| fennelscale_messages::hash(id.as_bytes()));
         let mut response = match self.accept(request, client).await {
             Ok(accepted) => {
-                client.taken();
+                client.request_received();
                 must_close = false;
                 // A request without an id has been refused.
                 let trace = TraceGuard::new(&self.proxy, id.unwrap_or_default(), &accepted);
@@ -313,10 +313,12 @@
     }
 
     /// Reads a request completely, checks it, and looks up its route and tenant.
-    async fn accept(&self, request: Request<Incoming>, client: &Guest) -> Result<AcceptedRequest, Refusal> {
+    async fn accept(
+        &self, request: Request<Incoming>, client: &ClientConnection,
+    ) -> Result<AcceptedRequest, Refusal> {
         let refuse = |kind, text: &str| Err(Refusal::new(kind, text));
         // Guards against request smuggling.
-        if request.headers().contains_key(TRANSFER_ENCODING) && !client.is_plainly_chunked(&request) {
+        if request.headers().contains_key(TRANSFER_ENCODING) && !client.is_chunked_without_length(&request) {
             return refuse(Kind::Malformed, "Transfer-Encoding");
         }
         let (head, body) = request.into_parts();
@@ -432,7 +434,7 @@
         let remaining = until.saturating_duration_since(Instant::now());
         let client_timeout = remaining.as_secs_f64() * 1000.0;
         let customer = tenant.as_ref().map_or("", |t| t.name.as_str()).into();
-        let (id, reply) = service.engine.open(
+        let (id, reply) = service.engine.submit(
             |id| Arrival {
                 id,
                 customer,
@@ -553,6 +555,6 @@
 
 impl Drop for ReplyWait<'_> {
     fn drop(&mut self) {
-        self.engine.client_left(self.id);
+        self.engine.client_disconnected(self.id);
     }
 }
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -145,11 +145,11 @@
             let labels = SendLabels { service: name.to_owned(), backend_state };
             self.sends.get_or_create(&labels).inner().store(count, Ordering::Relaxed);
         }
-        for (outcome, count) in service.engine.ends() {
+        for (outcome, count) in service.engine.outcome_counts() {
             let labels = EndLabels { service: name.to_owned(), outcome: outcome_name(outcome) };
             self.ends.get_or_create(&labels).inner().store(count, Ordering::Relaxed);
         }
-        self.queued.get_or_create(&label).set(service.engine.held() as i64);
+        self.queued.get_or_create(&label).set(service.engine.queued() as i64);
     }
 }
 
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -10,7 +10,7 @@
 use crate::session;
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::Tenant;
-use fennelscale_dataplane::front::door::Door;
+use fennelscale_dataplane::front::acceptor::Acceptor;
 use fennelscale_fault_injection::{Caller, Desk, FAILURE, Sums, Verdict};
 use fennelscale_host::link::Writer;
 use fennelscale_host::start::{self, Signals};
@@ -77,7 +77,7 @@
     seeds: RefCell<Vec<SocketAddr>>,
     /// Idle drained nodes, as last sent to the registry.
     idle_nodes: RefCell<Vec<String>>,
-    acceptor: RefCell<Option<Rc<Door>>>,
+    acceptor: RefCell<Option<Rc<Acceptor>>>,
     /// Failure orders and their counts.
     pub failure_orders: RefCell<Desk>,
     next_count_at: Cell<f64>,
@@ -220,7 +220,7 @@
     }
 
     /// Sets the acceptor of client connections, which tells whether clients are connected.
-    pub fn set_acceptor(&self, acceptor: Rc<Door>) {
+    pub fn set_acceptor(&self, acceptor: Rc<Acceptor>) {
         *self.acceptor.borrow_mut() = Some(acceptor);
     }
 
--- a/system/proxy/src/service_engines.rs
+++ b/system/proxy/src/service_engines.rs
@@ -7,8 +7,8 @@
 use crate::routing_state::RoutingState;
 use doorcourse::{Class, DedupScope, Event, LoadReportSource, Name, Outcome, RetrySafety, SendCounts};
 use fennelscale_config::{Route, RouteKind};
-use fennelscale_dataplane::back::backends::{Backends, Bounds};
-use fennelscale_dataplane::engine::{Counting, Engine, Report};
+use fennelscale_dataplane::back::backends::{Backends, ConnectionLimits};
+use fennelscale_dataplane::engine::{CounterClient, CounterReplyHandler, Engine};
 use fennelscale_dataplane::task::spawn;
 use fennelscale_settings::list::List;
 use fennelscale_settings::upstream::{IdentityRule, Upstream};
@@ -78,13 +78,16 @@
 
     /// Number of requests that wait for their answers.
     pub fn waiting(&self) -> usize {
-        self.all.borrow().values().map(|service| service.engine.waiting()).sum()
+        self.all.borrow().values().map(|service| service.engine.pending_requests()).sum()
     }
 
     /// Backends that may be working on requests of this proxy.
     pub fn busy_backends(&self) -> BTreeSet<String> {
         let all = self.all.borrow();
-        all.values().flat_map(|service| service.backends.working()).map(|name| name.to_string()).collect()
+        all.values()
+            .flat_map(|service| service.backends.busy_backends())
+            .map(|name| name.to_string())
+            .collect()
     }
 
     /// Brings all engines up to date with the routing state. `now` is the proxy's clock.
@@ -106,18 +109,19 @@
             service.update(now, state, &name, self.retry);
         }
         // A removed service has no routes left; its last requests finish with the last known backends.
-        self.all
-            .borrow_mut()
-            .retain(|name, service| state.table.services.contains_key(name) || service.engine.waiting() > 0);
+        self.all.borrow_mut().retain(|name, service| {
+            state.table.services.contains_key(name) || service.engine.pending_requests() > 0
+        });
     }
 
     fn start(&self, health_path: String, service_count: usize) -> Option<Rc<ServiceEngine>> {
         let identity = IdentityRule { header: REQUEST_ID.as_str().to_owned(), required: true };
         let reuse = Reuse::new(&Upstream { identity: Some(identity), ..Upstream::default() });
-        let most_open = (self.connections / service_count).max(16);
+        let max_connections = (self.connections / service_count).max(16);
         let protocol =
             BackendProtocol { health_path, trace: self.trace.clone(), started_at: self.started_at };
-        let bounds = Bounds { most_open, largest_body: MAX_ANSWER, answer: ANSWER_TIMEOUT };
+        let bounds =
+            ConnectionLimits { max_connections, max_body: MAX_ANSWER, answer_timeout: ANSWER_TIMEOUT };
         let backends = Backends::new(
             CONNECT_TIMEOUT,
             IDLE_TIMEOUT,
@@ -128,7 +132,7 @@
         );
         let seed = self.seed.get();
         self.seed.set(fennelscale_messages::mix(seed.wrapping_add(1)));
-        let counters = None::<fn(Duration, Rc<Report>) -> Rc<dyn Counting>>;
+        let counters = None::<fn(Duration, Rc<CounterReplyHandler>) -> Rc<dyn CounterClient>>;
         let engine = match Engine::start(
             decision_input::engine_settings(&self.zone),
             seed,
@@ -141,7 +145,7 @@
                 return None;
             }
         };
-        spawn(backends.clone().keep_tidy());
+        spawn(backends.clone().close_stale_connections());
         Some(Rc::new(ServiceEngine {
             engine,
             backends,
@@ -168,7 +172,7 @@
             let without_terms = counts.sends.without_parameters - before.sends.without_parameters;
             let misdirected = counts.misdirected - before.misdirected;
             if cold + without_terms + misdirected > 0 {
-                let held = service.engine.held();
+                let held = service.engine.queued();
                 tracing::info!(
                     event = "unusual-sends",
                     service = name,
@@ -185,7 +189,10 @@
 impl ServiceEngine {
     /// The counts since the start.
     pub fn counts(&self) -> BackendCounts {
-        BackendCounts { sends: self.engine.sends(), misdirected: self.engine.ended_as(Outcome::Misdirected) }
+        BackendCounts {
+            sends: self.engine.send_counts(),
+            misdirected: self.engine.outcome_count(Outcome::Misdirected),
+        }
     }
 
     fn update(&self, now: f64, state: &mut RoutingState, name: &str, (retry_ratio, retry_slack): (f64, f64)) {
--- a/system/registry/src/backend_list.rs
+++ b/system/registry/src/backend_list.rs
@@ -1,7 +1,7 @@
 //! Reads the platform's backend list, page by page.
 
 use bytes::Bytes;
-use fennelscale_dataplane::back::link::Link;
+use fennelscale_dataplane::back::connection::HttpConnection;
 use fennelscale_messages::session::Backend;
 use fennelscale_node_settings::Settings;
 use http_body_util::Full;
@@ -31,7 +31,8 @@
 
 async fn read_pages(settings: &Settings) -> Result<Vec<Backend>, &'static str> {
     let address = settings.cloud.address;
-    let mut link = Link::connect(address, CONNECT_TIMEOUT, false).await.map_err(|_| "no connection")?;
+    let mut link =
+        HttpConnection::connect(address, CONNECT_TIMEOUT, false).await.map_err(|_| "no connection")?;
     // The list may change between pages; if a backend is on two pages, the later entry counts.
     let mut all: BTreeMap<String, Backend> = BTreeMap::new();
     let mut token = String::new();
@@ -58,7 +59,9 @@
             Some(next) => token = next.to_owned(),
         }
         if !link.is_free().await {
-            link = Link::connect(address, CONNECT_TIMEOUT, false).await.map_err(|_| "no connection")?;
+            link = HttpConnection::connect(address, CONNECT_TIMEOUT, false)
+                .await
+                .map_err(|_| "no connection")?;
         }
     }
     Err("too many pages")
