--- a/gateway/src/back/discovery.rs
+++ b/gateway/src/back/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch that keeps the list of backends fresh.
+//! Watches service discovery and applies its backend lists.
 
 use crate::back::backends::Backends;
 use crate::back::connection::HttpConnection;
@@ -14,87 +14,92 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long one call of the watch may wait for news. Guards drains against answers that never come: a call that is
-/// lost looks like one without news until its wait is over, and what it should have told counts as told some
-/// seconds later. So waits are short; it costs a small call each time one is over without news.
-const WAIT: Duration = Duration::from_secs(1);
-/// A call that is silent for this much longer has been lost.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// An answer that has begun is whole within this.
-const WHOLE: Duration = Duration::from_millis(500);
+/// How long a long-poll call waits for changes. A lost call cannot be told from one without changes until its
+/// wait is over, and draining backends count as announced some seconds after the change. Short waits bound
+/// that delay, at the cost of a small call for each wait without changes.
+const POLL_WAIT: Duration = Duration::from_secs(1);
+/// A call without an answer this long after its wait is considered lost.
+const POLL_GRACE: Duration = Duration::from_millis(500);
+/// Time limit for the rest of an answer once it has begun.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Between calls after a fault: the watch lasts as long as the next call comes within 200 ms.
-const PAUSE: Duration = Duration::from_millis(100);
-/// The longest list that is read.
-const LONGEST: usize = 1 << 20;
+/// Delay before a call after a failure. The watch stays valid if the next call comes within 200 ms.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum size of a list in bytes.
+const MAX_LIST: usize = 1 << 20;
 
-/// Brings a list to the connections first, so that nothing is sent by an older word, then to the decisions.
-pub fn tell(list: List, backends: &Backends, engine: &Engine) {
+/// Applies a backend list to the connections first, so that nothing is sent by an older list, then reports it
+/// to the decision module.
+pub fn apply(list: List, backends: &Backends, engine: &Engine) {
     let list = faults::alter_list(list);
     backends.update(&list);
     let entries = list.hosts.into_iter().map(|h| h.entry).collect();
     engine.post(if list.whole { Event::BackendList(entries) } else { Event::BackendChanges(entries) });
 }
 
-/// Keeps a watch going for ever, wherever discovery is by now; while it is silent the last list stays.
+/// Watches service discovery at its current address, forever. The last list stays in force while discovery is
+/// unavailable.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>, seq: u64, backends: Rc<Backends>, engine: Rc<Engine>,
 ) {
     let mut seq = Some(seq);
     loop {
-        let at = *address.borrow_and_update();
+        let current = *address.borrow_and_update();
         tokio::select! {
-            () = stay(at, seq, &backends, &engine) => {}
+            () = watch_address(current, seq, &backends, &engine) => {}
             Ok(()) = address.changed() => {}
         }
-        // Guards against lists that count their versions differently: the new place is asked for all it has.
+        // The new address may number its versions differently, so the full list is requested.
         seq = None;
     }
 }
 
-/// Keeps a watch going at one address, for ever.
-async fn stay(address: SocketAddr, mut seq: Option<u64>, backends: &Backends, engine: &Engine) {
-    let mut told = false;
+/// Watches service discovery at one address, forever.
+async fn watch_address(address: SocketAddr, mut seq: Option<u64>, backends: &Backends, engine: &Engine) {
+    let mut logged = false;
     loop {
         let fault = match HttpConnection::connect(address, CONNECT_TIMEOUT, false).await {
-            Ok(mut link) => calls(&mut link, address, &mut seq, backends, engine).await,
+            Ok(mut connection) => poll(&mut connection, address, &mut seq, backends, engine).await,
             Err(error) => format!("no connection: {error}"),
         };
-        if !std::mem::replace(&mut told, true) {
-            eprintln!("discovery: {fault} (told once)");
+        if !std::mem::replace(&mut logged, true) {
+            eprintln!("discovery: {fault} (logged once)");
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// One call after another on one connection, until something is wrong with it.
-async fn calls(
-    link: &mut HttpConnection, address: SocketAddr, seq: &mut Option<u64>, backends: &Backends,
+/// Polls on one connection until it fails; returns the reason.
+async fn poll(
+    connection: &mut HttpConnection, address: SocketAddr, seq: &mut Option<u64>, backends: &Backends,
     engine: &Engine,
 ) -> String {
     loop {
         let uri = match seq {
-            Some(seq) => format!("/discovery/hosts?after={seq}&wait_ms={}", WAIT.as_millis()),
+            Some(seq) => format!("/discovery/hosts?after={seq}&wait_ms={}", POLL_WAIT.as_millis()),
             None => "/discovery/hosts".into(),
         };
         let request = Request::get(uri).header("Host", address.to_string()).body(Full::<Bytes>::default());
-        let Ok(request) = request else { return "the call cannot be written".into() };
-        let answer =
-            tokio::time::timeout(WAIT + PATIENCE, link.exchange(request, LONGEST, WHOLE, None)).await;
+        let Ok(request) = request else { return "the request cannot be built".into() };
+        let answer = tokio::time::timeout(
+            POLL_WAIT + POLL_GRACE,
+            connection.exchange(request, MAX_LIST, ANSWER_TIMEOUT, None),
+        )
+        .await;
         let list = match answer {
             Ok(Ok((head, body))) if head.status == StatusCode::OK => List::parse(&body),
             Ok(Ok((head, _))) => return format!("answered {}", head.status),
-            Ok(Err(_)) => return "the connection broke".into(),
-            Err(_) => return "silent".into(),
+            Ok(Err(_)) => return "the connection failed".into(),
+            Err(_) => return "no answer in time".into(),
         };
         match list {
             Ok(list) => {
                 *seq = Some(list.seq);
-                tell(list, backends, engine);
+                apply(list, backends, engine);
             }
             Err(error) => return error.to_string(),
         }
-        if !link.is_free().await {
+        if !connection.is_free().await {
             return "the connection was closed".into();
         }
     }
--- a/gateway/src/back/mod.rs
+++ b/gateway/src/back/mod.rs
@@ -1,5 +1,5 @@
-//! Backends: the list of them; pools, connections and attempts are the data plane's.
+//! Backends: service discovery and protocol. The data plane has the pools, connections and attempts.
 
 pub mod discovery;
-pub mod speech;
+pub mod protocol;
 pub use fennelscale_dataplane::back::{backends, connection};
--- a/gateway/src/back/speech.rs
+++ b/gateway/src/back/protocol.rs
@@ -1,4 +1,4 @@
-//! What the backends of the deployments in service speak.
+//! The protocol of the backends in production deployments.
 
 use crate::back::backends::{Message, Protocol, Verdict};
 use crate::clock::to_millis;
@@ -9,23 +9,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The word of a backend that never began with a request.
-const DECLINED: &str = "srv-declined";
+/// Set by a backend that rejected a request without executing it.
+const DECLINED_HEADER: &str = "srv-declined";
 
-/// Requests named by `Req-Id`, refusals by `srv-declined`.
-pub struct Metered {
-    /// Where load reports come from.
+/// The backend protocol: requests carry `Req-Id`, and rejections carry `srv-declined`.
+pub struct BackendProtocol {
+    /// The source of load reports.
     pub reports: LoadReportSource,
 }
 
-impl Protocol for Metered {
-    fn build_request(&self, message: &Message, _: &Name, dial: SocketAddr, left: Duration) -> Builder {
+impl Protocol for BackendProtocol {
+    fn build_request(
+        &self, message: &Message, _: &Name, address: SocketAddr, remaining: Duration,
+    ) -> Builder {
         let mut builder = Request::builder()
             .method(message.method.clone())
             .uri(message.target.clone())
-            .header("Host", dial.to_string())
+            .header("Host", address.to_string())
             .header("Req-Id", message.id.clone())
-            .header("Req-Deadline-Ms", to_millis(left).floor().to_string());
+            .header("Req-Deadline-Ms", to_millis(remaining).floor().to_string());
         for (name, value) in &message.headers {
             builder = builder.header(name, value);
         }
@@ -33,11 +35,11 @@
     }
 
     fn verdict(&self, head: &response::Parts, _: bool) -> Verdict {
-        let declined = head.headers.get(DECLINED).is_some_and(|v| v == "1");
+        let declined = head.headers.get(DECLINED_HEADER).is_some_and(|v| v == "1");
         match head.status {
             StatusCode::OK => Verdict::Served,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Verdict::Rejected,
-            // Whatever else it says, it may have run.
+            // With any other answer the request may have been executed.
             _ => Verdict::Error,
         }
     }
--- a/gateway/src/counting/counter.rs
+++ b/gateway/src/counting/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter: pipelined RESP2 calls on a few connections.
+//! Client of a shared counter: pipelined RESP2 calls on a few connections.
 
 use crate::clock::to_millis;
 use crate::engine::CounterReplyHandler;
@@ -16,118 +16,130 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Connections; a name always goes by the same one, so its calls keep their order.
-pub const LANES: usize = 2;
+/// Number of connections. Calls for a key always use the same one, so they keep their order.
+pub const CONNECTIONS: usize = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The wait before a new connection, doubled up to the last with each that fails.
-const BACK_OFF: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(500)];
-/// A connection on which calls wait and nothing has come for this long leads nowhere: a machine that vanished
-/// says nothing.
-const SILENT: Duration = Duration::from_secs(1);
-/// An answer that has begun is whole within this.
-const WHOLE: Duration = Duration::from_millis(50);
-/// An idle connection is kept up by a ping this often.
-const PING: Duration = Duration::from_secs(3);
-/// The most calls on one connection without an answer, and the most bytes of answers not understood yet.
-const MOST_CALLS: usize = 1024;
-const MOST_BYTES: usize = 4096;
+/// Minimum and maximum delay before a reconnect; it doubles with each failure.
+const BACKOFF: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(500)];
+/// A connection with unanswered calls that received nothing for this long is closed: a machine that vanished
+/// does not close its connections.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for the rest of an answer once it has begun.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
+/// Interval of keep-alive pings on an idle connection.
+const PING_INTERVAL: Duration = Duration::from_secs(3);
+/// Maximum number of unanswered calls on a connection, and of received bytes that are not decoded yet.
+const MAX_CALLS: usize = 1024;
+const MAX_INPUT: usize = 4096;
 
 struct Call {
     /// None for a ping.
-    name: Option<u64>,
-    made: Instant,
-    /// Where its last byte stands in all that was ever written on this connection.
+    key: Option<u64>,
+    started_at: Instant,
+    /// Position of its last byte in the bytes written on this connection.
     end: u64,
-    told: bool,
+    reported: bool,
 }
 
 #[derive(Default)]
 struct Pipeline {
-    up: bool,
-    out: VecDeque<u8>,
+    accepts_calls: bool,
+    output: VecDeque<u8>,
     written: u64,
     calls: VecDeque<Call>,
 }
 
-struct Lane {
+struct CounterConnection {
     address: SocketAddr,
-    patience: Duration,
+    call_timeout: Duration,
     report: Rc<CounterReplyHandler>,
     pipeline: RefCell<Pipeline>,
     wake: Notify,
-    told_bad: Cell<bool>,
-    /// The counter is elsewhere now: what is out gets its end, and that is all.
+    logged_invalid: Cell<bool>,
+    /// The counter has moved: open calls finish, and no new ones are made.
     retired: Cell<bool>,
 }
 
-/// The gateway's side of the counter.
+/// The client of one counter.
 pub struct Counter {
     address: Cell<SocketAddr>,
-    patience: Duration,
+    call_timeout: Duration,
     report: Rc<CounterReplyHandler>,
-    lanes: RefCell<Vec<Rc<Lane>>>,
+    connections: RefCell<Vec<Rc<CounterConnection>>>,
 }
 
 impl Counter {
-    /// Connects and stays connected from now on. A call without an answer for `patience` is reported unknown.
-    pub fn start(address: SocketAddr, patience: Duration, report: Rc<CounterReplyHandler>) -> Self {
-        let lanes = lanes(address, patience, &report).into();
-        Self { address: Cell::new(address), patience, report, lanes }
+    /// Connects and reconnects as needed. The outcome of a call without an answer within `call_timeout` is
+    /// reported as unknown.
+    pub fn start(address: SocketAddr, call_timeout: Duration, report: Rc<CounterReplyHandler>) -> Self {
+        let connections = connections(address, call_timeout, &report).into();
+        Self { address: Cell::new(address), call_timeout, report, connections }
     }
 
-    /// Makes further calls to another address; those that are out end as they would have.
+    /// Sends new calls to another address; open calls finish on their connections.
     pub fn move_to(&self, address: SocketAddr) {
         if self.address.replace(address) == address {
             return;
         }
-        for lane in self.lanes.replace(lanes(address, self.patience, &self.report)) {
-            lane.retired.set(true);
-            lane.wake.notify_one();
+        for connection in self.connections.replace(connections(address, self.call_timeout, &self.report)) {
+            connection.retired.set(true);
+            connection.wake.notify_one();
         }
     }
 
-    /// Adds an amount to a name; the end is reported later or, with no connection, at once.
-    pub fn add(&self, name: u64, amount: f64, keep: Millis) {
-        let lane = self.lanes.borrow()[name as usize % LANES].clone();
-        let name_text = name.to_string();
+    /// Adds an amount to a key. The result is reported later or, without a connection, at once.
+    pub fn add(&self, key: u64, amount: f64, ttl: Millis) {
+        let connection = self.connections.borrow()[key as usize % CONNECTIONS].clone();
+        let key_text = key.to_string();
         let amount = format!("{}", (amount * 1e6).round() / 1e6);
-        let keep = (keep.ceil().max(1.0) as u64).to_string();
-        if !lane.push(Some(name), &["ADDGET", &name_text, &amount, &keep]) {
-            (lane.report)(name, CountOutcome::NotAdded, 0.0);
+        let ttl = (ttl.ceil().max(1.0) as u64).to_string();
+        if !connection.push(Some(key), &["ADDGET", &key_text, &amount, &ttl]) {
+            (connection.report)(key, CountOutcome::NotAdded, 0.0);
         }
     }
 }
 
-fn lanes(address: SocketAddr, patience: Duration, report: &Rc<CounterReplyHandler>) -> Vec<Rc<Lane>> {
-    let lane = |_| {
-        let (pipeline, wake) = (Pipeline { up: true, ..Pipeline::default() }.into(), Notify::new());
-        let (told_bad, retired, report) = (Cell::new(false), Cell::new(false), report.clone());
-        let lane = Rc::new(Lane { address, patience, report, pipeline, wake, told_bad, retired });
-        tokio::task::spawn_local(lane.clone().run());
-        lane
+fn connections(
+    address: SocketAddr, call_timeout: Duration, report: &Rc<CounterReplyHandler>,
+) -> Vec<Rc<CounterConnection>> {
+    let connection = |_| {
+        let (pipeline, wake) =
+            (Pipeline { accepts_calls: true, ..Pipeline::default() }.into(), Notify::new());
+        let (logged_invalid, retired, report) = (Cell::new(false), Cell::new(false), report.clone());
+        let connection = Rc::new(CounterConnection {
+            address,
+            call_timeout,
+            report,
+            pipeline,
+            wake,
+            logged_invalid,
+            retired,
+        });
+        tokio::task::spawn_local(connection.clone().run());
+        connection
     };
-    (0..LANES).map(lane).collect()
+    (0..CONNECTIONS).map(connection).collect()
 }
 
-impl Lane {
-    /// Puts a call in line, if there is a line.
-    fn push(&self, name: Option<u64>, words: &[&str]) -> bool {
+impl CounterConnection {
+    /// Queues a call if the connection accepts calls.
+    fn push(&self, key: Option<u64>, words: &[&str]) -> bool {
         let mut pipeline = self.pipeline.borrow_mut();
-        if !pipeline.up || pipeline.calls.len() >= MOST_CALLS {
+        if !pipeline.accepts_calls || pipeline.calls.len() >= MAX_CALLS {
             return false;
         }
-        pipeline.out.extend(format!("*{}\r\n", words.len()).bytes());
+        pipeline.output.extend(format!("*{}\r\n", words.len()).bytes());
         for word in words {
-            pipeline.out.extend(format!("${}\r\n{word}\r\n", word.len()).bytes());
+            pipeline.output.extend(format!("${}\r\n{word}\r\n", word.len()).bytes());
         }
-        let end = pipeline.written + pipeline.out.len() as u64;
-        pipeline.calls.push_back(Call { name, made: Instant::now(), end, told: name.is_none() });
+        let end = pipeline.written + pipeline.output.len() as u64;
+        pipeline.calls.push_back(Call { key, started_at: Instant::now(), end, reported: key.is_none() });
         self.wake.notify_one();
         true
     }
 
     async fn run(self: Rc<Self>) {
-        let mut back_off = BACK_OFF[0];
+        let mut backoff = BACKOFF[0];
         while !self.retired.get() {
             let mut answered = false;
             if let Some(stream) = self.connect().await {
@@ -135,91 +147,94 @@
                 drop(stream);
                 if let Err(error) = end
                     && error.kind() == io::ErrorKind::InvalidData
-                    && !self.told_bad.replace(true)
+                    && !self.logged_invalid.replace(true)
                 {
-                    eprintln!("counter: {error} (told once)");
+                    eprintln!("counter: {error} (logged once)");
                 }
             }
-            // Calls made while the ends are told go on the next connection, if that comes at once.
+            // Calls made while the results are reported go to the next connection, if it is opened at once.
             self.fail_all(answered);
-            // Guards the quotas against spoilt answers: a counter that has answered is there, and each moment
-            // without a connection to it is one of silence. Only one that has not is spared.
+            // A counter that has answered is available, even if an answer was invalid: reconnecting without
+            // delay keeps it from counting as unavailable. The backoff applies only to one that has not
+            // answered.
             if answered {
-                back_off = BACK_OFF[0];
+                backoff = BACKOFF[0];
                 continue;
             }
-            sleep(back_off).await;
-            back_off = (back_off * 2).min(BACK_OFF[1]);
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(BACKOFF[1]);
         }
     }
 
-    /// Connects. Calls may be put in line meanwhile, for as long as one may take.
+    /// Connects. Calls may be queued meanwhile, for at most the time limit of a call.
     async fn connect(&self) -> Option<TcpStream> {
-        self.pipeline.borrow_mut().up = true;
+        self.pipeline.borrow_mut().accepts_calls = true;
         let mut connecting = pin!(TcpStream::connect(self.address));
-        let stream = match timeout(self.patience, connecting.as_mut()).await {
+        let stream = match timeout(self.call_timeout, connecting.as_mut()).await {
             Ok(stream) => stream.ok()?,
             Err(_) => {
                 self.fail_all(false);
                 let stream = timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
-                self.pipeline.borrow_mut().up = true;
+                self.pipeline.borrow_mut().accepts_calls = true;
                 stream
             }
         };
         stream.set_nodelay(true).ok().map(|()| stream)
     }
 
-    /// Tells of all that got no answer: what was not written whole was not added.
-    fn fail_all(&self, up: bool) {
-        let Pipeline { calls, written, .. } = self.pipeline.replace(Pipeline { up, ..Pipeline::default() });
+    /// Reports all calls without an answer: those that were not written completely were not added.
+    fn fail_all(&self, accepts_calls: bool) {
+        let Pipeline { calls, written, .. } =
+            self.pipeline.replace(Pipeline { accepts_calls, ..Pipeline::default() });
         for call in calls {
-            let added = if call.end <= written { CountOutcome::Unknown } else { CountOutcome::NotAdded };
-            self.tell(&call, added);
+            let outcome = if call.end <= written { CountOutcome::Unknown } else { CountOutcome::NotAdded };
+            self.report(&call, outcome);
         }
     }
 
-    fn tell(&self, call: &Call, outcome: CountOutcome) {
-        if let (Some(name), false) = (call.name, call.told) {
-            (self.report)(name, outcome, to_millis(call.made.elapsed()));
+    fn report(&self, call: &Call, outcome: CountOutcome) {
+        if let (Some(key), false) = (call.key, call.reported) {
+            (self.report)(key, outcome, to_millis(call.started_at.elapsed()));
         }
     }
 
     async fn session(&self, stream: &TcpStream, answered: &mut bool) -> io::Result<()> {
-        let (mut heard, mut input, mut begun) = (Instant::now(), Vec::new(), None);
+        let (mut last_input, mut input, mut answer_start) = (Instant::now(), Vec::new(), None);
         loop {
-            let (waiting, due) = {
+            let (has_output, deadline) = {
                 let pipeline = self.pipeline.borrow();
-                let due = pipeline.calls.iter().find(|c| !c.told).map(|c| c.made + self.patience);
-                (!pipeline.out.is_empty(), due)
+                let deadline =
+                    pipeline.calls.iter().find(|c| !c.reported).map(|c| c.started_at + self.call_timeout);
+                (!pipeline.output.is_empty(), deadline)
             };
-            if self.retired.get() && due.is_none() {
+            if self.retired.get() && deadline.is_none() {
                 return Ok(());
             }
-            let silence = heard + if self.is_idle() { PING } else { SILENT };
-            // Guards against an answer that never ends: all calls behind it would wait for nothing.
-            let silence = begun.map_or(silence, |begun| begun + WHOLE);
+            let next_check = last_input + if self.is_idle() { PING_INTERVAL } else { SILENCE_TIMEOUT };
+            // An answer that never ends would block all calls behind it.
+            let next_check = answer_start.map_or(next_check, |start| start + ANSWER_TIMEOUT);
             tokio::select! {
                 () = self.wake.notified() => {}
                 ready = stream.readable() => ready?,
-                ready = stream.writable(), if waiting => ready?,
-                () = sleep_until(due.map_or(silence, |d| d.min(silence))) => {}
+                ready = stream.writable(), if has_output => ready?,
+                () = sleep_until(deadline.map_or(next_check, |deadline| deadline.min(next_check))) => {}
             }
             self.write(stream)?;
-            // Before the time-outs: an answer that is there counts.
+            // Reads before checking time limits, so that an answer already received counts.
             if self.read(stream, &mut input, answered)? {
-                heard = Instant::now();
+                last_input = Instant::now();
             }
-            begun = (!input.is_empty()).then(|| begun.unwrap_or(heard));
-            if begun.is_some_and(|begun| begun.elapsed() >= WHOLE) {
-                return Err(bad("an answer without end".into()));
+            answer_start = (!input.is_empty()).then(|| answer_start.unwrap_or(last_input));
+            if answer_start.is_some_and(|start| start.elapsed() >= ANSWER_TIMEOUT) {
+                return Err(invalid("an answer that does not end".into()));
             }
-            self.give_up_late();
-            if heard.elapsed() >= PING && self.is_idle() {
-                heard = Instant::now();
+            self.expire_calls();
+            if last_input.elapsed() >= PING_INTERVAL && self.is_idle() {
+                last_input = Instant::now();
                 self.push(None, &["PING"]);
             }
-            let oldest = self.pipeline.borrow().calls.front().map(|c| c.made.max(heard));
-            if oldest.is_some_and(|at| at.elapsed() >= SILENT) {
+            let oldest = self.pipeline.borrow().calls.front().map(|c| c.started_at.max(last_input));
+            if oldest.is_some_and(|at| at.elapsed() >= SILENCE_TIMEOUT) {
                 return Err(io::ErrorKind::TimedOut.into());
             }
         }
@@ -231,10 +246,10 @@
 
     fn write(&self, stream: &TcpStream) -> io::Result<()> {
         let mut pipeline = self.pipeline.borrow_mut();
-        while !pipeline.out.is_empty() {
-            match stream.try_write(pipeline.out.as_slices().0) {
+        while !pipeline.output.is_empty() {
+            match stream.try_write(pipeline.output.as_slices().0) {
                 Ok(written) => {
-                    pipeline.out.drain(..written);
+                    pipeline.output.drain(..written);
                     pipeline.written += written as u64;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
@@ -244,67 +259,69 @@
         Ok(())
     }
 
-    /// Reads what is there and tells of the answers; true if anything came.
+    /// Reads available input and reports the answers in it; true if there was any input.
     fn read(&self, stream: &TcpStream, input: &mut Vec<u8>, answered: &mut bool) -> io::Result<bool> {
-        let (mut came, mut bytes) = (false, [0; 4096]);
+        let (mut has_input, mut bytes) = (false, [0; 4096]);
         loop {
             match stream.try_read(&mut bytes) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(read) => input.extend_from_slice(&bytes[..read]),
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(came),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(has_input),
                 Err(error) => return Err(error),
             }
-            came = true;
-            while let Some((frame, length)) = decode(input).map_err(|e| bad(e.to_string()))? {
+            has_input = true;
+            while let Some((frame, length)) = decode(input).map_err(|e| invalid(e.to_string()))? {
                 input.drain(..length);
-                self.answer(frame)?;
+                self.on_answer(frame)?;
                 *answered = true;
             }
-            if input.len() > MOST_BYTES {
-                return Err(bad("an answer without end".into()));
+            if input.len() > MAX_INPUT {
+                return Err(invalid("an answer that does not end".into()));
             }
         }
     }
 
-    /// Answers come in the order of the calls; one that comes late is taken off the line and told to nobody.
-    fn answer(&self, frame: OwnedFrame) -> io::Result<()> {
-        let name = self.pipeline.borrow().calls.front().map(|call| call.name);
-        let Some(name) = name else { return Err(bad("an answer to no call".into())) };
+    /// Assigns an answer to the oldest call, as answers arrive in call order. An answer to an expired call is
+    /// dropped.
+    fn on_answer(&self, frame: OwnedFrame) -> io::Result<()> {
+        let key = self.pipeline.borrow().calls.front().map(|call| call.key);
+        let Some(key) = key else { return Err(invalid("an answer without a call".into())) };
         let outcome = match frame {
             OwnedFrame::BulkString(text) => {
                 let total = std::str::from_utf8(&text).ok().and_then(|t| t.parse::<f64>().ok());
                 total.filter(|t| t.is_finite()).map(CountOutcome::Total)
             }
-            // Any other word is a spoilt answer, and the amount was added.
-            OwnedFrame::Error(word) if word.starts_with("BUSY") || word.starts_with("ERR") => {
+            // Any other error is an invalid answer, and the amount was added.
+            OwnedFrame::Error(text) if text.starts_with("BUSY") || text.starts_with("ERR") => {
                 Some(CountOutcome::NotAdded)
             }
-            OwnedFrame::SimpleString(_) if name.is_none() => Some(CountOutcome::NotAdded),
+            OwnedFrame::SimpleString(_) if key.is_none() => Some(CountOutcome::NotAdded),
             _ => None,
         };
-        // A call with a spoilt answer stays in line, to be told of as unknown with those behind it.
-        let outcome = outcome.ok_or_else(|| bad("an answer that is no total".into()))?;
+        // A call with an invalid answer stays queued, to be reported as unknown together with those behind
+        // it.
+        let outcome = outcome.ok_or_else(|| invalid("an answer that is not a total".into()))?;
         let call = self.pipeline.borrow_mut().calls.pop_front();
-        call.into_iter().for_each(|call| self.tell(&call, outcome));
+        call.into_iter().for_each(|call| self.report(&call, outcome));
         Ok(())
     }
 
-    /// Tells of calls whose time is over. They stay in line, as their answers are still to come; one that
-    /// is not written whole yet is told as unknown too, as it may be from now on.
-    fn give_up_late(&self) {
+    /// Reports expired calls as unknown. They stay queued, as their answers may still arrive. An incompletely
+    /// written call is reported as unknown too, since it may be written later.
+    fn expire_calls(&self) {
         loop {
-            let late = {
+            let expired = {
                 let mut pipeline = self.pipeline.borrow_mut();
-                let next = pipeline.calls.iter_mut().find(|c| !c.told);
-                let Some(call) = next.filter(|c| c.made.elapsed() >= self.patience) else { return };
-                call.told = true;
-                Call { told: false, ..*call }
+                let next = pipeline.calls.iter_mut().find(|c| !c.reported);
+                let Some(call) = next.filter(|c| c.started_at.elapsed() >= self.call_timeout) else { return };
+                call.reported = true;
+                Call { reported: false, ..*call }
             };
-            self.tell(&late, CountOutcome::Unknown);
+            self.report(&expired, CountOutcome::Unknown);
         }
     }
 }
 
-fn bad(what: String) -> io::Error {
+fn invalid(what: String) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
--- a/gateway/src/counting/counters.rs
+++ b/gateway/src/counting/counters.rs
@@ -1,6 +1,6 @@
-//! The counters that accounts are over, and how a change of them comes about while the gateway runs.
+//! The counters that accounts are divided among, and changes of this set while the gateway runs.
 
-use crate::counting::counter::{Counter, LANES};
+use crate::counting::counter::{CONNECTIONS, Counter};
 use crate::engine::{CounterClient, CounterReplyHandler};
 use doorcourse::{CountOutcome, Millis};
 use fennelscale_quota::Partition;
@@ -10,57 +10,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The gateway's side of all its counters.
+/// The clients of all counters.
 pub struct Counters {
     partition: RefCell<Partition>,
-    /// Each in its place.
-    parts: RefCell<Vec<Counter>>,
-    patience: Duration,
+    /// In the order of the partition's addresses.
+    clients: RefCell<Vec<Counter>>,
+    call_timeout: Duration,
     report: Rc<CounterReplyHandler>,
 }
 
-/// Descriptors that counters hold beyond those of one.
-pub fn descriptors_more(partition: &Partition) -> usize {
-    partition.addresses().len().saturating_sub(1) * LANES
+/// File descriptors that the counters need beyond those of a single one.
+pub fn extra_descriptors(partition: &Partition) -> usize {
+    partition.addresses().len().saturating_sub(1) * CONNECTIONS
 }
 
-/// Why a change of the counters was not made.
-const NO_TIME: &str = "quota.partition.counters: other counters than those in use: name them under quota.partition.next with a \
+/// Reasons to reject a change of the counters.
+const MISSING_TIME: &str = "quota.partition.counters: other counters than those in use: name them under quota.partition.next with a \
                        time to come, so that all gateways change at once";
-const PASSED: &str =
+const TIME_PASSED: &str =
     "quota.partition.next.from: that time has passed: choose one at which all gateways will have heard of it";
 
 impl Counters {
-    /// Connects to the counters of a partition, and stays connected.
-    pub fn start(partition: Partition, patience: Duration, report: Rc<CounterReplyHandler>) -> Self {
-        let counters = Self { partition: partition.into(), parts: RefCell::default(), patience, report };
+    /// Connects to the counters of a partition and reconnects as needed.
+    pub fn start(partition: Partition, call_timeout: Duration, report: Rc<CounterReplyHandler>) -> Self {
+        let counters =
+            Self { partition: partition.into(), clients: RefCell::default(), call_timeout, report };
         counters.connect();
         counters
     }
 
-    /// What the decisions have to know of them.
+    /// How accounts are divided among the counters.
     pub fn partition(&self) -> Partition {
         self.partition.borrow().clone()
     }
 
-    /// A rule was read again. Whether anything has changed.
+    /// Applies a rule that was read again; true if it changes anything.
     ///
     /// # Errors
-    /// When it says something else without a time to come; nothing has changed then.
+    /// When the rule names other counters without a future time; nothing has changed then.
     pub fn change(&self, rule: &PartitionRule, now: Millis) -> Result<bool, String> {
         let mut partition = self.partition();
-        let (named, next) = (addresses(&rule.counters), rule.next.as_ref());
-        let wanted = next.map_or_else(|| named.clone(), |next| addresses(&next.counters));
+        let (current, next) = (addresses(&rule.counters), rule.next.as_ref());
+        let wanted = next.map_or_else(|| current.clone(), |next| addresses(&next.counters));
         if partition.is_over(&wanted) {
             return Ok(false);
         }
-        let next = next.ok_or(NO_TIME)?;
-        if !partition.is_over(&named) {
-            return Err(NO_TIME.into());
+        let next = next.ok_or(MISSING_TIME)?;
+        if !partition.is_over(&current) {
+            return Err(MISSING_TIME.into());
         }
         let from = next.begins();
         if from <= now {
-            return Err(PASSED.into());
+            return Err(TIME_PASSED.into());
         }
         partition.change(&wanted, from).map_err(|error| error.to_string())?;
         self.partition.replace(partition);
@@ -70,23 +71,24 @@
 
     fn connect(&self) {
         let partition = self.partition.borrow();
-        let mut parts = self.parts.borrow_mut();
-        let known = parts.len();
-        let fresh = partition.addresses().iter().skip(known).filter_map(|a| a.parse::<SocketAddr>().ok());
-        parts.extend(fresh.map(|address| Counter::start(address, self.patience, self.report.clone())));
+        let mut clients = self.clients.borrow_mut();
+        let known = clients.len();
+        let added = partition.addresses().iter().skip(known).filter_map(|a| a.parse::<SocketAddr>().ok());
+        clients.extend(added.map(|address| Counter::start(address, self.call_timeout, self.report.clone())));
     }
 
-    /// Makes a call; its end is reported later or, with nobody to call, at once.
-    fn call(&self, counter: usize, name: u64, amount: f64, keep: Millis) {
-        match self.parts.borrow().get(counter) {
-            Some(counter) => counter.add(name, amount, keep),
-            None => (self.report)(name, CountOutcome::NotAdded, 0.0),
+    /// Starts a call. Its result is reported later, or at once if there is no such counter.
+    fn call(&self, counter: usize, key: u64, amount: f64, ttl: Millis) {
+        match self.clients.borrow().get(counter) {
+            Some(counter) => counter.add(key, amount, ttl),
+            None => (self.report)(key, CountOutcome::NotAdded, 0.0),
         }
     }
 
-    /// The only counter is elsewhere from now on; of several the operators' file says it.
+    /// Moves the only counter to another address. Of several counters the operators' file gives the
+    /// addresses.
     pub fn move_to(&self, address: SocketAddr) {
-        if let [counter] = self.parts.borrow().as_slice() {
+        if let [counter] = self.clients.borrow().as_slice() {
             counter.move_to(address);
         }
     }
@@ -97,7 +99,7 @@
         Self::partition(self)
     }
 
-    fn add(&self, counter: usize, name: u64, amount: f64, keep: Millis) {
-        self.call(counter, name, amount, keep);
+    fn add(&self, counter: usize, key: u64, amount: f64, ttl: Millis) {
+        self.call(counter, key, amount, ttl);
     }
 }
--- a/gateway/src/counting/mod.rs
+++ b/gateway/src/counting/mod.rs
@@ -1,4 +1,4 @@
-//! The shared counters.
+//! Clients of the shared counters.
 
 pub mod counter;
 pub mod counters;
--- a/gateway/src/front/clients.rs
+++ b/gateway/src/front/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: takes requests in, reads their headers, writes their answers, drains at the end.
+//! The client side of the gateway: reads requests, writes answers, and drains connections at shutdown.
 
 use crate::back::backends::{MAX_BODY, Message};
 use crate::clock::to_millis;
@@ -30,109 +30,111 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The last byte of an answer must be out before the client's patience ends: the decisions are told of this
-/// much less, and of no less than the given share.
-const MARGIN: Duration = Duration::from_millis(25);
-const MARGIN_SHARE: f64 = 0.25;
-/// What has no answer this long after the decisions' time is over gets one all the same.
-const BACKSTOP: Duration = Duration::from_millis(10);
-/// No client waits longer than this; who claims so is not believed.
-const LONGEST_PATIENCE: u64 = 600_000;
-/// After the signal to end new connections are taken for this long. Halfway idle ones are closed ...
-const LINGER: Duration = Duration::from_millis(500);
-/// ... and those that came last have this long for their first request, in which blocks go back to the quotas.
-const HAND_BACK: Duration = Duration::from_millis(200);
-/// Who is asked to leave is let go of after this.
-const LAST_CALL: Duration = Duration::from_millis(50);
-/// After the last final answer connections have this long to be done with.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+/// The last byte of an answer must be sent before the client times out, so the decision module gets this much
+/// less time, but at most the given share less.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
+const MAX_MARGIN_SHARE: f64 = 0.25;
+/// A request without an answer this long after the deadline of the decision module is answered anyway.
+const REPLY_GRACE: Duration = Duration::from_millis(10);
+/// Maximum client timeout in ms; longer ones are rejected as implausible.
+const MAX_CLIENT_TIMEOUT_MS: u64 = 600_000;
+/// New connections are accepted for this long after the signal to end. Idle ones are closed halfway through
+/// ...
+const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
+/// ... and the last ones have this long for their first request. Leases are returned to the quotas in this
+/// time.
+const RETURN_PERIOD: Duration = Duration::from_millis(200);
+/// An evicted connection is closed after this time.
+const EVICTION_GRACE: Duration = Duration::from_millis(50);
+/// Connections have this long to finish after the last final answer.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request that is not taken in.
+/// Why a request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// There is no such path.
+    /// The path is unknown.
     NoPath,
-    /// Something in it is missing, malformed or absurd.
+    /// Something is missing, malformed or implausible.
     Bad(&'static str),
     /// The body is too large.
     TooLarge,
-    /// Its client has too many open behind its proxy; to come again after so many ms.
+    /// The client behind a proxy has too many open requests; it may retry after this many ms.
     TooMany(f64),
 }
 
-/// Names a request that may be repeated.
+/// The idempotency key of a request that may be repeated.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Names the client of a request, as some proxies say it.
+/// The client of a request as some proxies give it.
 const X_FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 
-/// What a request says of itself.
-struct Ticket {
+/// A parsed request.
+struct ParsedRequest {
     class: Name,
     plan: Name,
     customer: Name,
     units: f64,
-    spread: u32,
-    first: u32,
-    repeat: bool,
-    patience: Duration,
+    gateway_count: u32,
+    first_gateway: u32,
+    is_retry: bool,
+    client_timeout: Duration,
     message: Message,
 }
 
-/// The front side of one gateway.
-pub struct Front {
+/// The client side of a gateway.
+pub struct Frontend {
     engine: Rc<Engine>,
     classes: Vec<(Name, RetrySafety)>,
     plans: Vec<Name>,
-    /// What a class's and a plan's request is worth, as a share of the worthiest.
-    worths: [Vec<f64>; 2],
-    most_units: f64,
-    gateways: u32,
+    /// The values of classes and of plans, relative to the highest.
+    relative_values: [Vec<f64>; 2],
+    max_request_units: f64,
+    total_gateways: u32,
     /// The ids of all requests without an answer.
-    ids: RefCell<OpenIds<HeaderValue>>,
+    open_ids: RefCell<OpenIds<HeaderValue>>,
     acceptor: Rc<Acceptor>,
     draining: Cell<bool>,
 }
 
-impl Front {
-    /// A front side behind an acceptor.
+impl Frontend {
+    /// Creates the client side for the connections of an acceptor.
     pub fn new(engine: Rc<Engine>, settings: &Settings, acceptor: Rc<Acceptor>) -> Rc<Self> {
-        let shares = |worths: Vec<f64>| {
-            let most = worths.iter().copied().fold(0.0, f64::max);
-            worths.into_iter().map(|w| if most > 0.0 { w / most } else { 1.0 }).collect()
+        let normalize = |values: Vec<f64>| {
+            let max = values.iter().copied().fold(0.0, f64::max);
+            values.into_iter().map(|value| if max > 0.0 { value / max } else { 1.0 }).collect()
         };
-        let worths = [
-            shares(settings.classes.iter().map(|c| c.value).collect()),
-            shares(settings.plans.iter().map(|p| p.value_factor).collect()),
+        let relative_values = [
+            normalize(settings.classes.iter().map(|c| c.value).collect()),
+            normalize(settings.plans.iter().map(|p| p.value_factor).collect()),
         ];
         Rc::new(Self {
             engine,
             classes: settings.classes.iter().map(|c| (c.name.clone(), c.retry_safety)).collect(),
             plans: settings.plans.iter().map(|p| p.name.clone()).collect(),
-            most_units: settings.max_request_units,
-            gateways: settings.gateways,
-            ids: RefCell::default(),
-            worths,
+            max_request_units: settings.max_request_units,
+            total_gateways: settings.gateways,
+            open_ids: RefCell::default(),
+            relative_values,
             acceptor,
             draining: Cell::new(false),
         })
     }
 
-    /// Serves clients until `end` resolves, then lets those finish that are there. Returns when the last one
-    /// has gone.
+    /// Serves clients until `end` resolves, then lets the connected ones finish. Returns when the last
+    /// connection is closed.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, end: impl Future<Output = ()>) {
         let (close, closing) = watch::channel(0);
         let ended = async {
             end.await;
             self.draining.set(true);
-            sleep(LINGER / 2).await;
-            // Guards requests that cross the close of an idle connection: these are sent once more on a new
-            // one, so new ones must still be taken.
+            sleep(ACCEPT_PERIOD / 2).await;
+            // A request that crosses the close of an idle connection is sent again on a new one, so new
+            // connections must still be accepted.
             close.send_modify(|round| *round += 1);
-            sleep(LINGER / 2).await;
+            sleep(ACCEPT_PERIOD / 2).await;
         };
-        let front = self.clone();
-        self.acceptor.start(Rc::new(move |stream, ahead, client| {
-            front.clone().welcome(stream, ahead, client, closing.clone());
+        let frontend = self.clone();
+        self.acceptor.start(Rc::new(move |stream, buffered, client| {
+            frontend.clone().serve_connection(stream, buffered, client, closing.clone());
         }));
         let mut ended = pin!(ended);
         loop {
@@ -141,44 +143,44 @@
                 () = self.acceptor.accept(&listener) => {}
             }
         }
-        // What the machine has accepted for us already is ours to answer.
-        self.acceptor.accept_backlog(&listener, Instant::now() + LINGER / 2).await;
+        // Connections in the kernel's backlog must be answered.
+        self.acceptor.accept_backlog(&listener, Instant::now() + ACCEPT_PERIOD / 2).await;
         drop(listener);
-        self.engine.return_units(HAND_BACK).await;
+        self.engine.return_units(RETURN_PERIOD).await;
         close.send_modify(|round| *round += 1);
-        // Guards the end against clients that stop half-way: once nothing that was taken waits for its answer,
-        // the last answers and the last bodies have this long.
+        // Bounds the shutdown if clients stall: once no accepted request waits for its answer, the remaining
+        // answers and request bodies have this long.
         let mut quiet = Instant::now();
-        while !self.acceptor.is_empty() && quiet.elapsed() < LAST_WORDS {
-            let _ = timeout(LAST_WORDS / 10, self.acceptor.connection_closed.notified()).await;
+        while !self.acceptor.is_empty() && quiet.elapsed() < CLOSE_TIMEOUT {
+            let _ = timeout(CLOSE_TIMEOUT / 10, self.acceptor.connection_closed.notified()).await;
             if self.engine.pending_requests() > 0 {
                 quiet = Instant::now();
             }
         }
     }
 
-    fn welcome(
-        self: Rc<Self>, stream: TcpStream, ahead: Vec<u8>, client: Rc<ClientConnection>,
+    fn serve_connection(
+        self: Rc<Self>, stream: TcpStream, buffered: Vec<u8>, client: Rc<ClientConnection>,
         mut closing: watch::Receiver<u32>,
     ) {
         let round = *closing.borrow();
         crate::task::spawn(async move {
             let _ = stream.set_nodelay(true);
             let service = service_fn(|request| {
-                let (front, client) = (self.clone(), client.clone());
+                let (frontend, client) = (self.clone(), client.clone());
                 async move {
-                    let (response, share) = front.answer(request, &client).await;
-                    client.response_ready(share);
+                    let (response, value_share) = frontend.answer(request, &client).await;
+                    client.response_ready(value_share);
                     Ok::<_, Infallible>(response)
                 }
             });
             let connection = http1::Builder::new()
                 .header_read_timeout(None)
                 .max_buf_size(READ_BUFFER_SIZE)
-                .serve_connection(TokioIo::new(ClientStream::new(stream, ahead, client.clone())), service);
+                .serve_connection(TokioIo::new(ClientStream::new(stream, buffered, client.clone())), service);
             let mut connection = pin!(connection);
-            // Lets go of what `wait_for` hands out: it locks the channel, and the next round would wait for
-            // it on this one thread for ever.
+            // Drops the guard that `wait_for` returns: it locks the channel, and the next `send_modify` would
+            // deadlock on this single thread.
             let mut closing = pin!(async { drop(closing.wait_for(|now| *now > round).await) });
             tokio::select! {
                 biased;
@@ -190,9 +192,9 @@
                 }
                 () = client.close_requested.notified() => {
                     connection.as_mut().graceful_shutdown();
-                    // A request that came just now is answered still.
-                    let over = timeout(LAST_CALL, connection.as_mut()).await.is_ok();
-                    if !over && client.has_open_request() {
+                    // A request that has just arrived is still answered.
+                    let finished = timeout(EVICTION_GRACE, connection.as_mut()).await.is_ok();
+                    if !finished && client.has_open_request() {
                         let _ = connection.await;
                     }
                 }
@@ -202,53 +204,54 @@
         });
     }
 
-    /// The one answer to a request, and what it was worth if it was served.
+    /// The only answer to a request, and its relative value if it was served.
     async fn answer(
         &self, request: Request<Incoming>, client: &ClientConnection,
     ) -> (Response<Full<Bytes>>, Option<f64>) {
-        let mut last = request.headers().contains_key(TRANSFER_ENCODING);
+        let mut must_close = request.headers().contains_key(TRANSFER_ENCODING);
         let has_body = !request.body().is_end_stream();
-        let mut share = None;
+        let mut value_share = None;
         let mut response = if request.uri().path() == "/up" {
-            self.up(request.method())
+            self.readiness(request.method())
         } else {
-            let taken = match self.place(request.headers(), client) {
-                Ok(()) => self.take(request, client).await,
+            let parsed = match self.check_origin(request.headers(), client) {
+                Ok(()) => self.receive(request, client).await,
                 Err(fault) => Err(fault),
             };
-            match taken.and_then(|ticket| Ok((self.enter(ticket.message.id.clone())?, ticket))) {
-                Ok((_entry, ticket)) => {
+            match parsed.and_then(|parsed| Ok((self.register_id(parsed.message.id.clone())?, parsed))) {
+                Ok((_id_guard, parsed)) => {
                     client.request_received();
-                    let worth = self.worth(&ticket);
-                    let (response, served) = self.decide(ticket).await;
-                    share = served.then_some(worth);
+                    let value = self.relative_value(&parsed);
+                    let (response, served) = self.dispatch(parsed).await;
+                    value_share = served.then_some(value);
                     response
                 }
                 Err(fault) => {
-                    // Who asked wrongly may have meant something else with the bytes that follow.
-                    last |= has_body || !matches!(fault, Fault::TooMany(_));
+                    // After an invalid request the following bytes may not be the start of a request.
+                    must_close |= has_body || !matches!(fault, Fault::TooMany(_));
                     refuse(fault)
                 }
             }
         };
-        // So that clients find another gateway, or make room for others here.
-        let full = || self.acceptor.admission.with(|admission, now| admission.is_full(now, client.id));
-        if last || self.draining.get() || full() {
+        // Makes clients go to another gateway, or frees a connection for others.
+        let is_full = || self.acceptor.admission.with(|admission, now| admission.is_full(now, client.id));
+        if must_close || self.draining.get() || is_full() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        (response, share)
+        (response, value_share)
     }
 
-    /// What a request is worth if it is served, as a share of what the worthiest is.
-    fn worth(&self, ticket: &Ticket) -> f64 {
-        let [classes, plans] = &self.worths;
-        let class = self.classes.iter().position(|(name, _)| *name == ticket.class);
-        let plan = self.plans.iter().position(|name| *name == ticket.plan);
+    /// The value of a request relative to the most valuable one.
+    fn relative_value(&self, request: &ParsedRequest) -> f64 {
+        let [classes, plans] = &self.relative_values;
+        let class = self.classes.iter().position(|(name, _)| *name == request.class);
+        let plan = self.plans.iter().position(|name| *name == request.plan);
         class.zip(plan).map_or(0.0, |(class, plan)| classes[class] * plans[plan])
     }
 
-    /// Whose a request is, where its connection is a proxy's that many share; a proxy's header from who is none is a fault.
-    fn place(&self, headers: &HeaderMap, client: &ClientConnection) -> Result<(), Fault> {
+    /// Counts a request against its client if the connection belongs to a proxy that several clients share. A
+    /// proxy's header on any other connection is a fault.
+    fn check_origin(&self, headers: &HeaderMap, client: &ClientConnection) -> Result<(), Fault> {
         let header = match self.acceptor.admission.with(|admission, _| admission.shared(client.id)) {
             Some(header) => header,
             None if self.acceptor.settings().forged == Forged::Ignore => return Ok(()),
@@ -278,123 +281,153 @@
         })
     }
 
-    /// Whether new clients should come here.
-    fn up(&self, method: &Method) -> Response<Full<Bytes>> {
+    /// The answer to a readiness check: whether new clients should be sent to this gateway.
+    fn readiness(&self, method: &Method) -> Response<Full<Bytes>> {
         match *method {
             Method::GET | Method::HEAD if self.draining.get() => {
-                plain(StatusCode::SERVICE_UNAVAILABLE, "ending\n")
+                plain_text(StatusCode::SERVICE_UNAVAILABLE, "ending\n")
             }
-            Method::GET | Method::HEAD => plain(StatusCode::OK, "up\n"),
+            Method::GET | Method::HEAD => plain_text(StatusCode::OK, "up\n"),
             _ => refuse(Fault::Bad("method")),
         }
     }
 
-    /// Notes that a request is open. Guards its answer against others that bear its id.
-    fn enter(&self, id: HeaderValue) -> Result<Entry<'_>, Fault> {
-        if self.ids.borrow_mut().enter(id.clone()) {
-            Ok(Entry { ids: &self.ids, id })
+    /// Registers the id of an open request. Rejecting a second request with the same id keeps their answers
+    /// apart.
+    fn register_id(&self, id: HeaderValue) -> Result<OpenIdGuard<'_>, Fault> {
+        if self.open_ids.borrow_mut().enter(id.clone()) {
+            Ok(OpenIdGuard { ids: &self.open_ids, id })
         } else {
             Err(Fault::Bad("Req-Id, open already"))
         }
     }
 
-    /// Reads a request whole.
-    async fn take(&self, request: Request<Incoming>, client: &ClientConnection) -> Result<Ticket, Fault> {
-        // Guards against requests hidden in the body of another.
+    /// Receives a request completely.
+    async fn receive(
+        &self, request: Request<Incoming>, client: &ClientConnection,
+    ) -> Result<ParsedRequest, Fault> {
+        // Guards against request smuggling.
         if request.headers().contains_key(TRANSFER_ENCODING) && !client.is_chunked_without_length(&request) {
             return Err(Fault::Bad("Transfer-Encoding"));
         }
         let (head, body) = request.into_parts();
         let target = head.uri.path_and_query().ok_or(Fault::NoPath)?.clone();
-        let mut ticket = self.read(head.method, target, &head.headers)?;
+        let mut parsed = self.parse(head.method, target, &head.headers)?;
         if body.is_end_stream() {
-            return Ok(ticket);
+            return Ok(parsed);
         }
-        if ticket.message.method == Method::GET {
+        if parsed.message.method == Method::GET {
             return Err(Fault::Bad("a body where none belongs"));
         }
         if body.size_hint().lower() > MAX_BODY as u64 {
             return Err(Fault::TooLarge);
         }
-        // The connection's own time bounds this: it is closed when that is over.
+        // The connection's deadline bounds this.
         match Limited::new(body, MAX_BODY).collect().await {
-            Ok(body) => ticket.message.body = body.to_bytes(),
+            Ok(body) => parsed.message.body = body.to_bytes(),
             Err(error) if error.is::<LengthLimitError>() => return Err(Fault::TooLarge),
             Err(_) => return Err(Fault::Bad("body")),
         }
-        Ok(ticket)
+        Ok(parsed)
     }
 
-    fn read(
+    fn parse(
         &self, method: Method, target: hyper::http::uri::PathAndQuery, headers: &HeaderMap,
-    ) -> Result<Ticket, Fault> {
+    ) -> Result<ParsedRequest, Fault> {
         let first = target.path().strip_prefix('/').and_then(|p| p.split('/').next());
         let class = first.filter(|c| !c.is_empty()).ok_or(Fault::NoPath)?;
         let class = self.classes.iter().find(|(name, _)| **name == *class);
-        let (class, effect) = class.cloned().ok_or(Fault::Bad("class"))?;
-        let key = single(headers, "idempotency-key")?;
-        let fits = match effect {
+        let (class, retry_safety) = class.cloned().ok_or(Fault::Bad("class"))?;
+        let key = single_header(headers, "idempotency-key")?;
+        let is_consistent = match retry_safety {
             RetrySafety::Safe => method == Method::GET && key.is_none(),
             RetrySafety::Keyed => method == Method::POST && key.is_some_and(|k| !k.is_empty()),
             RetrySafety::Unsafe => method == Method::POST && key.is_none(),
         };
-        if !fits {
+        if !is_consistent {
             return Err(Fault::Bad("method or Idempotency-Key, for this class"));
         }
-        let id = single(headers, "req-id")?.filter(|id| is_id(id.as_bytes())).ok_or(Fault::Bad("Req-Id"))?;
-        let plan = text(headers, "api-plan")?.ok_or(Fault::Bad("Api-Plan"))?;
+        let id = single_header(headers, "req-id")?
+            .filter(|id| is_valid_id(id.as_bytes()))
+            .ok_or(Fault::Bad("Req-Id"))?;
+        let plan = header_text(headers, "api-plan")?.ok_or(Fault::Bad("Api-Plan"))?;
         let plan = self.plans.iter().find(|p| ***p == *plan).ok_or(Fault::Bad("Api-Plan"))?.clone();
-        let customer = text(headers, "api-customer")?
+        let customer = header_text(headers, "api-customer")?
             .filter(|c| c.len() == 16 && c.bytes().all(|b| b.is_ascii_hexdigit()))
             .filter(|c| u64::from_str_radix(c, 16).is_ok_and(|n| n < 1 << 33))
             .ok_or(Fault::Bad("Api-Customer"))?;
-        // One customer, one name: its quota does not double with the case of its digits.
+        // A customer has one name: its quota must not multiply with the case of the hexadecimal digits.
         let customer = Name::from(customer.to_ascii_lowercase());
-        let patience = text(headers, "req-deadline-ms")?
-            .and_then(number)
-            .filter(|ms| (1..=LONGEST_PATIENCE).contains(ms))
+        let client_timeout = header_text(headers, "req-deadline-ms")?
+            .and_then(parse_number)
+            .filter(|ms| (1..=MAX_CLIENT_TIMEOUT_MS).contains(ms))
             .ok_or(Fault::Bad("Req-Deadline-Ms"))?;
-        let patience = Duration::from_millis(patience);
-        let repeat = match text(headers, "req-retry")? {
+        let client_timeout = Duration::from_millis(client_timeout);
+        let is_retry = match header_text(headers, "req-retry")? {
             None | Some("0") => false,
             Some("1") => true,
             Some(_) => return Err(Fault::Bad("Req-Retry")),
         };
-        let terms = text(headers, "api-terms")?.ok_or(Fault::Bad("Api-Terms"))?;
-        let (units, spread, first) = self.terms(terms).ok_or(Fault::Bad("Api-Terms"))?;
-        let mut passed = HeaderMap::new();
+        let terms = header_text(headers, "api-terms")?.ok_or(Fault::Bad("Api-Terms"))?;
+        let (units, gateway_count, first_gateway) = self.parse_terms(terms).ok_or(Fault::Bad("Api-Terms"))?;
+        let mut forwarded = HeaderMap::new();
         for (name, value) in [(IDEMPOTENCY_KEY, key), (CONTENT_TYPE, headers.get(CONTENT_TYPE))] {
-            passed.extend(value.map(|value| (name, value.clone())));
+            forwarded.extend(value.map(|value| (name, value.clone())));
         }
         let repeatable = method.is_safe() || key.is_some();
         let (id, body) = (id.clone(), Bytes::new());
-        let message = Message { method, target, id, repeatable, headers: passed, body };
-        Ok(Ticket { class, plan, customer, units, spread, first, repeat, patience, message })
+        let message = Message { method, target, id, repeatable, headers: forwarded, body };
+        Ok(ParsedRequest {
+            class,
+            plan,
+            customer,
+            units,
+            gateway_count,
+            first_gateway,
+            is_retry,
+            client_timeout,
+            message,
+        })
     }
 
-    /// Reads `units=2,spread=3,first=1`; a request of no said units is one unit.
-    fn terms(&self, text: &str) -> Option<(f64, u32, u32)> {
+    /// Parses `units=2,spread=3,first=1`; the default is one unit.
+    fn parse_terms(&self, text: &str) -> Option<(f64, u32, u32)> {
         let (mut units, mut spread, mut first) = (1.0, None, None);
         for pair in text.split(',') {
             match pair.trim().split_once('=')? {
                 ("units", value) => units = value.parse::<f64>().ok()?,
-                ("spread", value) => spread = Some(number(value)?),
-                ("first", value) => first = Some(number(value)?),
+                ("spread", value) => spread = Some(parse_number(value)?),
+                ("first", value) => first = Some(parse_number(value)?),
                 _ => {}
             }
         }
-        // Guards what is kept of usual customers against requests in their name that can't be theirs.
-        let most = if self.most_units > 0.0 { self.most_units } else { f64::MAX };
-        let spread = spread.filter(|s| (1..=self.gateways).contains(s))?;
-        (units > 0.0 && units <= most).then_some((units, spread, first.filter(|f| *f < self.gateways)?))
+        // Rejects implausible requests in a customer's name, which would distort the records of regular
+        // customers.
+        let max_units = if self.max_request_units > 0.0 { self.max_request_units } else { f64::MAX };
+        let spread = spread.filter(|s| (1..=self.total_gateways).contains(s))?;
+        (units > 0.0 && units <= max_units).then_some((
+            units,
+            spread,
+            first.filter(|f| *f < self.total_gateways)?,
+        ))
     }
 
-    /// The final answer, and whether it is a backend's.
-    async fn decide(&self, ticket: Ticket) -> (Response<Full<Bytes>>, bool) {
-        let Ticket { class, plan, customer, units, spread, first, repeat, patience, message } = ticket;
-        let margin = MARGIN.min(patience.mul_f64(MARGIN_SHARE));
-        let (patience, now) = (patience - margin, Instant::now());
-        let patience_ms = to_millis(patience);
+    /// Submits a request to the engine; returns the final answer and whether it is a backend's.
+    async fn dispatch(&self, request: ParsedRequest) -> (Response<Full<Bytes>>, bool) {
+        let ParsedRequest {
+            class,
+            plan,
+            customer,
+            units,
+            gateway_count,
+            first_gateway,
+            is_retry,
+            client_timeout,
+            message,
+        } = request;
+        let margin = RESPONSE_MARGIN.min(client_timeout.mul_f64(MAX_MARGIN_SHARE));
+        let (timeout, now) = (client_timeout - margin, Instant::now());
+        let timeout_ms = to_millis(timeout);
         let (id, reply) = self.engine.submit(
             |id| Arrival {
                 id,
@@ -402,19 +435,19 @@
                 plan,
                 class,
                 units,
-                is_retry: repeat,
-                client_timeout: patience_ms,
-                first_gateway: first,
-                gateway_count: spread,
+                is_retry,
+                client_timeout: timeout_ms,
+                first_gateway,
+                gateway_count,
                 constraints: None,
             },
             message,
-            now + patience,
+            now + timeout,
         );
-        let waiting = Waiting { engine: &self.engine, id };
-        // Guards the one final answer: should the decisions forget a request, it still gets one in time.
-        let reply = timeout_at(now + patience + BACKSTOP.min(margin / 2), reply).await;
-        drop(waiting);
+        let reply_wait = ReplyWait { engine: &self.engine, id };
+        // Guarantees a final answer in time even if the decision module loses the request.
+        let reply = timeout_at(now + timeout + REPLY_GRACE.min(margin / 2), reply).await;
+        drop(reply_wait);
         if faults::affects(faults::Fault::NeverAnswer, id) {
             std::future::pending::<()>().await;
         }
@@ -425,86 +458,88 @@
                 (response, true)
             }
             Ok(Ok(Reply::Refused(wait))) => {
-                (later(StatusCode::TOO_MANY_REQUESTS, "refused, try again later\n", wait), false)
+                (retry_later(StatusCode::TOO_MANY_REQUESTS, "refused, try again later\n", wait), false)
             }
-            Ok(Ok(Reply::Failed(false)) | Err(_)) => (plain(StatusCode::BAD_GATEWAY, "failed\n"), false),
+            Ok(Ok(Reply::Failed(false)) | Err(_)) => (plain_text(StatusCode::BAD_GATEWAY, "failed\n"), false),
             Ok(Ok(Reply::Failed(true))) | Err(_) => {
-                (plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"), false)
+                (plain_text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"), false)
             }
         }
     }
 }
 
-/// A request whose client waits. Dropped without an answer, as when the connection closes, it tells that the
-/// client has left; after an answer that finds nothing.
-struct Waiting<'a> {
+/// A request whose client waits for the reply. When dropped, it reports to the engine that the client
+/// disconnected, as when the connection closes; after a reply, this has no effect.
+struct ReplyWait<'a> {
     engine: &'a Engine,
     id: RequestId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for ReplyWait<'_> {
     fn drop(&mut self) {
         self.engine.client_disconnected(self.id);
     }
 }
 
-/// Keeps an id among those of open requests.
-struct Entry<'a> {
+/// Keeps an id registered as open until dropped.
+struct OpenIdGuard<'a> {
     ids: &'a RefCell<OpenIds<HeaderValue>>,
     id: HeaderValue,
 }
 
-impl Drop for Entry<'_> {
+impl Drop for OpenIdGuard<'_> {
     fn drop(&mut self) {
         self.ids.borrow_mut().leave(&self.id);
     }
 }
 
-/// A number in digits alone: no sign, no space.
-fn number<T: FromStr>(text: &str) -> Option<T> {
+/// Parses a number that consists of digits only, without sign or spaces.
+fn parse_number<T: FromStr>(text: &str) -> Option<T> {
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-/// The only value of a header; a header given twice may be read differently by others.
-fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a HeaderValue>, Fault> {
+/// The only value of a header. A header given twice is rejected, as others may interpret it differently.
+fn single_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a HeaderValue>, Fault> {
     let mut values = headers.get_all(name).iter();
     let value = values.next();
     if values.next().is_some() { Err(Fault::Bad(name)) } else { Ok(value) }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Fault> {
-    single(headers, name)?.map(|value| value.to_str().map_err(|_| Fault::Bad(name))).transpose()
+fn header_text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Fault> {
+    single_header(headers, name)?.map(|value| value.to_str().map_err(|_| Fault::Bad(name))).transpose()
 }
 
-fn is_id(text: &[u8]) -> bool {
+fn is_valid_id(text: &[u8]) -> bool {
     (1..=64).contains(&text.len()) && text.iter().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(b))
 }
 
 fn refuse(fault: Fault) -> Response<Full<Bytes>> {
     match fault {
-        Fault::NoPath => plain(StatusCode::NOT_FOUND, "no such path\n"),
-        Fault::TooMany(wait) => {
-            later(StatusCode::SERVICE_UNAVAILABLE, "too many open for this client, try again later\n", wait)
-        }
-        Fault::TooLarge => plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n"),
+        Fault::NoPath => plain_text(StatusCode::NOT_FOUND, "no such path\n"),
+        Fault::TooMany(wait) => retry_later(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "too many open for this client, try again later\n",
+            wait,
+        ),
+        Fault::TooLarge => plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n"),
         Fault::Bad(what) => {
-            let mut response = plain(StatusCode::BAD_REQUEST, "");
+            let mut response = plain_text(StatusCode::BAD_REQUEST, "");
             *response.body_mut() = Full::from(format!("unusable: {what}\n"));
             response
         }
     }
 }
 
-/// An answer that says when to come again, in ms.
-fn later(status: StatusCode, text: &'static str, wait: f64) -> Response<Full<Bytes>> {
-    let mut response = plain(status, text);
+/// An answer with a `Retry-After` header; `wait` is in ms.
+fn retry_later(status: StatusCode, text: &'static str, wait: f64) -> Response<Full<Bytes>> {
+    let mut response = plain_text(status, text);
     if let Ok(wait) = HeaderValue::from_str(&format!("{:.3}", wait / 1000.0)) {
         response.headers_mut().insert(RETRY_AFTER, wait);
     }
     response
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+fn plain_text(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::from(text));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: the requests on their connections; the connections are the data plane's.
+//! Clients: requests and answers. The data plane has the connections.
 
 pub mod clients;
 pub use fennelscale_dataplane::front::{acceptor, client_connection};
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The real gateway: the data plane's engine with the counters, the discovery and the clients' protocol of the deployments
-//! in service.
+//! The gateway program: the data plane with the counters, service discovery and client protocol of production
+//! deployments.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `fennelscale`: one real gateway, and the rehearsal of many.
+//! The `fennelscale` program: the gateway and its command-line tools.
 
 #![forbid(unsafe_code)]
 
@@ -9,13 +9,13 @@
 use commands::{quota, rehearse, routes};
 use fennelscale::back::backends::{Backends, ConnectionLimits};
 use fennelscale::back::discovery;
-use fennelscale::back::speech::Metered;
+use fennelscale::back::protocol::BackendProtocol;
 use fennelscale::counting::counters::{self, Counters};
 use fennelscale::engine::{CounterClient, Engine};
 use fennelscale::faults;
 use fennelscale::fleet::Fleet;
 use fennelscale::front::acceptor::Acceptor;
-use fennelscale::front::clients::Front;
+use fennelscale::front::clients::Frontend;
 use fennelscale::task::spawn;
 use fennelscale_admission::budget::{Budget, Limit};
 use fennelscale_quota::Partition;
@@ -35,9 +35,9 @@
 use tokio::task::LocalSet;
 
 fn main() -> ExitCode {
-    // With no argument this is the gateway, at no cost of reading any.
+    // Without arguments this is the gateway, which skips argument parsing.
     if std::env::args_os().len() <= 1 {
-        return gateway();
+        return run_gateway();
     }
     match Cli::parse().command {
         Command::Rehearse(arguments) => rehearse::run(&arguments),
@@ -48,7 +48,7 @@
     }
 }
 
-fn gateway() -> ExitCode {
+fn run_gateway() -> ExitCode {
     let config = match Config::from_environment() {
         Ok(config) => config,
         Err(error) => return unusable(&error),
@@ -85,7 +85,7 @@
     }
     let admission = operators.admission.unwrap_or_else(Admission::neutral);
     let quota = operators.quota.unwrap_or_default();
-    // The rule takes the place of the configuration's counter, where there is one.
+    // An operators' rule overrides the configuration's counter.
     let partition = config.counter.map(|counter| {
         quota.partition.map_or_else(|| Partition::of(&[counter.to_string()]), |rule| rule.partition())
     });
@@ -93,20 +93,22 @@
         Ok(partition) => partition,
         Err(error) => return unusable(&error),
     };
-    let more = partition.as_ref().map_or(0, counters::descriptors_more);
-    let budget = Budget::divide(limit.usable, admission.hold.most, admission.refusals.lingering, more);
+    let extra_descriptors = partition.as_ref().map_or(0, counters::extra_descriptors);
+    let budget =
+        Budget::divide(limit.usable, admission.hold.most, admission.refusals.lingering, extra_descriptors);
     let mut settings = faults::alter_settings(config.settings);
     settings.loss = quota.losses;
     let reuse = Reuse::new(&operators.upstream.unwrap_or_default());
     let reports = settings.load_reports;
-    let (speech, bounds) =
-        (Rc::new(Metered { reports }), ConnectionLimits::for_small_answers(budget.backends));
-    let backends = Backends::new(config.connect_timeout, config.backend_idle, reports, reuse, speech, bounds);
+    let (protocol, limits) =
+        (Rc::new(BackendProtocol { reports }), ConnectionLimits::for_small_answers(budget.backends));
+    let backends =
+        Backends::new(config.connect_timeout, config.backend_idle, reports, reuse, protocol, limits);
     let counters: Rc<OnceCell<Rc<Counters>>> = Rc::default();
     let counting = partition.map(|partition| {
         let counters = counters.clone();
-        move |patience, report| -> Rc<dyn CounterClient> {
-            counters.get_or_init(|| Rc::new(Counters::start(partition, patience, report))).clone()
+        move |call_timeout, report| -> Rc<dyn CounterClient> {
+            counters.get_or_init(|| Rc::new(Counters::start(partition, call_timeout, report))).clone()
         }
     });
     let engine = match Engine::start(settings.clone(), config.seed, backends.clone(), counting) {
@@ -119,21 +121,22 @@
         let acceptor = acceptor.clone();
         Rc::new(move || acceptor.on_descriptor_shortage())
     });
-    let front = Front::new(engine.clone(), &settings, acceptor);
+    let frontend = Frontend::new(engine.clone(), &settings, acceptor);
     let seq = config.known.seq;
-    discovery::tell(config.known, &backends, &engine);
+    discovery::apply(config.known, &backends, &engine);
     spawn(backends.clone().close_stale_connections());
     let fleet = match operators.fleet {
-        // The seed of a process is its own: with it go a stranger's number and the order of its probes.
+        // Each process has its own seed, which determines the number of a new member and the order of its
+        // probes.
         Some(rules) => match Fleet::start(rules, &config.name, config.seed).await {
             Ok(fleet) => Some(fleet),
             Err(error) => return unusable(&format!("fleet: {error}")),
         },
         None => None,
     };
-    let (moved, discovery) = watch::channel(config.discovery);
+    let (discovery_address, discovery) = watch::channel(config.discovery);
     spawn(discovery::watch(discovery, seq, backends, engine.clone()));
-    spawn(reload(hangup, moved, engine, counters));
+    spawn(reload(hangup, discovery_address, engine, counters));
     if let Ok(address) = listener.local_addr() {
         eprintln!("fennelscale {}: listening at {address}", config.name);
     }
@@ -143,26 +146,26 @@
             _ = interrupt.recv() => {}
         }
     };
-    front.serve(listener, end).await;
+    frontend.serve(listener, end).await;
     if let Some(fleet) = fleet {
         fleet.leave().await;
     }
     ExitCode::SUCCESS
 }
 
-/// How many descriptors the machine lets this process have, at most what it wants: the soft limit is raised as far as that takes
-/// and the hard one allows. None is no limit.
+/// The number of file descriptors that this process may have; None means no limit. The soft limit is raised
+/// to the number wanted as far as the hard limit allows.
 fn descriptors_allowed(wanted: usize) -> Option<u64> {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
-    let reach = maximum.map_or(wanted as u64, |most| most.min(wanted as u64));
-    if current.is_some_and(|now| now < reach) {
-        // Refused, the old limit stands, and is what there is.
-        let _ = setrlimit(Resource::Nofile, Rlimit { current: Some(reach), maximum });
+    let target = maximum.map_or(wanted as u64, |maximum| maximum.min(wanted as u64));
+    if current.is_some_and(|current| current < target) {
+        // If this fails, the old limit stays in force.
+        let _ = setrlimit(Resource::Nofile, Rlimit { current: Some(target), maximum });
     }
     getrlimit(Resource::Nofile).current
 }
 
-/// Reads the operators' file again for the counters; the rest of it is for the next start.
+/// Reads the operators' file again and applies its counters; the rest takes effect at the next start.
 fn repartition(engine: &Engine, counters: &Counters) {
     let rule = match Operators::from_environment() {
         Ok(operators) => operators.quota.and_then(|quota| quota.partition),
@@ -178,8 +181,8 @@
     }
 }
 
-/// Reads the configuration again at each SIGHUP and moves to the addresses in it; the rest of it is for the next
-/// start. One that cannot be used changes nothing.
+/// Reads the configuration again at each SIGHUP and applies its addresses; the rest takes effect at the next
+/// start. An unusable configuration changes nothing.
 async fn reload(
     mut hangup: Signal, discovery: watch::Sender<SocketAddr>, engine: Rc<Engine>,
     counters: Option<Rc<Counters>>,
