--- a/gateway/src/fleet/control.rs
+++ b/gateway/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! What operators of this machine ask of its gateway: one line of JSON each way on a loopback connection.
+//! The operators' control interface of a gateway: one line of JSON each way on a loopback connection.
 
 use super::{Fleet, peers};
 use fennelscale_fleet::state::Settled;
@@ -9,70 +9,70 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Bytes of a line: content of 256 KiB, each byte of it six at most in JSON.
-const MOST_LINE: u64 = 2 << 20;
-/// A line has to be whole within this.
-const WHOLE: Duration = Duration::from_secs(5);
-/// Connections at once.
-const MOST_OPEN: usize = 16;
+/// Maximum length of a line in bytes: content of 256 KiB, each byte of which takes at most six in JSON.
+const MAX_LINE: u64 = 2 << 20;
+/// Time limit for receiving a complete line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of simultaneous connections.
+const MAX_CONNECTIONS: usize = 16;
 
-/// What can be asked.
+/// A request of an operator.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, tag = "deed")]
 pub enum Deed {
-    /// What this gateway sees.
+    /// The state as this gateway sees it.
     Status,
-    /// What is agreed on a topic.
+    /// The current version of a topic.
     Topic {
-        /// Its name.
+        /// The topic's name.
         topic: String,
     },
-    /// To agree on a topic's next content.
+    /// Proposes the next version of a topic.
     Publish {
-        /// Its name.
+        /// The topic's name.
         topic: String,
-        /// The version that it follows; 0 for a new one.
+        /// The preceding version; 0 for a new topic.
         follows: u64,
         /// The content.
         content: String,
     },
-    /// To put a stranger in the place of a keeper.
+    /// Replaces a keeper by a gateway that is not one.
     ReplaceKeeper {
         /// The keeper's name.
         old: String,
-        /// The stranger's name.
+        /// The name of the gateway that replaces it.
         new: String,
     },
 }
 
-/// What is answered.
+/// The reply to a request.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// What the gateway sees.
+    /// The state as this gateway sees it.
     Status(Box<fennelscale_fleet::node::Status>),
     /// A topic's version, 0 for none, and its content.
     Topic {
-        /// Its version.
+        /// The version.
         version: u64,
         /// The content.
         content: Option<String>,
     },
-    /// How a wish was settled; nothing where only that it was is known.
+    /// The outcome of a proposal; None if it is settled but the outcome is not known here.
     Settled(Option<Settled>),
-    /// Not settled yet; it may still be.
+    /// Not settled yet; this may still happen.
     UnderWay,
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// Not done, and why.
+    /// The request was rejected, with the reason.
     Refused(String),
 }
 
-/// Answers operators.
+/// Serves operators' requests.
 pub async fn serve(listener: TcpListener, fleet: Rc<Fleet>) {
-    // The listener is on loopback: whoever reaches it is on this machine.
-    let anybody = |_| true;
-    peers::accept(listener, MOST_OPEN, anybody, move |stream| {
+    // The listener is on loopback, so every client is on this machine.
+    let admit_all = |_| true;
+    peers::accept(listener, MAX_CONNECTIONS, admit_all, move |stream| {
         let fleet = fleet.clone();
         async move { drop(answer(stream, &fleet).await) }
     })
@@ -82,13 +82,13 @@
 async fn answer(stream: TcpStream, fleet: &Fleet) -> std::io::Result<()> {
     let mut stream = BufReader::new(stream);
     let mut line = String::new();
-    let read = timeout(WHOLE, (&mut stream).take(MOST_LINE).read_line(&mut line)).await;
+    let read = timeout(LINE_TIMEOUT, (&mut stream).take(MAX_LINE).read_line(&mut line)).await;
     let reply = match read {
         Ok(Ok(_)) if line.ends_with('\n') => match serde_json::from_str(&line) {
-            Ok(deed) => fleet.obey(deed).await,
+            Ok(deed) => fleet.execute(deed).await,
             Err(error) => Reply::Refused(format!("not a deed: {error}")),
         },
-        _ => Reply::Refused(format!("one line of JSON is needed, within 5 s and {MOST_LINE} bytes")),
+        _ => Reply::Refused(format!("one line of JSON is needed, within 5 s and {MAX_LINE} bytes")),
     };
     let mut text = serde_json::to_string(&reply)?;
     text.push('\n');
--- a/gateway/src/fleet/mod.rs
+++ b/gateway/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The gateway's part in a fleet: a thin host around `fennelscale_fleet::Node`. It carries bytes, keeps the time and flushes the
-//! disk; no request waits for anything here.
+//! Runs a `fennelscale_fleet::Node` in the gateway: does its network and disk I/O and its timers. No client
+//! request waits for any of this.
 
 mod clock;
 pub mod control;
@@ -29,19 +29,19 @@
 use tokio::time::{sleep, timeout};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Ports of the machine's choice that are tried.
-const PORT_TRIES: usize = 16;
-/// A wish by the command line is answered within this, or said to be under way.
-const WISH: Duration = Duration::from_secs(5);
-/// At its end a gateway gives this long to what it gives back.
-const LEAVING: Duration = Duration::from_millis(300);
+/// Number of system-assigned ports that are tried.
+const MAX_PORT_TRIES: usize = 16;
+/// An operator's proposal that is not settled within this time is reported as under way.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time at shutdown for the release of rights to take effect.
+const LEAVE_PERIOD: Duration = Duration::from_millis(300);
 
-/// The number that all of one fleet put into what they write.
+/// The cluster id that all members of a fleet put into their messages and files.
 pub fn cluster(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// This gateway's part in the fleet.
+/// This gateway as a member of a fleet.
 pub struct Fleet {
     rules: Rules,
     node: RefCell<Node>,
@@ -50,11 +50,12 @@
     datagrams: UdpSocket,
     disk: Option<disk::Writer>,
     wake: Notify,
-    waiting: RefCell<BTreeMap<u64, oneshot::Sender<Option<Settled>>>>,
+    proposals: RefCell<BTreeMap<u64, oneshot::Sender<Option<Settled>>>>,
     name: String,
 }
 
-/// Reads a keeper's disk; a stranger's is begun where it has lost anything.
+/// Reads a keeper's disk. If it is empty or has lost data, a new one is started that does not belong to the
+/// log.
 fn open_disk(
     rules: &Rules, name: &str, seed: u64,
 ) -> io::Result<Option<(disk::Writer, fennelscale_fleet::disk::Found)>> {
@@ -78,17 +79,17 @@
                 "fleet: {}: {what}. What others were told is safe may be gone: a stranger to the log from now on",
                 folder.display()
             );
-            writer.set_aside()?;
+            writer.move_aside()?;
             strange_disk(seed, name)
         }
     };
     Ok(Some((writer, found)))
 }
 
-/// Writes the disk of a keeper of the first set. Done once for each, before the fleet runs for the first time.
+/// Writes the disk of an initial keeper. This is done once for each, before the fleet runs for the first
+/// time.
 ///
-/// # Errors
-/// When there is a disk already, or the rules name no folder or another keeper.
+/// # Errors When the disk is not empty, or the rules have no folder or no keeper of this name.
 pub fn init(rules: &Rules, name: &str) -> io::Result<()> {
     let folder = rules.disk.as_ref().ok_or_else(|| io::Error::other("fleet.disk names no folder"))?;
     if !rules.keepers.contains_key(name) {
@@ -103,35 +104,36 @@
     writer.write(&write)
 }
 
-/// Listens for connections and datagrams under one number. One of the machine's choice may be taken for datagrams already: then
-/// another is tried.
+/// Listens for connections and datagrams on the same port. A system-assigned port may already be in use for
+/// datagrams; then another one is tried.
 async fn listen(at: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
-    let tries = if at.port() == 0 { PORT_TRIES } else { 1 };
-    let mut last = io::ErrorKind::AddrInUse.into();
+    let tries = if at.port() == 0 { MAX_PORT_TRIES } else { 1 };
+    let mut last_error = io::ErrorKind::AddrInUse.into();
     for _ in 0..tries {
         let listener = TcpListener::bind(at).await?;
         match UdpSocket::bind(listener.local_addr()?).await {
             Ok(datagrams) => return Ok((listener, datagrams)),
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 impl Fleet {
     /// Joins the fleet.
     ///
     /// # Errors
-    /// When an address or the disk cannot be had.
+    /// When an address or the disk cannot be used.
     pub async fn start(rules: Rules, name: &str, seed: u64) -> io::Result<Rc<Self>> {
         let (listener, datagrams) = listen(rules.listen).await?;
         let at = listener.local_addr()?;
         let clock = SteadyClock::new(&rules.clock);
         let cluster = cluster(&rules.name);
         let (disk, found) = open_disk(&rules, name, seed)?.unzip();
-        // The machine's time only orders the starts of one name; nothing else rests on it.
-        let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        let incarnation = u64::try_from(started.as_micros()).unwrap_or(u64::MAX);
+        // The system time only orders the incarnations of a name; nothing else depends on it.
+        let started_at =
+            std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        let incarnation = u64::try_from(started_at.as_micros()).unwrap_or(u64::MAX);
         let mut seeds = rules.keepers.clone();
         seeds.extend(rules.seeds.clone());
         let micros = |ms: f64| (ms * 1000.0) as Micros;
@@ -155,15 +157,15 @@
             datagrams,
             disk,
             wake: Notify::new(),
-            waiting: RefCell::default(),
+            proposals: RefCell::default(),
             name: name.to_owned(),
             rules,
         });
         spawn(fleet.clone().accept(listener));
         spawn(fleet.clone().receive());
-        spawn(fleet.clone().keep_time());
+        spawn(fleet.clone().run_timers());
         if let Some(disk) = &fleet.disk {
-            spawn(fleet.clone().written(disk.done()));
+            spawn(fleet.clone().report_flushed(disk.take_flushed()));
         }
         if let Some(control) = fleet.rules.control {
             let listener = TcpListener::bind(control).await?;
@@ -172,40 +174,40 @@
         }
         for (right, rule) in &fleet.rules.rights {
             if let Some(witness) = rule.witness {
-                spawn(witness::tell(fleet.clone(), right.clone(), witness, rule.every.0));
+                spawn(witness::report(fleet.clone(), right.clone(), witness, rule.every.0));
             }
         }
-        fleet.act();
+        fleet.perform_actions();
         eprintln!("fleet {}: {name} at {at}", fleet.rules.name);
         Ok(fleet)
     }
 
-    /// Under which number this gateway holds a right at this very moment.
+    /// The fencing number under which this gateway holds a right at this moment, if it does.
     pub fn fence(&self, right: &str) -> Option<Fence> {
         self.node.borrow().fence(self.clock.now(), right)
     }
 
-    /// Gives back what is held and says that this gateway goes.
+    /// Releases the rights held and announces that this gateway leaves.
     pub async fn leave(&self) {
         self.node.borrow_mut().leave(self.clock.now());
-        self.act();
-        sleep(LEAVING).await;
+        self.perform_actions();
+        sleep(LEAVE_PERIOD).await;
     }
 
-    /// Does something with the node, and what follows from it.
-    fn with<T>(&self, deed: impl FnOnce(&mut Node, Micros) -> T) -> T {
-        let result = deed(&mut self.node.borrow_mut(), self.clock.now());
-        self.act();
+    /// Runs an operation on the node and performs the resulting actions.
+    fn with<T>(&self, operation: impl FnOnce(&mut Node, Micros) -> T) -> T {
+        let result = operation(&mut self.node.borrow_mut(), self.clock.now());
+        self.perform_actions();
         result
     }
 
-    fn act(&self) {
+    fn perform_actions(&self) {
         let actions = self.node.borrow_mut().take_actions();
         for action in actions {
             match action {
                 Action::Datagram(to, bytes) => {
-                    let to = self.peers.reach(&to.name, to.address);
-                    // A datagram that the machine has no room for is lost like any other.
+                    let to = self.peers.resolve(&to.name, to.address);
+                    // A datagram that does not fit into the socket buffer counts as lost.
                     let _ = self.datagrams.try_send_to(&bytes, to);
                 }
                 Action::Frame(name, address, bytes) => self.peers.send(&name, address, bytes),
@@ -214,13 +216,13 @@
                         disk.queue(number, write);
                     }
                 }
-                Action::Event(event) => self.tell(event),
+                Action::Event(event) => self.on_event(event),
             }
         }
         self.wake.notify_one();
     }
 
-    fn tell(&self, event: Event) {
+    fn on_event(&self, event: Event) {
         match event {
             Event::Member(Change::Here(member)) => eprintln!("fleet: {member} is here"),
             Event::Member(Change::Gone(member)) => eprintln!("fleet: {member} is gone"),
@@ -231,8 +233,8 @@
                 eprintln!("fleet: {by} claims a name that belongs to a later run: it was told");
             }
             Event::Settled(serial, settled) => {
-                if let Some(waiting) = self.waiting.borrow_mut().remove(&serial) {
-                    let _ = waiting.send(settled);
+                if let Some(sender) = self.proposals.borrow_mut().remove(&serial) {
+                    let _ = sender.send(settled);
                 }
             }
             Event::Agreed => {}
@@ -242,13 +244,13 @@
         }
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
             let at = self.node.borrow().next_wake();
             let now = self.clock.now();
             if at <= now {
                 self.with(Node::wake);
-                // Others have their turn, whatever the node wants.
+                // Lets other tasks run even if the node is always due.
                 tokio::task::yield_now().await;
                 continue;
             }
@@ -266,7 +268,7 @@
                     self.with(|node, now| node.datagram(now, datagram));
                 }
                 Ok(_) => {}
-                // An earlier datagram met nobody: that is told here, and means nothing.
+                // The kernel reports here that an earlier datagram was undeliverable, which can be ignored.
                 Err(_) => tokio::task::yield_now().await,
             }
         }
@@ -277,16 +279,23 @@
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let hears = self.clone();
-        peers::accept(listener, peers::MOST_INCOMING, move |from| hears.allowed(from), move |stream| {
-            let fleet = self.clone();
-            async move { peers::read(stream, |frame| fleet.with(|node, now| node.frame(now, frame))).await }
-        })
+        let filter = self.clone();
+        peers::accept(
+            listener,
+            peers::MAX_INCOMING,
+            move |from| filter.allowed(from),
+            move |stream| {
+                let fleet = self.clone();
+                async move {
+                    peers::read_frames(stream, |frame| fleet.with(|node, now| node.frame(now, frame))).await
+                }
+            },
+        )
         .await;
     }
 
-    async fn written(self: Rc<Self>, mut done: disk::Done) {
-        while let Some(number) = done.recv().await {
+    async fn report_flushed(self: Rc<Self>, mut flushed: disk::FlushedWrites) {
+        while let Some(number) = flushed.recv().await {
             self.with(|node, now| node.written(now, number));
         }
         eprintln!(
@@ -294,8 +303,8 @@
         );
     }
 
-    /// Does what an operator asks for.
-    pub(crate) async fn obey(&self, deed: Deed) -> Reply {
+    /// Executes an operator's request.
+    pub(crate) async fn execute(&self, deed: Deed) -> Reply {
         match deed {
             Deed::Status => Reply::Status(Box::new(self.node.borrow().status(self.clock.now()))),
             Deed::Topic { topic } => {
@@ -306,7 +315,7 @@
             }
             Deed::Publish { topic, follows, content } => {
                 let command = Command::Publish { topic, follows, content: content.into_bytes() };
-                self.wish(command).await
+                self.propose(command).await
             }
             Deed::ReplaceKeeper { old, new } => {
                 match self.with(|node, now| node.replace_keeper(now, &old, &new)) {
@@ -317,7 +326,7 @@
         }
     }
 
-    async fn wish(&self, command: Command) -> Reply {
+    async fn propose(&self, command: Command) -> Reply {
         let (sender, settled) = oneshot::channel();
         let serial = {
             let mut node = self.node.borrow_mut();
@@ -327,10 +336,10 @@
             Ok(serial) => serial,
             Err(error) => return Reply::Refused(error.to_string()),
         };
-        self.waiting.borrow_mut().insert(serial, sender);
-        self.act();
-        let settled = timeout(WISH, settled).await;
-        self.waiting.borrow_mut().remove(&serial);
+        self.proposals.borrow_mut().insert(serial, sender);
+        self.perform_actions();
+        let settled = timeout(PROPOSAL_TIMEOUT, settled).await;
+        self.proposals.borrow_mut().remove(&serial);
         match settled {
             Ok(Ok(settled)) => Reply::Settled(settled),
             _ => Reply::UnderWay,
--- a/gateway/src/fleet/peers.rs
+++ b/gateway/src/fleet/peers.rs
@@ -1,4 +1,5 @@
-//! Frames to and from peers: one connection for each direction, a bounded queue for each peer, lengths by `tokio-util`.
+//! Frames to and from peers: a connection for each direction, a bounded queue for each peer, and
+//! length-delimited frames.
 
 use crate::task::spawn;
 use bytes::Bytes;
@@ -14,30 +15,30 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Frames that wait for one peer; more are lost, as on a link that is down.
-const MOST_WAITING: usize = 256;
-/// Peers with a connection from here at once.
-const MOST_PEERS: usize = 1200;
-/// Connections from peers at once.
-pub const MOST_INCOMING: usize = 1200;
-/// A connection has to come up within this.
-const CONNECT: Duration = Duration::from_secs(1);
-/// A frame has to be taken by the machine within this, else the link is down.
-const WRITE: Duration = Duration::from_secs(2);
-/// After a link that is down the next connection is tried after this.
-const REST: Duration = Duration::from_millis(200);
-/// When the machine has no connection to give, it is asked again after this.
-const ACCEPT_REST: Duration = Duration::from_millis(100);
-/// A connection with nothing to send is closed after this.
-const IDLE: Duration = Duration::from_secs(15);
-/// A connection on which nothing comes for this long is closed.
-const SILENT: Duration = Duration::from_secs(60);
+/// Maximum number of frames queued for a peer. More are dropped, as on a failed connection.
+const MAX_QUEUED: usize = 256;
+/// Maximum number of simultaneous outgoing connections.
+const MAX_PEERS: usize = 1200;
+/// Maximum number of simultaneous incoming connections.
+pub const MAX_INCOMING: usize = 1200;
+/// Time limit for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for writing a frame to the socket, after which the connection is considered failed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay before a reconnect after a failure.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// An outgoing connection without frames to send is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// An incoming connection without frames is closed after this time.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 type Queues = Rc<RefCell<BTreeMap<String, (SocketAddr, mpsc::Sender<Bytes>)>>>;
 
 /// Connections to peers.
 pub struct Peers {
-    reach: BTreeMap<String, SocketAddr>,
+    address_overrides: BTreeMap<String, SocketAddr>,
     queues: Queues,
 }
 
@@ -46,29 +47,29 @@
 }
 
 impl Peers {
-    pub fn new(reach: BTreeMap<String, SocketAddr>) -> Self {
-        Self { reach, queues: Queues::default() }
+    pub fn new(address_overrides: BTreeMap<String, SocketAddr>) -> Self {
+        Self { address_overrides, queues: Queues::default() }
     }
 
-    /// Where a member is reached from here.
-    pub fn reach(&self, name: &str, address: SocketAddr) -> SocketAddr {
-        self.reach.get(name).copied().unwrap_or(address)
+    /// The address at which this gateway reaches a member.
+    pub fn resolve(&self, name: &str, address: SocketAddr) -> SocketAddr {
+        self.address_overrides.get(name).copied().unwrap_or(address)
     }
 
-    /// Sends a frame, or loses it.
+    /// Queues a frame to a peer; drops it if the queue is full or there are too many peers.
     pub fn send(&self, name: &str, address: SocketAddr, frame: Vec<u8>) {
-        let address = self.reach(name, address);
+        let address = self.resolve(name, address);
         let mut queues = self.queues.borrow_mut();
         if queues.get(name).is_some_and(|(at, _)| *at != address) {
             queues.remove(name);
         }
         if !queues.contains_key(name) {
-            if queues.len() >= MOST_PEERS {
+            if queues.len() >= MAX_PEERS {
                 return;
             }
-            let (sender, frames) = mpsc::channel(MOST_WAITING);
+            let (sender, frames) = mpsc::channel(MAX_QUEUED);
             queues.insert(name.to_owned(), (address, sender));
-            spawn(write(self.queues.clone(), name.to_owned(), address, frames));
+            spawn(write_frames(self.queues.clone(), name.to_owned(), address, frames));
         }
         if let Some((_, queue)) = queues.get(name) {
             let _ = queue.try_send(frame.into());
@@ -76,12 +77,12 @@
     }
 }
 
-/// Writes what is queued for a peer for as long as there is something.
-async fn write(queues: Queues, name: String, address: SocketAddr, mut frames: mpsc::Receiver<Bytes>) {
-    while let Ok(Some(first)) = timeout(IDLE, frames.recv()).await {
-        if write_on_one(address, first, &mut frames).await.is_none() {
-            sleep(REST).await;
-            // What waited is old by now; whoever wants it sends it again.
+/// Writes the queued frames of a peer until there are none for a while.
+async fn write_frames(queues: Queues, name: String, address: SocketAddr, mut frames: mpsc::Receiver<Bytes>) {
+    while let Ok(Some(first)) = timeout(IDLE_TIMEOUT, frames.recv()).await {
+        if write_on_connection(address, first, &mut frames).await.is_none() {
+            sleep(RECONNECT_DELAY).await;
+            // The queued frames are outdated by now; their senders repeat them if needed.
             while frames.try_recv().is_ok() {}
         }
     }
@@ -91,34 +92,37 @@
     }
 }
 
-async fn write_on_one(address: SocketAddr, first: Bytes, frames: &mut mpsc::Receiver<Bytes>) -> Option<()> {
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
+async fn write_on_connection(
+    address: SocketAddr, first: Bytes, frames: &mut mpsc::Receiver<Bytes>,
+) -> Option<()> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     let mut framed = Framed::new(stream, codec());
-    timeout(WRITE, framed.send(first)).await.ok()?.ok()?;
+    timeout(WRITE_TIMEOUT, framed.send(first)).await.ok()?.ok()?;
     loop {
         tokio::select! {
-            // Nothing comes on this side: an end or a fault does.
+            // Peers send nothing on this connection, so this resolves only when it is closed or fails.
             _ = framed.next() => return None,
-            frame = timeout(IDLE, frames.recv()) => match frame {
-                Ok(Some(frame)) => timeout(WRITE, framed.send(frame)).await.ok()?.ok()?,
+            frame = timeout(IDLE_TIMEOUT, frames.recv()) => match frame {
+                Ok(Some(frame)) => timeout(WRITE_TIMEOUT, framed.send(frame)).await.ok()?.ok()?,
                 _ => return Some(()),
             },
         }
     }
 }
 
-/// Takes connections for as long as the program runs: at most so many at once, and only from addresses that are admitted.
+/// Accepts connections forever: at most `max_open` at once, and only from admitted addresses.
 pub async fn accept<F: Future<Output = ()> + 'static>(
-    listener: TcpListener, most: usize, admits: impl Fn(SocketAddr) -> bool, serve: impl Fn(TcpStream) -> F,
+    listener: TcpListener, max_open: usize, admits: impl Fn(SocketAddr) -> bool,
+    serve: impl Fn(TcpStream) -> F,
 ) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            sleep(ACCEPT_REST).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if !admits(from) || open.get() >= most {
+        if !admits(from) || open.get() >= max_open {
             continue;
         }
         open.set(open.get() + 1);
@@ -130,11 +134,11 @@
     }
 }
 
-/// Reads frames until the connection ends, is silent, or brings what is no frame.
-pub async fn read(stream: TcpStream, mut take: impl FnMut(&[u8])) {
+/// Reads frames until the connection ends, times out, or receives invalid data.
+pub async fn read_frames(stream: TcpStream, mut handle: impl FnMut(&[u8])) {
     let mut framed = Framed::new(stream, codec());
-    while let Ok(Some(Ok(frame))) = timeout(SILENT, framed.next()).await {
-        take(&frame);
+    while let Ok(Some(Ok(frame))) = timeout(READ_TIMEOUT, framed.next()).await {
+        handle(&frame);
         tokio::task::yield_now().await;
     }
 }
--- a/gateway/src/fleet/witness.rs
+++ b/gateway/src/fleet/witness.rs
@@ -1,4 +1,4 @@
-//! Tells a witness of a right for as long as it is held: who wants to know from outside who acts under it.
+//! Reports to a witness while a right is held. A witness is an outside observer of who acts under the right.
 
 use super::Fleet;
 use std::net::SocketAddr;
@@ -7,30 +7,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Tells it again and again, each time with a look at the clock right before the bytes.
-pub async fn tell(fleet: Rc<Fleet>, right: String, witness: SocketAddr, every: f64) {
+/// Reports periodically, checking the lease against the clock immediately before each write.
+pub async fn report(fleet: Rc<Fleet>, right: String, witness: SocketAddr, every: f64) {
     let every = Duration::from_secs_f64(every / 1000.0);
     let mut stream: Option<TcpStream> = None;
     loop {
         sleep(every).await;
         let Some(fence) = fleet.fence(&right) else { continue };
         if stream.is_none() {
-            stream = timeout(CONNECT, TcpStream::connect(witness)).await.ok().and_then(Result::ok);
+            stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(witness)).await.ok().and_then(Result::ok);
         }
-        let Some(open) = &stream else { continue };
+        let Some(connected) = &stream else { continue };
         let me = fleet.node.borrow().me().clone();
         let line = serde_json::json!({
             "right": right, "name": me.name, "incarnation": me.incarnation, "fence": fence.0,
         });
         let line = format!("{line}\n");
-        // The last look, and nothing at all between it and the write: a process that is stopped right here is caught only by who
-        // compares the numbers.
+        // The final check; nothing may come between it and the write. If the process is suspended right here,
+        // only a comparison of the fencing numbers detects the late write.
         if fleet.fence(&right) != Some(fence) {
             continue;
         }
-        if open.try_write(line.as_bytes()).is_err() {
+        if connected.try_write(line.as_bytes()).is_err() {
             stream = None;
         }
     }
