--- a/gateway/src/counting/counters.rs
+++ b/gateway/src/counting/counters.rs
@@ -52,18 +52,18 @@
         let mut partition = self.partition();
         let (current, next) = (addresses(&rule.counters), rule.next.as_ref());
         let wanted = next.map_or_else(|| current.clone(), |next| addresses(&next.counters));
-        if partition.is_over(&wanted) {
+        if partition.uses_exactly(&wanted) {
             return Ok(false);
         }
         let next = next.ok_or(MISSING_TIME)?;
-        if !partition.is_over(&current) {
+        if !partition.uses_exactly(&current) {
             return Err(MISSING_TIME.into());
         }
         let from = next.begins();
         if from <= now {
             return Err(TIME_PASSED.into());
         }
-        partition.change(&wanted, from).map_err(|error| error.to_string())?;
+        partition.replace_counters(&wanted, from).map_err(|error| error.to_string())?;
         self.partition.replace(partition);
         self.connect();
         Ok(true)
--- a/system/config/src/config_index.rs
+++ b/system/config/src/config_index.rs
@@ -4,7 +4,7 @@
 //! The rules are those of [`check_consistency`](crate::check_consistency), which looks at all items; the
 //! tests compare the two.
 
-use crate::{InvalidConfig, MOST_ORDERS, ParsedItem};
+use crate::{InvalidConfig, MAX_ORDERS, ParsedItem};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The items that a call changes: their new content, none where an item is removed.
@@ -68,7 +68,7 @@
 
 /// The item name of a maintenance contract.
 fn contract_item(contract: &str) -> String {
-    format!("{}{contract}", fennelscale_maintenance::CONTRACT)
+    format!("{}{contract}", fennelscale_maintenance::CONTRACT_PREFIX)
 }
 
 impl ConfigIndex {
@@ -182,11 +182,11 @@
             {
                 return Err(missing_service(route, service));
             }
-            if let Some(contract) = name.strip_prefix(fennelscale_maintenance::CONTRACT)
+            if let Some(contract) = name.strip_prefix(fennelscale_maintenance::CONTRACT_PREFIX)
                 && let Some(order) = self.orders_by_contract.holder(&contract.to_owned(), changes)
             {
                 return Err(missing_contract(
-                    order.strip_prefix(fennelscale_maintenance::ORDER).unwrap_or(order),
+                    order.strip_prefix(fennelscale_maintenance::ORDER_PREFIX).unwrap_or(order),
                     contract,
                 ));
             }
@@ -202,11 +202,11 @@
             now + added - replaced
         };
         let failure_orders = after(self.failure_orders, |item| matches!(item, ParsedItem::FailureOrder(_)));
-        if failure_orders > fennelscale_fault_injection::MOST_ORDERS {
+        if failure_orders > fennelscale_fault_injection::MAX_ORDERS {
             return Err(too_many_failure_orders(failure_orders));
         }
         let work_orders = after(self.work_orders, |item| matches!(item, ParsedItem::WorkOrder(_)));
-        if work_orders > MOST_ORDERS {
+        if work_orders > MAX_ORDERS {
             return Err(too_many_work_orders(work_orders));
         }
         Ok(())
@@ -232,10 +232,10 @@
 }
 
 pub(crate) fn too_many_failure_orders(failure_orders: usize) -> InvalidConfig {
-    let most = fennelscale_fault_injection::MOST_ORDERS;
+    let most = fennelscale_fault_injection::MAX_ORDERS;
     InvalidConfig(format!("{failure_orders} failure orders would stand, at most {most}: drop old ones"))
 }
 
 pub(crate) fn too_many_work_orders(work_orders: usize) -> InvalidConfig {
-    InvalidConfig(format!("{work_orders} work orders would stand, at most {MOST_ORDERS}: drop old ones"))
+    InvalidConfig(format!("{work_orders} work orders would stand, at most {MAX_ORDERS}: drop old ones"))
 }
--- a/system/config/src/item.rs
+++ b/system/config/src/item.rs
@@ -102,11 +102,11 @@
     /// The evacuation of a zone.
     Evacuation,
     /// The hours in which nodes may be drained.
-    MaintenanceContract(Box<fennelscale_maintenance::hours::Contract>),
+    MaintenanceContract(Box<fennelscale_maintenance::contract::Contract>),
     /// Nodes to be drained within the hours of a contract.
-    WorkOrder(Box<fennelscale_maintenance::order::Order>),
+    WorkOrder(Box<fennelscale_maintenance::order::WorkOrder>),
     /// The nodes that a work order drains now.
-    Drain(fennelscale_maintenance::night::Drain),
+    Drain(fennelscale_maintenance::record::Drain),
     /// The record of a work order's progress.
     MaintenanceRecord,
     /// Requests that are to fail on purpose.
@@ -204,7 +204,7 @@
             maintenance::order(name, &item).map(|order| ParsedItem::WorkOrder(Box::new(order)))
         }
         Some(("d:", _)) => {
-            let drain = fennelscale_maintenance::night::Drain::read(body);
+            let drain = fennelscale_maintenance::record::Drain::parse(body);
             drain.map(ParsedItem::Drain).ok_or_else(|| InvalidConfig(format!("{name}: no drain")))
         }
         Some(("n:", _)) => Ok(ParsedItem::MaintenanceRecord),
--- a/system/config/src/lib.rs
+++ b/system/config/src/lib.rs
@@ -19,7 +19,7 @@
 pub use item::{Limits, ParsedItem, Route, RouteKind, Service, Tenant, parse_item};
 pub use routing_table::RoutingTable;
 
-use fennelscale_maintenance::order::MOST_ORDERS;
+use fennelscale_maintenance::order::MAX_ORDERS;
 use fennelscale_messages::store::{DIGEST_PARTS, Entry, NamedEntry};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -112,10 +112,10 @@
             | ParsedItem::MaintenanceRecord => {}
         }
     }
-    if failure_orders > fennelscale_fault_injection::MOST_ORDERS {
+    if failure_orders > fennelscale_fault_injection::MAX_ORDERS {
         return Err(config_index::too_many_failure_orders(failure_orders));
     }
-    if work_orders.len() > MOST_ORDERS {
+    if work_orders.len() > MAX_ORDERS {
         return Err(config_index::too_many_work_orders(work_orders.len()));
     }
     match work_orders.iter().find(|order| !contracts.contains(order.contract.as_str())) {
--- a/system/config/src/tests.rs
+++ b/system/config/src/tests.rs
@@ -125,8 +125,8 @@
     let items = parse_items(MAINTENANCE).unwrap();
     assert_eq!(items.len(), 2);
     let ParsedItem::WorkOrder(order) = &items[1].1 else { panic!("{:?}", items[1]) };
-    assert_eq!((order.length, order.back_before, order.nodes.len()), (600_000.0, 60_000.0, 3));
-    assert_eq!((order.most.zone, order.most.region), (2, 1));
+    assert_eq!((order.out_duration, order.return_time, order.nodes.len()), (600_000.0, 60_000.0, 3));
+    assert_eq!((order.limits.zone, order.limits.region), (2, 1));
     let changes = parse_call(MAINTENANCE.as_bytes()).unwrap();
     let entries: Vec<_> = changes
         .iter()
@@ -181,7 +181,10 @@
     assert!(check_items(FAILURE).is_ok());
     let items = parse_items(FAILURE).unwrap();
     let ParsedItem::FailureOrder(order) = &items[0].1 else { panic!("{items:?}") };
-    assert_eq!((order.what, order.most), (fennelscale_fault_injection::What::CutRequest(0.75), 40));
+    assert_eq!(
+        (order.kind, order.max_requests),
+        (fennelscale_fault_injection::FailureKind::CutRequest(0.75), 40)
+    );
     assert_eq!(order.until - order.from, 600_000.0);
     for (from, to) in [
         ("\"tenants\":[\"choir\"],", ""),
--- a/system/membership/src/maintenance.rs
+++ b/system/membership/src/maintenance.rs
@@ -8,12 +8,14 @@
 use crate::feed::{EventKind, Feed};
 use crate::{Millis, Output, RegistryState, duties};
 use fennelscale_config::{ItemCopy, ParsedItem, parse_item};
-use fennelscale_maintenance::clock::{Clock, Span};
-use fennelscale_maintenance::hours::{Contract, told};
-use fennelscale_maintenance::night::{Night, Phase};
-use fennelscale_maintenance::order::{Node, Order, Wanted};
-use fennelscale_maintenance::plan::{self, Next, Scene, Why};
-use fennelscale_maintenance::{CONTRACT, DRAIN, NIGHT, ORDER, counts};
+use fennelscale_maintenance::clock::{Clock, TimeInterval};
+use fennelscale_maintenance::contract::{Contract, format_time};
+use fennelscale_maintenance::order::{Node, OrderState, WorkOrder};
+use fennelscale_maintenance::plan::{self, PlannedStep, Reason, View};
+use fennelscale_maintenance::record::{MaintenanceRecord, Phase};
+use fennelscale_maintenance::{
+    CONTRACT_PREFIX, DRAIN_PREFIX, ORDER_PREFIX, RECORD_PREFIX, is_maintenance_item,
+};
 use fennelscale_messages::Host;
 use fennelscale_messages::store::{Entry, NamedEntry};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,9 +38,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MaintenanceState {
     contracts: BTreeMap<String, Contract>,
-    orders: BTreeMap<String, Order>,
+    orders: BTreeMap<String, WorkOrder>,
     /// The record of each order.
-    records: BTreeMap<String, Night>,
+    records: BTreeMap<String, MaintenanceRecord>,
     /// The records as chosen entries; proxies do not need them.
     record_copy: ItemCopy,
     /// Failure orders that may run: these need the true time as well.
@@ -96,19 +98,19 @@
             self.allowed_regions = None;
         }
         let parsed = || entry.body.as_deref().and_then(|body| parse_item(name, &entry.host, body).ok());
-        if let Some(name) = name.strip_prefix(CONTRACT) {
+        if let Some(name) = name.strip_prefix(CONTRACT_PREFIX) {
             match parsed() {
                 Some(ParsedItem::MaintenanceContract(contract)) => {
                     drop(self.contracts.insert(name.to_owned(), *contract))
                 }
                 _ => drop(self.contracts.remove(name)),
             }
-        } else if let Some(name) = name.strip_prefix(ORDER) {
+        } else if let Some(name) = name.strip_prefix(ORDER_PREFIX) {
             match parsed() {
                 Some(ParsedItem::WorkOrder(order)) => drop(self.orders.insert(name.to_owned(), *order)),
                 _ => drop(self.orders.remove(name)),
             }
-        } else if name.starts_with(fennelscale_fault_injection::FAILURE) {
+        } else if name.starts_with(fennelscale_fault_injection::ORDER_PREFIX) {
             match parsed() {
                 Some(ParsedItem::FailureOrder(order)) => self.set_failure_order(name, Some(&order)),
                 _ => self.set_failure_order(name, None),
@@ -130,8 +132,8 @@
         if !self.record_copy.merge(name, entry) {
             return;
         }
-        let order = &name[NIGHT.len()..];
-        let Some(record) = entry.body.as_deref().and_then(Night::read) else {
+        let order = &name[RECORD_PREFIX.len()..];
+        let Some(record) = entry.body.as_deref().and_then(MaintenanceRecord::parse) else {
             self.records.remove(order);
             return;
         };
@@ -157,7 +159,7 @@
     pub(crate) fn is_active(&self) -> bool {
         !self.orders.is_empty()
             || !self.failure_orders.is_empty()
-            || self.records.values().any(|record| !record.out().is_empty())
+            || self.records.values().any(|record| !record.drained_nodes().is_empty())
     }
 
     /// The local time of day, while anything depends on the true time.
@@ -166,12 +168,12 @@
     }
 
     pub(crate) fn add_clock_sample(&mut self, member: Host, sent: Millis, now: Millis, wall: u64) {
-        self.clock.heard(member, sent, now, wall as f64);
+        self.clock.record_reading(member, sent, now, wall as f64);
     }
 
     /// The true time to send to proxies, while anything is drained or a failure order may run.
-    pub(crate) fn true_time(&self, now: Millis) -> Option<Span> {
-        let is_draining = self.records.values().any(|record| !record.out().is_empty());
+    pub(crate) fn true_time(&self, now: Millis) -> Option<TimeInterval> {
+        let is_draining = self.records.values().any(|record| !record.drained_nodes().is_empty());
         if is_draining || !self.failure_orders.is_empty() { self.clock.now(now) } else { None }
     }
 }
@@ -229,11 +231,11 @@
         self.maintenance.wall_offset = Some(wall - now);
         if self.maintenance.is_active() {
             let local_host = self.local_host;
-            self.maintenance.clock.heard(local_host, now, now, wall);
+            self.maintenance.clock.record_reading(local_host, now, now, wall);
         }
     }
 
-    fn scene(&mut self, now: Millis) -> Scene {
+    fn scene(&mut self, now: Millis) -> View {
         let doubtful =
             !self.freshness.is_fresh(now) || self.has_lost_contact(now) || self.backend_list.stamp.0 == 0;
         let isolated = self.proxy_counts(now).isolated;
@@ -247,21 +249,21 @@
             self.maintenance.allowed_regions.get_or_insert_with(|| allowed_regions(&self.config)).clone();
         let evacuated = self.config.entries().iter().filter(|(_, entry)| entry.body.is_some());
         let evacuated = evacuated.filter_map(|(name, _)| name.strip_prefix("e:").map(str::to_owned));
-        Scene {
+        View {
             now: self.maintenance.clock.now(now),
             contracts: self.maintenance.contracts.clone(),
             orders: self.maintenance.orders.clone(),
-            nights: self.maintenance.records.clone(),
-            zones: self.maintenance.zones.clone(),
+            records: self.maintenance.records.clone(),
+            zone_regions: self.maintenance.zones.clone(),
             backends: self.backend_list.backends.clone(),
-            members: self.proxies.all(now),
-            silent: isolated as usize,
-            unheard: unreachable,
-            evacuated: evacuated.collect(),
-            zones_may_go: self.maintenance.tolerated_zones,
-            regions_may_go: self.maintenance.tolerated_regions,
-            homes: allowed_regions,
-            doubtful,
+            proxies: self.proxies.all(now),
+            isolated_proxies: isolated as usize,
+            unreachable_zones: unreachable,
+            evacuated_zones: evacuated.collect(),
+            max_lost_zones: self.maintenance.tolerated_zones,
+            max_lost_regions: self.maintenance.tolerated_regions,
+            service_regions: allowed_regions,
+            may_be_stale: doubtful,
         }
     }
 
@@ -273,36 +275,43 @@
         self.maintenance.next_evaluation = now + EVALUATION_INTERVAL;
         let members: Vec<Host> = self.core_members.members.iter().map(|member| member.host).collect();
         let tolerated = self.maintenance.tolerated_clocks;
-        self.maintenance.clock.settle(now, &members, tolerated);
+        self.maintenance.clock.update(now, &members, tolerated);
         if self.maintenance.pending_since.is_some_and(|since| now - since < STEP_TIMEOUT) {
             return;
         }
         let held = self.held_duties(now);
         let names = || self.maintenance.orders.keys().chain(self.maintenance.records.keys());
-        if !names().any(|name| held & duties::bit_of(name) != 0) {
+        if !names().any(|name| held & duties::shard_bit(name) != 0) {
             return;
         }
         let scene = self.scene(now);
         let local_host = self.local_host.to_string();
-        let is_ours = |name: &str| held & duties::bit_of(name) != 0;
-        if let Some(Next { order, night: record, node, phase }) = plan::next(&scene, &local_host, is_ours) {
-            let reason = record.last(&node).map(|step| step.why.clone()).unwrap_or_default();
+        let is_ours = |name: &str| held & duties::shard_bit(name) != 0;
+        if let Some(PlannedStep { order, record, node, phase }) =
+            plan::next_step(&scene, &local_host, is_ours)
+        {
+            let reason = record.last_step(&node).map(|step| step.why.clone()).unwrap_or_default();
             let about = format!("order={order} node={node} phase={} why={reason:?}", phase.name());
             self.outputs.push(Output::Log("maintenance-step", about));
-            let drain = record.drain().map(|drain| drain.text());
-            let records =
-                vec![(format!("{NIGHT}{order}"), Some(record.text())), (format!("{DRAIN}{order}"), drain)];
+            let drain = record.drain().map(|drain| drain.to_json());
+            let records = vec![
+                (format!("{RECORD_PREFIX}{order}"), Some(record.to_json())),
+                (format!("{DRAIN_PREFIX}{order}"), drain),
+            ];
             self.write_step(now, records);
         } else if let Some(name) = finished_records(&scene).find(|name| is_ours(name)) {
             // The record of a dropped order is dropped as well.
-            self.write_step(now, vec![(format!("{NIGHT}{name}"), None), (format!("{DRAIN}{name}"), None)]);
+            self.write_step(
+                now,
+                vec![(format!("{RECORD_PREFIX}{name}"), None), (format!("{DRAIN_PREFIX}{name}"), None)],
+            );
         }
     }
 
     fn write_step(&mut self, now: Millis, records: Vec<(String, Option<String>)>) {
-        let items = self.config.entries().iter().filter(|(name, _)| counts(name));
+        let items = self.config.entries().iter().filter(|(name, _)| is_maintenance_item(name));
         let all = items.chain(self.maintenance.record_copy.entries());
-        let view_hash = fennelscale_maintenance::seen(all.map(|(name, entry)| (name.as_str(), entry)));
+        let view_hash = fennelscale_maintenance::view_hash(all.map(|(name, entry)| (name.as_str(), entry)));
         self.maintenance.pending_since = Some(now);
         self.outputs.push(Output::WriteMaintenanceStep(StepWrite { view_hash, records }));
     }
@@ -316,7 +325,7 @@
 
     /// Why orders in a call could never be carried out, however long they wait. `changed` are the items of
     /// the call.
-    pub fn check_orders(&mut self, now: Millis, changed: &[NamedEntry]) -> Vec<(String, Node, Why)> {
+    pub fn check_orders(&mut self, now: Millis, changed: &[NamedEntry]) -> Vec<(String, Node, Reason)> {
         let mut scene = self.scene(now);
         let mut changed_state = MaintenanceState {
             contracts: std::mem::take(&mut scene.contracts),
@@ -324,38 +333,43 @@
         };
         changed.iter().for_each(|(name, entry)| changed_state.on_item(name, entry));
         scene.contracts = changed_state.contracts;
-        let is_active = |order: &&Order| matches!(order.wanted, Wanted::Approved | Wanted::Running);
-        let orders: Vec<Order> =
+        let is_active =
+            |order: &&WorkOrder| matches!(order.state, OrderState::Approved | OrderState::Running);
+        let orders: Vec<WorkOrder> =
             changed_state.orders.into_values().filter(|order| is_active(&order)).collect();
-        let check = |order: &Order| {
+        let check = |order: &WorkOrder| {
             let name = order.name.clone();
             scene
-                .rehearse(order)
+                .check_order(order)
                 .into_iter()
                 .map(move |(node, why)| (name.clone(), node, why))
                 .collect::<Vec<_>>()
         };
-        orders.iter().flat_map(check).filter(|(.., why)| why.lasting).collect()
+        orders.iter().flat_map(check).filter(|(.., why)| why.is_permanent).collect()
     }
 
     /// The status of all orders, for operators: the phase of each node, and why it is or is not drained now.
     /// Also returns the true time, if known.
-    pub fn maintenance_status(&mut self, now: Millis) -> (Option<Span>, Vec<OrderStatus>) {
+    pub fn maintenance_status(&mut self, now: Millis) -> (Option<TimeInterval>, Vec<OrderStatus>) {
         let scene = self.scene(now);
         let orders = scene.orders.values().map(|order| {
-            let zone = scene.contracts.get(&order.contract).map(|contract| contract.zone.clone());
+            let zone = scene.contracts.get(&order.contract).map(|contract| contract.time_zone.clone());
             let format_time = |at: Millis| match &zone {
-                Some(zone) if at > 0.0 => told(zone, at),
+                Some(zone) if at > 0.0 => format_time(zone, at),
                 _ => String::new(),
             };
-            let current =
-                scene.contracts.get(&order.contract).and_then(|contract| contract.window(scene.now?.latest));
+            let current = scene
+                .contracts
+                .get(&order.contract)
+                .and_then(|contract| contract.window_at(scene.now?.latest));
             let hours = match current {
                 Some(window) => format!("until {}", format_time(window.to)),
-                None => scene.begins(order).map_or_else(String::new, |from| format!("from {from}")),
+                None => {
+                    scene.next_window_start(order).map_or_else(String::new, |from| format!("from {from}"))
+                }
             };
             let node = |node: &Node| {
-                let last = scene.nights.get(&order.name).and_then(|record| record.last(node));
+                let last = scene.records.get(&order.name).and_then(|record| record.last_step(node));
                 let status = |phase, since, reason, waiting_for| NodeStatus {
                     node: node.to_string(),
                     phase,
@@ -366,7 +380,7 @@
                 match last {
                     Some(step) => {
                         let is_draining = step.phase == Phase::Draining;
-                        let waits_for = if is_draining { scene.waits_for(node) } else { Vec::new() };
+                        let waits_for = if is_draining { scene.busy_proxies(node) } else { Vec::new() };
                         let waits_for = waits_for.iter().map(Host::to_string).collect();
                         status(step.phase.name(), format_time(step.at), step.why.clone(), waits_for)
                     }
@@ -377,10 +391,10 @@
                     }
                 }
             };
-            let holder = self.duty_holder(now, duties::bit_of(&order.name));
+            let holder = self.duty_holder(now, duties::shard_bit(&order.name));
             OrderStatus {
                 name: order.name.clone(),
-                state: order.wanted.name(),
+                state: order.state.name(),
                 contract: order.contract.clone(),
                 holder: holder.map_or_else(String::new, |host| host.to_string()),
                 hours,
@@ -393,8 +407,9 @@
 }
 
 /// The records of orders that no longer exist and have no node drained.
-fn finished_records(scene: &Scene) -> impl Iterator<Item = &str> {
-    let is_finished =
-        |(name, record): &(&String, &Night)| !scene.orders.contains_key(*name) && record.out().is_empty();
-    scene.nights.iter().filter(is_finished).map(|(name, _)| name.as_str())
+fn finished_records(scene: &View) -> impl Iterator<Item = &str> {
+    let is_finished = |(name, record): &(&String, &MaintenanceRecord)| {
+        !scene.orders.contains_key(*name) && record.drained_nodes().is_empty()
+    };
+    scene.records.iter().filter(is_finished).map(|(name, _)| name.as_str())
 }
--- a/system/membership/src/status.rs
+++ b/system/membership/src/status.rs
@@ -29,8 +29,8 @@
             ("copies_compared", self.resend_counts.0.to_string()),
             ("entries_resent", self.resend_counts.1.to_string()),
             ("duties_held", self.held_duties(now).count_ones().to_string()),
-            ("tenants_counted", self.quota_counts.tenants().to_string()),
-            ("tenants_relayed", self.quota_relay.tenants().to_string()),
+            ("tenants_counted", self.quota_counts.tenant_count().to_string()),
+            ("tenants_relayed", self.quota_relay.tenant_count().to_string()),
         ]
     }
 }
--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -13,7 +13,7 @@
 use fennelscale_dataplane::engine::{Engine, Reply};
 use fennelscale_dataplane::front::acceptor::Acceptor;
 use fennelscale_dataplane::front::client_connection::{ClientConnection, ClientStream, READ_BUFFER_SIZE};
-use fennelscale_fault_injection::{Caller, Verdict, What};
+use fennelscale_fault_injection::{Caller, FailureKind, Verdict};
 use fennelscale_host::call::{Asked, failed};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_settings::admission::Admission;
@@ -209,10 +209,10 @@
         &self, request: Request<Incoming>, client: &ClientConnection,
     ) -> Result<Response<ResponseBody>, ConnectionCut> {
         let injected = match self.failure_verdict(&request) {
-            Verdict::Met(met) => InjectedFailure::new(&self.proxy, &met),
+            Verdict::Fail(met) => InjectedFailure::new(&self.proxy, &met),
             verdict => {
                 let response = self.process(request, client).await;
-                if verdict == Verdict::Unnamed {
+                if verdict == Verdict::Unmatched {
                     self.proxy.record_unaffected(response.status().as_u16());
                 }
                 return Ok(response.map(ResponseBody::Complete));
@@ -220,11 +220,11 @@
         };
         let has_body = !request.body().is_end_stream();
         match injected.what {
-            What::CutRequest(share) => {
+            FailureKind::CutRequest(share) => {
                 failure_injection::read_part(request.into_body(), share).await;
                 return Err(ConnectionCut);
             }
-            What::Refuse => {
+            FailureKind::Refuse => {
                 let refusal = Refusal::with_retry_after(
                     Kind::NoRoom,
                     "this proxy takes no requests now",
@@ -236,8 +236,8 @@
                 }
                 return Ok(response.map(ResponseBody::Complete));
             }
-            What::Delay(ms) => tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await,
-            What::LoseAnswer | What::CutAnswer(_) | What::SlowAnswer(_) => {}
+            FailureKind::Delay(ms) => tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await,
+            FailureKind::LoseAnswer | FailureKind::CutAnswer(_) | FailureKind::SlowAnswer(_) => {}
         }
         let response = self.process(request, client).await;
         failure_injection::apply(injected, response).await
@@ -246,7 +246,7 @@
     /// What failure orders do to a request, by its head.
     fn failure_verdict(&self, request: &Request<Incoming>) -> Verdict {
         if self.proxy.failure_orders.borrow().is_empty() {
-            return Verdict::Unnamed;
+            return Verdict::Unmatched;
         }
         let headers = request.headers();
         let text =
@@ -257,7 +257,7 @@
         let host = authority.unwrap_or(&host).to_ascii_lowercase();
         let state = self.proxy.routing_state.borrow();
         let Some(route) = state.table.route(&host, request.uri().path()).cloned() else {
-            return Verdict::Unnamed;
+            return Verdict::Unmatched;
         };
         let tenant = state.table.tenant(&key).cloned();
         drop(state);
@@ -267,7 +267,7 @@
             key: &key,
             route: &route.name,
             host: &route.host,
-            kind: match route.kind {
+            route_kind: match route.kind {
                 RouteKind::Idempotent => "idempotent",
                 RouteKind::NonIdempotent => "non_idempotent",
                 RouteKind::Upload => "upload",
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -11,17 +11,17 @@
 use fennelscale_admission::budget::Budget;
 use fennelscale_config::Tenant;
 use fennelscale_dataplane::front::acceptor::Acceptor;
-use fennelscale_fault_injection::{Caller, Desk, FAILURE, Sums, Verdict};
+use fennelscale_fault_injection::{Caller, FaultInjector, ORDER_PREFIX, OutcomeCounts, Verdict};
 use fennelscale_host::link::Writer;
 use fennelscale_host::start::{self, Signals};
 use fennelscale_host::{call, spawn};
-use fennelscale_maintenance::clock::Span;
+use fennelscale_maintenance::clock::TimeInterval;
 use fennelscale_messages::Host;
 use fennelscale_messages::session::{
     ProxyInfo, ProxyMessage, ProxyToRegistry, RegistryInfo, RegistryToProxy,
 };
 use fennelscale_node_settings::{Port, Settings};
-use fennelscale_quota_lease::{Admission, Cache, Comer, Terms, Timely};
+use fennelscale_quota_lease::{Admission, LatenessDetector, LeaseCache, Quota, QuotaRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -62,9 +62,9 @@
     incarnation: u64,
     pub routing_state: RefCell<RoutingState>,
     pub services: ServiceEngines,
-    cache: RefCell<Cache>,
+    cache: RefCell<LeaseCache>,
     /// Decides which retries come too late for their target latency.
-    pub timely: RefCell<Timely>,
+    pub timely: RefCell<LatenessDetector>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next_request: Cell<u64>,
     session: RefCell<Option<Writer>>,
@@ -79,7 +79,7 @@
     idle_nodes: RefCell<Vec<String>>,
     acceptor: RefCell<Option<Rc<Acceptor>>>,
     /// Failure orders and their counts.
-    pub failure_orders: RefCell<Desk>,
+    pub failure_orders: RefCell<FaultInjector>,
     next_count_at: Cell<f64>,
     leaving: Cell<bool>,
     ended: Cell<bool>,
@@ -120,8 +120,10 @@
     let services =
         ServiceEngines::new(&settings.zone, budget.backends, retry, incarnation, trace.clone(), started_at);
     let grace = settings.bounds.grace;
-    let failure_orders =
-        Desk::new(settings.failures.clone(), fennelscale_fault_injection::proxy(host, incarnation));
+    let failure_orders = FaultInjector::new(
+        settings.failures.clone(),
+        fennelscale_fault_injection::proxy_id(host, incarnation),
+    );
     let proxy = Rc::new(Proxy {
         seeds: RefCell::new(settings.seeds.clone()),
         settings,
@@ -129,7 +131,7 @@
         incarnation,
         routing_state: RefCell::new(RoutingState::new(location)),
         services,
-        cache: RefCell::new(Cache::new(0.0, incarnation)),
+        cache: RefCell::new(LeaseCache::new(0.0, incarnation)),
         timely: RefCell::default(),
         waiting: RefCell::default(),
         next_request: Cell::new(0),
@@ -227,9 +229,9 @@
     /// What failure orders do to a request. Logs the request if an order selects it.
     pub fn select_failure(&self, caller: &Caller<'_>) -> Verdict {
         let (now, state) = (self.now(), self.routing_state.borrow());
-        let verdict = self.failure_orders.borrow_mut().meet(now, state.true_time(now), caller);
-        if let Verdict::Met(met) = &verdict {
-            let what = met.what.name();
+        let verdict = self.failure_orders.borrow_mut().decide(now, state.true_time(now), caller);
+        if let Verdict::Fail(met) = &verdict {
+            let what = met.kind.name();
             tracing::info!(event = "failure-injected", order = met.order, what, request = caller.id);
         }
         verdict
@@ -238,7 +240,9 @@
     /// Counts a finished request that no failure order selected.
     pub fn record_unaffected(&self, status: u16) {
         if !self.failure_orders.borrow().is_empty() {
-            self.failure_orders.borrow_mut().ended(self.routing_state.borrow().true_time(self.now()), status);
+            self.failure_orders
+                .borrow_mut()
+                .record_outcome(self.routing_state.borrow().true_time(self.now()), status);
         }
     }
 
@@ -248,11 +252,11 @@
             return;
         }
         self.next_count_at.set(self.now() + COUNT_INTERVAL);
-        let outcomes = |sums: Sums| [sums.served, sums.refused, sums.failed];
+        let outcomes = |sums: OutcomeCounts| [sums.served, sums.refused, sums.failed];
         let counts = self.failure_orders.borrow().counts().into_iter();
         let counts: Vec<OrderCount> = counts
             .map(|(order, count, others)| {
-                (order, [count.named, count.failed, count.over], others.map(outcomes))
+                (order, [count.matched, count.failed, count.limited], others.map(outcomes))
             })
             .collect();
         // Sent even if unchanged: the session may be with another registry by now.
@@ -372,7 +376,7 @@
             ready: self.is_ready(),
             items_hash,
             list_stamp,
-            self_granted: self.cache.borrow().alone(self.now()),
+            self_granted: self.cache.borrow().self_granted_shards(self.now()),
         }
     }
 
@@ -479,10 +483,10 @@
                     (changed, was_ready)
                 };
                 self.count_items(complete, count, changed.len());
-                if changed.iter().any(|name| name.starts_with(FAILURE)) {
+                if changed.iter().any(|name| name.starts_with(ORDER_PREFIX)) {
                     self.failure_orders
                         .borrow_mut()
-                        .set(self.routing_state.borrow().table.failure_orders.values());
+                        .set_orders(self.routing_state.borrow().table.failure_orders.values());
                 }
                 self.forget_removed_limits(&changed);
                 if !changed.is_empty() {
@@ -503,18 +507,18 @@
                 {
                     let mut state = self.routing_state.borrow_mut();
                     state.set_proxies(self.now(), proxies, count);
-                    self.cache.borrow_mut().gateways(state.proxy_count);
+                    self.cache.borrow_mut().set_proxy_count(state.proxy_count);
                 }
                 self.update();
             }
             RegistryToProxy::Registries(registries) => *self.registries.borrow_mut() = registries,
             RegistryToProxy::Grant(grant) => {
                 let (mut messages, mut admissions) = (Vec::new(), Vec::new());
-                self.cache.borrow_mut().grant(self.now(), grant, &mut messages, &mut admissions);
+                self.cache.borrow_mut().on_grant(self.now(), grant, &mut messages, &mut admissions);
                 self.apply_cache_output(messages, admissions);
             }
             RegistryToProxy::Time(earliest, latest) => {
-                self.routing_state.borrow_mut().set_true_time(self.now(), Span { earliest, latest });
+                self.routing_state.borrow_mut().set_true_time(self.now(), TimeInterval { earliest, latest });
             }
             RegistryToProxy::LookUpRequest(query, id) => {
                 let record = self.trace.borrow().to_json(self.now(), id);
@@ -532,7 +536,7 @@
             let limited =
                 self.routing_state.borrow().table.tenant_by_name(tenant).is_some_and(|t| t.rate_per_s > 0.0);
             if !limited {
-                self.cache.borrow_mut().forget(tenant, &mut admissions);
+                self.cache.borrow_mut().remove_tenant(tenant, &mut admissions);
             }
         }
         self.apply_cache_output(Vec::new(), admissions);
@@ -570,7 +574,7 @@
     /// after which the client should retry. While units are scarce, requests that are too `late` for their
     /// target latency go last.
     pub async fn admit(&self, tenant: &Tenant, wait: Duration, late: bool) -> Result<(), f64> {
-        let terms = Terms { rate: tenant.rate_per_s, burst: tenant.burst };
+        let terms = Quota { rate: tenant.rate_per_s, burst: tenant.burst };
         if terms.rate <= 0.0 {
             return Ok(());
         }
@@ -578,9 +582,9 @@
         self.next_request.set(request + 1);
         let mut messages = Vec::new();
         let until = now + wait.as_secs_f64() * 1000.0;
-        let comer = Comer { request, until, late };
+        let comer = QuotaRequest { id: request, deadline: until, is_late: late };
         let admission = self.cache.borrow_mut().admit(now, &tenant.name, terms, comer, &mut messages);
-        let receiver = (admission == Admission::Waits).then(|| {
+        let receiver = (admission == Admission::Queued).then(|| {
             let (sender, receiver) = oneshot::channel();
             self.waiting.borrow_mut().insert(request, sender);
             receiver
@@ -589,20 +593,20 @@
         let admission = match receiver {
             // The receiver is dropped with the request when the client disconnects; the unit is then lost for
             // this window.
-            Some(receiver) => receiver.await.unwrap_or(Admission::Refused(0.0)),
+            Some(receiver) => receiver.await.unwrap_or(Admission::Rejected(0.0)),
             None => admission,
         };
         match admission {
-            Admission::Taken => Ok(()),
-            Admission::Refused(wait) => Err(wait),
-            Admission::Waits => Err(0.0),
+            Admission::Admitted => Ok(()),
+            Admission::Rejected(wait) => Err(wait),
+            Admission::Queued => Err(0.0),
         }
     }
 
     /// Returns the unspent units to the registry.
     fn return_units(&self) {
         let mut messages = Vec::new();
-        self.cache.borrow_mut().hand_back(self.now(), &mut messages);
+        self.cache.borrow_mut().return_units(self.now(), &mut messages);
         self.apply_cache_output(messages, Vec::new());
     }
 }
--- a/system/replication/src/leader.rs
+++ b/system/replication/src/leader.rs
@@ -374,7 +374,7 @@
             StoreRequest::MaintenanceStep(seen, records) => {
                 let all =
                     self.items.keys().filter_map(|name| Some((name.as_str(), self.latest_entry(name)?)));
-                if fennelscale_maintenance::seen(all) != seen {
+                if fennelscale_maintenance::view_hash(all) != seen {
                     // An entry that the decision depended on has changed since: this check is the fence
                     // against outdated decisions.
                     let response = StoreResponse::Conflict("decided from an older view".into());
--- a/system/replication/src/versions.rs
+++ b/system/replication/src/versions.rs
@@ -35,7 +35,7 @@
 /// Hash that identifies a repeated change. For a fault-injection order it leaves out the proxies that share
 /// it, which are chosen by the registry and not by the sender.
 pub fn content_hash(name: &str, host: &str, body: Option<&str>) -> u64 {
-    let host = if name.starts_with(fennelscale_fault_injection::FAILURE) { "" } else { host };
+    let host = if name.starts_with(fennelscale_fault_injection::ORDER_PREFIX) { "" } else { host };
     fennelscale_config::content_hash(host, body)
 }
 
--- a/system/replication/tests/schedules.rs
+++ b/system/replication/tests/schedules.rs
@@ -466,7 +466,7 @@
     cluster.run(3000.0);
     let Some(StoreResponse::Items(items)) = cluster.response(id) else { panic!("no answer to a reader") };
     let maintenance_state =
-        fennelscale_maintenance::seen(items.iter().map(|(name, entry)| (name.as_str(), entry)));
+        fennelscale_maintenance::view_hash(items.iter().map(|(name, entry)| (name.as_str(), entry)));
     let records = items.into_iter().filter(|(name, _)| name.starts_with("n:"));
     (maintenance_state, records.map(|(name, entry)| (name, entry.body)).collect())
 }
