--- a/gateway/src/commands/cli.rs
+++ b/gateway/src/commands/cli.rs
@@ -1,9 +1,10 @@
-//! The command line. With no argument the program is the gateway; everything else is asked for by name.
+//! The command line. Without arguments the program is the gateway; its tools are subcommands. The doc comments of
+//! commands and arguments are the text of `--help`.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 
-/// A quota gateway. With no argument it is the gateway itself, told by NODE_CONFIG, NODE_LISTEN and NODE_DISCOVERY.
+/// A quota gateway. With no argument it is the gateway itself, with_context by NODE_CONFIG, NODE_LISTEN and NODE_DISCOVERY.
 #[derive(Debug, Parser)]
 #[command(name = "fennelscale", version, arg_required_else_help = true)]
 pub struct Cli {
@@ -16,9 +17,9 @@
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Starts a fleet on loopback, breaks it, scores its service and checks the five rules
-    Rehearse(Rehearse),
+    Rehearse(RehearseArguments),
     /// Reads OpenAPI descriptions: checks, shows and compares the routes that they make
-    Routes(Routes),
+    Routes(RoutesArguments),
     /// Tells what quotas come to while the shared counter is lost
     Quota(QuotaArguments),
     /// Shows and changes what the gateways of a fleet agree on
@@ -39,12 +40,12 @@
 pub struct FleetArguments {
     /// What to do.
     #[command(subcommand)]
-    pub deed: FleetDeed,
+    pub command: FleetCommand,
 }
 
 /// Whom to ask.
 #[derive(Debug, clap::Args)]
-pub struct Ask {
+pub struct ControlTarget {
     /// The operators' settings file; the one that FENNELSCALE_SETTINGS names where it is left out
     #[arg(long, value_name = "FILE")]
     pub settings: Option<PathBuf>,
@@ -55,14 +56,14 @@
 
 /// What `fleet` does.
 #[derive(Debug, Subcommand)]
-pub enum FleetDeed {
+pub enum FleetCommand {
     /// Writes the disk of a keeper of the first set, once, before the fleet runs for the first time
     Init {
         /// The keeper's name
         name: String,
         /// Whose settings.
         #[command(flatten)]
-        ask: Ask,
+        target: ControlTarget,
     },
     /// Shows members, keepers, leases, versions and who lags, as the gateway on this machine sees them
     Status {
@@ -71,7 +72,7 @@
         json: bool,
         /// Whom to ask.
         #[command(flatten)]
-        ask: Ask,
+        target: ControlTarget,
     },
     /// Prints what is agreed on a topic
     Topic {
@@ -79,7 +80,7 @@
         topic: String,
         /// Whom to ask.
         #[command(flatten)]
-        ask: Ask,
+        target: ControlTarget,
     },
     /// Agrees on the next content of a topic, from a file or standard input
     Publish {
@@ -93,7 +94,7 @@
         file: Option<PathBuf>,
         /// Whom to ask.
         #[command(flatten)]
-        ask: Ask,
+        target: ControlTarget,
     },
     /// Puts a gateway with a new, empty disk in the place of a keeper; to be asked of the leader
     ReplaceKeeper {
@@ -103,7 +104,7 @@
         new: String,
         /// Whom to ask.
         #[command(flatten)]
-        ask: Ask,
+        target: ControlTarget,
     },
 }
 
@@ -115,19 +116,19 @@
 pub struct QuotaArguments {
     /// What to do.
     #[command(subcommand)]
-    pub deed: QuotaDeed,
+    pub command: QuotaCommand,
 }
 
 /// What `quota` does.
 #[derive(Debug, Subcommand)]
-pub enum QuotaDeed {
+pub enum QuotaCommand {
     /// Prints how many units all gateways together send on at most, whatever the counter does
-    Bound(Bounds),
+    Bound(BoundArguments),
 }
 
 /// What a bound follows from.
 #[derive(Debug, clap::Args)]
-pub struct Bounds {
+pub struct BoundArguments {
     /// The operators' settings file; the one that FENNELSCALE_SETTINGS names where it is left out
     #[arg(long, value_name = "FILE")]
     pub settings: Option<PathBuf>,
@@ -145,10 +146,10 @@
     after_help = "Exit status: 0 clean, 1 conflicts (check) or a figure that loosens (diff) or no such operation \
                         (explain), 2 unusable files or arguments."
 )]
-pub struct Routes {
+pub struct RoutesArguments {
     /// What to do.
     #[command(subcommand)]
-    pub deed: RoutesDeed,
+    pub command: RoutesCommand,
 }
 
 /// What routes are made of.
@@ -164,7 +165,7 @@
 
 /// What `routes` does.
 #[derive(Debug, Subcommand)]
-pub enum RoutesDeed {
+pub enum RoutesCommand {
     /// Tells where descriptions, and the table of classes, say different things of one operation
     Check(Descriptions),
     /// Prints each operation and what holds for it
@@ -195,7 +196,7 @@
     after_help = "Exit status: 0 all rules kept, 1 a rule broken, 2 unusable scenario, log or arguments, 3 a gateway \
                   ended by itself, 4 the machine was too slow for the verdict to count."
 )]
-pub struct Rehearse {
+pub struct RehearseArguments {
     /// A shipped scenario's name, or a scenario file
     #[arg(default_value = fennelscale_rehearsal::shipped::DEFAULT)]
     pub scenario: String,
@@ -213,12 +214,12 @@
     pub keep_logs: bool,
     /// What else there is to do.
     #[command(subcommand)]
-    pub further: Option<Further>,
+    pub command: Option<RehearseCommand>,
 }
 
 /// The arguments of `rehearse fleet`.
 #[derive(Debug, clap::Args)]
-pub struct FleetFaults {
+pub struct FleetFaultArguments {
     /// Processes
     #[arg(long, default_value_t = 5)]
     pub processes: usize,
@@ -241,9 +242,9 @@
 
 /// What `rehearse` does beside playing.
 #[derive(Debug, Subcommand)]
-pub enum Further {
+pub enum RehearseCommand {
     /// Starts several processes that agree on things, breaks the links between them and the processes, judges what was seen
-    Fleet(FleetFaults),
+    Fleet(FleetFaultArguments),
     /// Lists the shipped scenarios
     List,
     /// Prints a shipped scenario's file, to start one's own from
--- a/gateway/src/commands/faults.rs
+++ b/gateway/src/commands/faults.rs
@@ -1,7 +1,7 @@
-//! `fennelscale rehearse fleet`: draws or reads the script, has it played, shows the verdict. Decides nothing.
+//! `fennelscale rehearse fleet`: generates or reads a script, runs it, and shows the verdict.
 
-use crate::commands::cli::FleetFaults;
-use crate::commands::rehearse::{Done, told};
+use crate::commands::cli::FleetFaultArguments;
+use crate::commands::rehearse::{CommandResult, with_context};
 use fennelscale_fault::judge::judge;
 use fennelscale_fault::record::Line;
 use fennelscale_fault::rig::play;
@@ -10,41 +10,43 @@
 use std::path::Path;
 use tokio::task::LocalSet;
 
-fn script(arguments: &FleetFaults) -> Result<Script, String> {
+fn script(arguments: &FleetFaultArguments) -> Result<Script, String> {
     let script = match &arguments.script {
         None => {
-            let FleetFaults { processes, keepers, seconds, seed, .. } = *arguments;
+            let FleetFaultArguments { processes, keepers, seconds, seed, .. } = *arguments;
             Script::draw(seed, processes, keepers, seconds.saturating_mul(1000))
         }
         Some(file) => {
-            let text = std::fs::read_to_string(file).map_err(told(file.display()))?;
-            serde_json::from_str(&text).map_err(told(file.display()))?
+            let text = std::fs::read_to_string(file).map_err(with_context(file.display()))?;
+            serde_json::from_str(&text).map_err(with_context(file.display()))?
         }
     };
     script.check().map(|()| script)
 }
 
 fn write(folder: &Path, script: &Script, record: &[Line]) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(script).map_err(told("script"))?;
-    std::fs::write(folder.join("script.json"), text).map_err(told(folder.display()))?;
+    let text = serde_json::to_string_pretty(script).map_err(with_context("script"))?;
+    std::fs::write(folder.join("script.json"), text).map_err(with_context(folder.display()))?;
     let lines: String = record.iter().map(|line| line.write() + "\n").collect();
-    std::fs::write(folder.join("record.jsonl"), lines).map_err(told(folder.display()))
+    std::fs::write(folder.join("record.jsonl"), lines).map_err(with_context(folder.display()))
 }
 
 /// Runs the command.
-pub fn run(arguments: &FleetFaults) -> Done {
+pub fn run(arguments: &FleetFaultArguments) -> CommandResult {
     let script = script(arguments)?;
-    let kept = arguments.report.is_some();
-    let scratch = tempfile::tempdir().map_err(told("a folder for the processes"))?;
+    let has_report = arguments.report.is_some();
+    let scratch = tempfile::tempdir().map_err(with_context("a folder for the processes"))?;
     let folder = arguments.report.as_deref().unwrap_or_else(|| scratch.path());
-    std::fs::create_dir_all(folder).map_err(told(folder.display()))?;
-    let folder = folder.canonicalize().map_err(told(folder.display()))?;
-    let program = std::env::current_exe().map_err(told("this program"))?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(told("runtime"))?;
+    std::fs::create_dir_all(folder).map_err(with_context(folder.display()))?;
+    let folder = folder.canonicalize().map_err(with_context(folder.display()))?;
+    let program = std::env::current_exe().map_err(with_context("this program"))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(with_context("runtime"))?;
     let played = LocalSet::new().block_on(&runtime, play(&program, &folder, script.clone(), arguments.seed));
     let record = played.map_err(|error| error.to_string())?;
-    if kept {
+    if has_report {
         write(&folder, &script, &record)?;
     }
     let verdict = judge(&record)?;
@@ -70,8 +72,8 @@
     for what in &verdict.broken {
         println!("BROKEN: {what}");
     }
-    if !kept {
-        let text = serde_json::to_string(&script).map_err(told("script"))?;
+    if !has_report {
+        let text = serde_json::to_string(&script).map_err(with_context("script"))?;
         println!("the script, to be played again with --script FILE:\n{text}");
     }
     Ok(Ending::Broken)
--- a/gateway/src/commands/fleet.rs
+++ b/gateway/src/commands/fleet.rs
@@ -1,7 +1,7 @@
-//! `fennelscale fleet`: what the gateways agree on, asked of the gateway on this machine.
+//! `fennelscale fleet`: shows and changes what the gateways agree on, through the gateway on this machine.
 
-use crate::commands::cli::{Ask, FleetDeed};
-use crate::commands::rehearse::told;
+use crate::commands::cli::{ControlTarget, FleetCommand};
+use crate::commands::rehearse::with_context;
 use crate::unusable;
 use fennelscale::fleet::control::Deed;
 use fennelscale::fleet::init;
@@ -13,21 +13,21 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A gateway answers within this; a wish takes 5 s at most.
-const ANSWER: Duration = Duration::from_secs(8);
-/// Not settled yet: it may still be.
+/// Time limit for a gateway's answer; a proposal takes at most 5 s.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Exit status of a proposal that is not settled yet but may still be.
 const UNDER_WAY: u8 = 3;
 
-/// Does one deed of `fleet`.
-pub fn run(deed: &FleetDeed) -> ExitCode {
-    match do_deed(deed) {
+/// Runs a subcommand of `fleet`.
+pub fn run(command: &FleetCommand) -> ExitCode {
+    match execute(command) {
         Ok(code) => code,
         Err(what) => unusable(&what),
     }
 }
 
-fn rules(ask: &Ask) -> Result<Rules, String> {
-    let operators = match &ask.settings {
+fn rules(target: &ControlTarget) -> Result<Rules, String> {
+    let operators = match &target.settings {
         Some(file) => Operators::load(file.as_os_str()),
         None => Operators::from_environment(),
     };
@@ -35,51 +35,51 @@
     rules.ok_or_else(|| "the settings file has no table [fleet]: name one with --settings FILE".to_owned())
 }
 
-fn control(ask: &Ask) -> Result<SocketAddr, String> {
-    match ask.control {
+fn control(target: &ControlTarget) -> Result<SocketAddr, String> {
+    match target.control {
         Some(address) => Ok(address),
         None => {
-            rules(ask)?.control.ok_or_else(|| "fleet.control names no address: nobody can ask".to_owned())
+            rules(target)?.control.ok_or_else(|| "fleet.control names no address: nobody can ask".to_owned())
         }
     }
 }
 
-fn asked(ask: &Ask, deed: &Deed) -> Result<Value, String> {
-    let address = control(ask)?;
-    let mut stream = TcpStream::connect(address).map_err(told(address))?;
-    stream.set_read_timeout(Some(ANSWER)).map_err(told(address))?;
-    let mut line = serde_json::to_string(deed).map_err(told(address))?;
+fn send_request(target: &ControlTarget, request: &Deed) -> Result<Value, String> {
+    let address = control(target)?;
+    let mut stream = TcpStream::connect(address).map_err(with_context(address))?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(with_context(address))?;
+    let mut line = serde_json::to_string(request).map_err(with_context(address))?;
     line.push('\n');
-    stream.write_all(line.as_bytes()).map_err(told(address))?;
+    stream.write_all(line.as_bytes()).map_err(with_context(address))?;
     let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer).map_err(told(address))?;
-    serde_json::from_str(&answer).map_err(told(address))
+    BufReader::new(stream).read_line(&mut answer).map_err(with_context(address))?;
+    serde_json::from_str(&answer).map_err(with_context(address))
 }
 
-fn do_deed(deed: &FleetDeed) -> Result<ExitCode, String> {
-    match deed {
-        FleetDeed::Init { name, ask } => {
-            init(&rules(ask)?, name).map_err(|error| error.to_string())?;
+fn execute(command: &FleetCommand) -> Result<ExitCode, String> {
+    match command {
+        FleetCommand::Init { name, target } => {
+            init(&rules(target)?, name).map_err(|error| error.to_string())?;
             println!("{name}: ready to keep the log");
             Ok(ExitCode::SUCCESS)
         }
-        FleetDeed::Status { json, ask } => {
-            let answer = asked(ask, &Deed::Status)?;
+        FleetCommand::Status { json, target } => {
+            let answer = send_request(target, &Deed::Status)?;
             if *json {
                 println!("{answer}");
                 return Ok(ExitCode::SUCCESS);
             }
             answer.get("status").map_or_else(
-                || Ok(refused(&answer)),
+                || Ok(print_refusal(&answer)),
                 |status| {
                     print_status(status);
                     Ok(ExitCode::SUCCESS)
                 },
             )
         }
-        FleetDeed::Topic { topic, ask } => {
-            let answer = asked(ask, &Deed::Topic { topic: topic.clone() })?;
-            let Some(found) = answer.get("topic") else { return Ok(refused(&answer)) };
+        FleetCommand::Topic { topic, target } => {
+            let answer = send_request(target, &Deed::Topic { topic: topic.clone() })?;
+            let Some(found) = answer.get("topic") else { return Ok(print_refusal(&answer)) };
             match found.get("content").and_then(Value::as_str) {
                 Some(content) => {
                     eprintln!("{topic}: version {}", found["version"]);
@@ -92,34 +92,39 @@
                 }
             }
         }
-        FleetDeed::Publish { topic, follows, file, ask } => {
+        FleetCommand::Publish { topic, follows, file, target } => {
             let mut content = String::new();
             match file {
-                Some(file) => content = std::fs::read_to_string(file).map_err(told(file.display()))?,
-                None => drop(std::io::stdin().read_to_string(&mut content).map_err(told("standard input"))?),
+                Some(file) => {
+                    content = std::fs::read_to_string(file).map_err(with_context(file.display()))?
+                }
+                None => drop(
+                    std::io::stdin().read_to_string(&mut content).map_err(with_context("standard input"))?,
+                ),
             }
-            let answer = asked(ask, &Deed::Publish { topic: topic.clone(), follows: *follows, content })?;
-            Ok(settled(topic, &answer))
+            let answer =
+                send_request(target, &Deed::Publish { topic: topic.clone(), follows: *follows, content })?;
+            Ok(print_settled(topic, &answer))
         }
-        FleetDeed::ReplaceKeeper { old, new, ask } => {
-            let answer = asked(ask, &Deed::ReplaceKeeper { old: old.clone(), new: new.clone() })?;
+        FleetCommand::ReplaceKeeper { old, new, target } => {
+            let answer = send_request(target, &Deed::ReplaceKeeper { old: old.clone(), new: new.clone() })?;
             if answer == "done" {
                 println!("{new} takes the place of {old}: `fleet status` shows when it is done");
                 return Ok(ExitCode::SUCCESS);
             }
-            Ok(refused(&answer))
+            Ok(print_refusal(&answer))
         }
     }
 }
 
-fn refused(answer: &Value) -> ExitCode {
+fn print_refusal(answer: &Value) -> ExitCode {
     let what =
         answer.get("refused").and_then(Value::as_str).map_or_else(|| answer.to_string(), str::to_owned);
     eprintln!("fennelscale: {what}");
     ExitCode::from(1)
 }
 
-fn settled(topic: &str, answer: &Value) -> ExitCode {
+fn print_settled(topic: &str, answer: &Value) -> ExitCode {
     if answer == "under-way" {
         eprintln!("{topic}: not settled within 5 s; it may still be: ask again with `fleet topic {topic}`");
         return ExitCode::from(UNDER_WAY);
@@ -144,7 +149,7 @@
             eprintln!("{topic}: {how}");
             ExitCode::from(1)
         }
-        None => refused(answer),
+        None => print_refusal(answer),
     }
 }
 
--- a/gateway/src/commands/mod.rs
+++ b/gateway/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What the program does beside being the gateway.
+//! The subcommands of the program.
 
 pub mod cli;
 pub mod faults;
--- a/gateway/src/commands/quota.rs
+++ b/gateway/src/commands/quota.rs
@@ -1,7 +1,7 @@
-//! `fennelscale quota`: what quotas come to while the shared counter is lost.
+//! `fennelscale quota`: shows the effect of quotas while the shared counter is unavailable.
 
-use crate::commands::cli::{Bounds, QuotaDeed};
-use crate::commands::rehearse::told;
+use crate::commands::cli::{BoundArguments, QuotaCommand};
+use crate::commands::rehearse::with_context;
 use crate::unusable;
 use doorcourse::{Plan, Settings};
 use fennelscale_quota::{Bound, Loss};
@@ -10,17 +10,17 @@
 use fennelscale_settings::{decisions, gateway};
 use std::process::ExitCode;
 
-/// Spans that the bound is printed for, in seconds.
-const SPANS: [f64; 5] = [0.0, 1.0, 5.0, 20.0, 60.0];
-/// What a ceiling may be passed by: this share of it, or one largest request.
-const TOLERATED: f64 = 0.05;
-/// The most gateways that a bound is printed for.
-const MOST_GATEWAYS: u32 = 100_000;
+/// Outage durations that the bound is printed for, in seconds.
+const DURATIONS_S: [f64; 5] = [0.0, 1.0, 5.0, 20.0, 60.0];
+/// A ceiling may be exceeded by this share of it, or by one request of the maximum size.
+const TOLERANCE: f64 = 0.05;
+/// Maximum number of gateways that a bound is printed for.
+const MAX_GATEWAYS: u32 = 100_000;
 
-/// Does one deed of `quota`.
-pub fn run(deed: &QuotaDeed) -> ExitCode {
-    let QuotaDeed::Bound(arguments) = deed;
-    match bounds(arguments) {
+/// Runs a subcommand of `quota`.
+pub fn run(command: &QuotaCommand) -> ExitCode {
+    let QuotaCommand::Bound(arguments) = command;
+    match print_bounds(arguments) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(what) => unusable(&what),
@@ -28,30 +28,30 @@
 }
 
 /// Reads the plans of a gateway's configuration.
-fn decided(arguments: &Bounds) -> Result<Settings, String> {
+fn read_settings(arguments: &BoundArguments) -> Result<Settings, String> {
     let path = arguments.config.clone().or_else(|| std::env::var_os(gateway::VARIABLE).map(Into::into));
     let path = path
         .ok_or("quota bound: the plans stand in the gateway's configuration: name it with --config FILE")?;
-    let text = std::fs::read_to_string(&path).map_err(told(path.display()))?;
-    let root: serde_json::Value = serde_json::from_str(&text).map_err(told(path.display()))?;
+    let text = std::fs::read_to_string(&path).map_err(with_context(path.display()))?;
+    let root: serde_json::Value = serde_json::from_str(&text).map_err(with_context(path.display()))?;
     let settings = root.get("settings").ok_or_else(|| format!("{}: it has no settings", path.display()))?;
-    decisions::read(settings).map_err(told(path.display()))
+    decisions::read(settings).map_err(with_context(path.display()))
 }
 
-fn bounds(arguments: &Bounds) -> Result<bool, String> {
+fn print_bounds(arguments: &BoundArguments) -> Result<bool, String> {
     let operators = match &arguments.settings {
         Some(file) => Operators::load(file.as_os_str()).map_err(|error| error.to_string())?,
         None => Operators::from_environment().map_err(|error| error.to_string())?,
     };
     let quota = operators.quota.unwrap_or_default();
-    let settings = decided(arguments)?;
+    let settings = read_settings(arguments)?;
     let counts = if arguments.gateways.is_empty() {
-        (1..=settings.gateways.clamp(1, MOST_GATEWAYS)).collect()
+        (1..=settings.gateways.clamp(1, MAX_GATEWAYS)).collect()
     } else {
         arguments.gateways.clone()
     };
-    if let Some(count) = counts.iter().find(|count| !(1..=MOST_GATEWAYS).contains(*count)) {
-        return Err(format!("quota bound: --gateways {count}: must be 1 to {MOST_GATEWAYS}"));
+    if let Some(count) = counts.iter().find(|count| !(1..=MAX_GATEWAYS).contains(*count)) {
+        return Err(format!("quota bound: --gateways {count}: must be 1 to {MAX_GATEWAYS}"));
     }
     let mut fits = true;
     let mut ceilings = settings.plans.iter().filter(|plan| plan.ceiling_rate > 0.0).peekable();
@@ -61,13 +61,13 @@
         );
     }
     for plan in ceilings {
-        fits &= print(plan, &settings, &quota, &counts);
+        fits &= print_plan(plan, &settings, &quota, &counts);
     }
     Ok(fits)
 }
 
-/// One plan's table; whether its bound stays within what may be tolerated.
-fn print(plan: &Plan, settings: &Settings, quota: &Quota, counts: &[u32]) -> bool {
+/// Prints the table of a plan; true if its bound is within the tolerance.
+fn print_plan(plan: &Plan, settings: &Settings, quota: &Quota, counts: &[u32]) -> bool {
     let Plan { name, rate, burst, ceiling_rate, ceiling_burst, .. } = plan;
     println!(
         "plan {name}: quota {rate}/s and {burst} at once, ceiling {ceiling_rate}/s and {ceiling_burst} at once"
@@ -81,7 +81,7 @@
         quota.skew.0
     );
     print!("{:>9} {:>8}", "gateways", "alone");
-    SPANS.iter().for_each(|span| print!(" {:>8}", format!("{span} s")));
+    DURATIONS_S.iter().for_each(|span| print!(" {:>8}", format!("{span} s")));
     println!("  past the ceiling by");
     let mut fits = true;
     for count in counts {
@@ -93,11 +93,11 @@
             detection_time: quota.detection.0,
             clock_skew: quota.skew.0,
         };
-        let spans = SPANS.map(|span| span * 1000.0);
+        let spans = DURATIONS_S.map(|span| span * 1000.0);
         let over = spans.map(|span| bound.max_units(span) - bound.ceiling_units(span));
         let most = over.into_iter().fold(0.0, f64::max);
         let tolerated = |(over, span): (f64, f64)| {
-            over <= (bound.ceiling_units(span) * TOLERATED).max(terms.max_request_units) + 1e-6
+            over <= (bound.ceiling_units(span) * TOLERANCE).max(terms.max_request_units) + 1e-6
         };
         let holds = over.into_iter().zip(spans).all(tolerated);
         fits &= holds;
--- a/gateway/src/commands/routes.rs
+++ b/gateway/src/commands/routes.rs
@@ -1,7 +1,7 @@
-//! `fennelscale routes`: reads descriptions and tells what routes they make.
+//! `fennelscale routes`: reads OpenAPI descriptions and shows, checks or compares their routes.
 
-use crate::commands::cli::{Descriptions, RoutesDeed};
-use crate::commands::rehearse::told;
+use crate::commands::cli::{Descriptions, RoutesCommand};
+use crate::commands::rehearse::with_context;
 use crate::unusable;
 use fennelscale_routes::classes;
 use fennelscale_routes::openapi;
@@ -11,28 +11,28 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Does one deed of `routes`.
-pub fn run(deed: &RoutesDeed) -> ExitCode {
-    let done = match deed {
-        RoutesDeed::Check(descriptions) => check(descriptions),
-        RoutesDeed::Show(descriptions) => show(descriptions),
-        RoutesDeed::Explain { method, path, descriptions } => explain(method, path, descriptions),
-        RoutesDeed::Diff { old, new } => diff(old, new),
+/// Runs a subcommand of `routes`.
+pub fn run(command: &RoutesCommand) -> ExitCode {
+    let result = match command {
+        RoutesCommand::Check(descriptions) => check(descriptions),
+        RoutesCommand::Show(descriptions) => show(descriptions),
+        RoutesCommand::Explain { method, path, descriptions } => explain(method, path, descriptions),
+        RoutesCommand::Diff { old, new } => diff(old, new),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(what) => unusable(&what),
     }
 }
 
-/// A file, read by one of the package's readers.
-fn read<T>(file: &Path, by: fn(&str, &[u8]) -> Result<T, Unusable>) -> Result<T, String> {
-    let text = std::fs::read(file).map_err(told(file.display()))?;
-    by(&file.display().to_string(), &text).map_err(|error| error.to_string())
+/// Reads a file with the given parser.
+fn read<T>(file: &Path, parse: fn(&str, &[u8]) -> Result<T, Unusable>) -> Result<T, String> {
+    let text = std::fs::read(file).map_err(with_context(file.display()))?;
+    parse(&file.display().to_string(), &text).map_err(|error| error.to_string())
 }
 
-/// All operations of some descriptions, held to their classes, and who gave way to a class.
+/// All operations of the descriptions with the rules of their classes applied, and the resulting conflicts.
 fn operations(descriptions: &Descriptions) -> Result<(Vec<Operation>, Vec<Conflict>), String> {
     let known = match &descriptions.classes {
         Some(file) => read(file, classes::read)?,
@@ -46,14 +46,14 @@
     Ok((all, conflicts))
 }
 
-fn joined(operations: Vec<Operation>) -> Result<(Table, Vec<Conflict>), String> {
+fn build_table(operations: Vec<Operation>) -> Result<(Table, Vec<Conflict>), String> {
     Table::of(operations).map_err(|error| error.to_string())
 }
 
 fn check(descriptions: &Descriptions) -> Result<bool, String> {
     let (all, mut conflicts) = operations(descriptions)?;
     let count = all.len();
-    let (_, more) = joined(all)?;
+    let (_, more) = build_table(all)?;
     conflicts.extend(more);
     for Conflict { operation, first, second, outcome } in &conflicts {
         println!("conflict: {operation}");
@@ -66,7 +66,7 @@
 }
 
 fn show(descriptions: &Descriptions) -> Result<bool, String> {
-    let (table, _) = joined(operations(descriptions)?.0)?;
+    let (table, _) = build_table(operations(descriptions)?.0)?;
     for (method, entry) in table.entries() {
         println!("{method} {}: {}", entry.template, entry.rule);
     }
@@ -77,7 +77,7 @@
     let method = method.to_ascii_uppercase();
     let (all, conflicts) = operations(descriptions)?;
     let said: Vec<_> = all.iter().map(|o| (o.source.clone(), o.rule.clone())).collect();
-    let (table, _) = joined(all)?;
+    let (table, _) = build_table(all)?;
     match table.find(&method, path).map_err(|unclear| format!("{path}: {unclear}"))? {
         Match::Path => println!("404: no path matches {path}"),
         Match::Method(methods) => println!("405: {path} is known for {}", methods.join(", ")),
@@ -98,22 +98,22 @@
     Ok(false)
 }
 
-/// The rules of a table by method and path.
+/// The rules of a table by method and path template.
 fn rules(table: &Table) -> BTreeMap<(&str, &str), &Rule> {
     table.entries().map(|(method, entry)| ((method, entry.template.as_str()), &entry.rule)).collect()
 }
 
 fn diff(old: &Path, new: &Path) -> Result<bool, String> {
-    let (old, _) = joined(read(old, openapi::read)?)?;
-    let (new, _) = joined(read(new, openapi::read)?)?;
+    let (old, _) = build_table(read(old, openapi::read)?)?;
+    let (new, _) = build_table(read(new, openapi::read)?)?;
     let (before, after) = (rules(&old), rules(&new));
-    let mut tight = true;
+    let mut is_as_strict = true;
     for (method, entry) in old.entries() {
         match after.get(&(method, entry.template.as_str())) {
             None => println!("gone: {method} {}", entry.template),
             Some(now) if **now != entry.rule => {
                 let loosens = !now.is_as_strict_as(&entry.rule);
-                tight &= !loosens;
+                is_as_strict &= !loosens;
                 let word = if loosens { "LOOSENS" } else { "changes" };
                 println!("{word}: {method} {}\n  from {}\n  to   {now}", entry.template, entry.rule);
             }
@@ -125,5 +125,5 @@
             println!("new: {method} {}: {}", entry.template, entry.rule);
         }
     }
-    Ok(tight)
+    Ok(is_as_strict)
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -41,9 +41,9 @@
     }
     match Cli::parse().command {
         Command::Rehearse(arguments) => rehearse::run(&arguments),
-        Command::Routes(arguments) => routes::run(&arguments.deed),
-        Command::Quota(arguments) => quota::run(&arguments.deed),
-        Command::Fleet(arguments) => commands::fleet::run(&arguments.deed),
+        Command::Routes(arguments) => routes::run(&arguments.command),
+        Command::Quota(arguments) => quota::run(&arguments.command),
+        Command::Fleet(arguments) => commands::fleet::run(&arguments.command),
         Command::Tethered { parent } => rehearse::tethered(parent),
     }
 }
