--- /dev/null
+++ b/crates/dataplane/src/back/connection.rs
@@ -0,0 +1,341 @@
+//! An HTTP/1.1 client connection. It makes progress only while its caller polls it, sends nothing twice, and
+//! is closed when it is dropped.
+
+use crate::lifecycle::Lifecycle;
+use bytes::Bytes;
+use fennelscale_wire::reuse::Fault;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::Request;
+use hyper::client::conn::http1;
+use hyper::http::response;
+use hyper_util::rt::TokioIo;
+use life::connection::{Connection, Event, Written};
+use std::cell::Cell;
+use std::future::{Future, pending, poll_fn};
+use std::io;
+use std::mem::MaybeUninit;
+use std::net::SocketAddr;
+use std::pin::{Pin, pin};
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::time::{Instant, sleep, sleep_until};
+
+pub use life::connection::Progress;
+
+/// Maximum size of an answer's head. Bounds the memory that an endless head can take.
+const MAX_HEAD: usize = 16 * 1024;
+
+/// `EMFILE` and `ENFILE`, which have the same values on every Unix.
+const DESCRIPTOR_SHORTAGE: [i32; 2] = [24, 23];
+
+/// Whether a call failed because no file descriptor was available.
+pub fn is_descriptor_shortage(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|code| DESCRIPTOR_SHORTAGE.contains(&code))
+}
+
+/// The observed state of the current exchange.
+struct ExchangeState {
+    lifecycle: Lifecycle<Connection>,
+    answer_started: Notify,
+    /// Why received bytes could not be an answer to the request in flight.
+    fault: Cell<Option<Fault>>,
+    /// When the request's last byte was written and how long after that the answer's first byte came, where
+    /// answers are timed.
+    written_at: Cell<Option<Instant>>,
+    time_to_first_byte: Cell<Option<Duration>>,
+}
+
+impl ExchangeState {
+    fn on_read(&self, bytes: &[u8]) {
+        // Interim 1xx answers may come any time before the final one, but not before the request.
+        let busy = matches!(
+            self.lifecycle.state(),
+            Connection::Busy { written: Written::Part | Written::Whole, .. }
+        );
+        let is_interim = busy && bytes.starts_with(b"HTTP/1.1 1") && bytes.ends_with(b"\r\n\r\n");
+        if bytes.is_empty() {
+            self.lifecycle.step(Event::Ended);
+        } else if !is_interim {
+            let before = self.lifecycle.state();
+            self.lifecycle.step(Event::Heard);
+            let fault = match before {
+                Connection::Busy { written: Written::Whole, .. } | Connection::Ended => None,
+                Connection::Busy { written: Written::Part, .. } => Some(Fault::Early),
+                _ => Some(Fault::Unasked),
+            };
+            if let Some(fault) = fault {
+                self.record_fault(fault);
+            }
+            if matches!(before, Connection::Busy { heard: false, .. }) {
+                self.time_to_first_byte.set(self.written_at.get().map(|written| written.elapsed()));
+                self.answer_started.notify_one();
+            }
+        }
+    }
+
+    /// Records the first fault of this connection, which is not used after it.
+    fn record_fault(&self, fault: Fault) {
+        if self.fault.get().is_none() {
+            self.fault.set(Some(fault));
+        }
+    }
+
+    /// Whether bytes may be written now. The first bytes of a request may be written only while the socket
+    /// has nothing to read and is not closed; this asks the kernel, since the state known to the event loop
+    /// may be out of date. Once bytes were received before the request's last byte was written, nothing more
+    /// may be written.
+    fn may_write(&self, stream: &TcpStream) -> io::Result<()> {
+        match self.lifecycle.state() {
+            Connection::Busy { written: Written::Nothing, heard: false } => match peek(stream) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+                Ok(1..) => {
+                    self.lifecycle.step(Event::Heard);
+                    self.record_fault(Fault::Unasked);
+                }
+                Ok(0) | Err(_) => self.lifecycle.step(Event::Ended),
+            },
+            Connection::Busy { heard: false, .. } => return Ok(()),
+            _ => {}
+        }
+        Err(io::ErrorKind::ConnectionAborted.into())
+    }
+}
+
+/// Asks the kernel whether a socket has a byte to read: 1 if so, 0 if the peer closed it.
+fn peek(stream: &TcpStream) -> io::Result<usize> {
+    socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
+}
+
+/// The socket as the HTTP library uses it; it tracks how much of the current request has been written.
+struct TrackedStream {
+    stream: Rc<TcpStream>,
+    exchange: Rc<ExchangeState>,
+    /// Whether answers are timed.
+    timed: bool,
+}
+
+impl AsyncRead for TrackedStream {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        loop {
+            ready!(self.stream.poll_read_ready(cx))?;
+            match self.stream.try_read(buf.initialize_unfilled()) {
+                Ok(read) => {
+                    buf.advance(read);
+                    let filled = buf.filled();
+                    self.exchange.on_read(&filled[filled.len() - read..]);
+                    return Poll::Ready(Ok(()));
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
+            }
+        }
+    }
+}
+
+impl AsyncWrite for TrackedStream {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        self.poll_write_vectored(cx, &[io::IoSlice::new(buf)])
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>, cx: &mut Context<'_>, bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        loop {
+            ready!(self.stream.poll_write_ready(cx))?;
+            self.exchange.may_write(&self.stream)?;
+            match self.stream.try_write_vectored(bufs) {
+                Ok(written) => {
+                    if written > 0 {
+                        self.exchange.lifecycle.step(Event::Wrote);
+                    }
+                    return Poll::Ready(Ok(written));
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
+            }
+        }
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    /// The HTTP library flushes once all its buffered data is written, and that includes the whole request,
+    /// whose body is in memory.
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let ends_request = matches!(
+            self.exchange.lifecycle.state(),
+            Connection::Busy { written: Written::Part, heard: false }
+        );
+        self.exchange.lifecycle.step(Event::Flushed);
+        if ends_request && self.timed {
+            self.exchange.written_at.set(Some(Instant::now()));
+        }
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(socket2::SockRef::from(&*self.stream).shutdown(std::net::Shutdown::Write))
+    }
+}
+
+/// An HTTP/1.1 connection to a server.
+pub struct HttpConnection {
+    sender: http1::SendRequest<Full<Bytes>>,
+    /// None once the connection has ended.
+    driver: Driver,
+    stream: Rc<TcpStream>,
+    exchange: Rc<ExchangeState>,
+}
+
+impl HttpConnection {
+    /// Connects. If answers are `timed`, [`Self::time_to_first_byte`] returns the time of each.
+    ///
+    /// # Errors
+    /// When the connection is not established in time.
+    pub async fn connect(to: SocketAddr, timeout: Duration, timed: bool) -> io::Result<Self> {
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(to)).await??;
+        stream.set_nodelay(true)?;
+        let exchange = Rc::new(ExchangeState {
+            lifecycle: Lifecycle::new(Connection::Dialling),
+            answer_started: Notify::new(),
+            fault: Cell::default(),
+            written_at: Cell::default(),
+            time_to_first_byte: Cell::default(),
+        });
+        let stream = Rc::new(stream);
+        let tracked =
+            TokioIo::new(TrackedStream { stream: stream.clone(), exchange: exchange.clone(), timed });
+        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(tracked);
+        let (sender, driver) = handshake.await.map_err(io::Error::other)?;
+        exchange.lifecycle.step(Event::Connected);
+        Ok(Self { sender, driver: Some(Box::pin(driver)), stream, exchange })
+    }
+
+    /// Whether the idle connection is free as far as the event loop knows. The socket is checked again before
+    /// the first byte of a request is written.
+    pub fn appears_idle(&self) -> bool {
+        self.exchange.lifecycle.state() == Connection::Free && self.driver.is_some()
+    }
+
+    /// Whether the idle connection is still open. Asks the socket, since the state known to the event loop
+    /// may be out of date. Received bytes that belong to no request are recorded as a fault.
+    pub fn is_alive(&self) -> bool {
+        let peeked = peek(&self.stream);
+        if matches!(peeked, Ok(1..)) {
+            self.exchange.record_fault(Fault::Unasked);
+        }
+        self.appears_idle() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// Why received bytes belong to no request, if there were any.
+    pub fn fault(&self) -> Option<Fault> {
+        self.exchange.fault.get()
+    }
+
+    /// The time from the last byte of the last request to the first byte of its answer, if answers are timed.
+    pub fn time_to_first_byte(&self) -> Option<Duration> {
+        self.exchange.time_to_first_byte.get()
+    }
+
+    /// Sends a request and waits for the complete answer. Its body may have at most `max_body` bytes and must
+    /// end within `rest` after the answer's first byte: nothing else would end the wait for an answer shorter
+    /// than its stated length. A request whose last byte is not written at `write_by` is abandoned: dropping
+    /// the connection then guarantees that it is not executed.
+    ///
+    /// # Errors When the connection fails first or the answer cannot be read; the error tells how far the
+    /// request got.
+    pub async fn exchange(
+        &mut self, request: Request<Full<Bytes>>, max_body: usize, rest: Duration, write_by: Option<Instant>,
+    ) -> Result<(response::Parts, Bytes), Progress> {
+        // Bytes may have been received, or the connection closed, since it was chosen.
+        if self.exchange.lifecycle.state() != Connection::Free {
+            return Err(Progress::Unsent);
+        }
+        self.exchange.lifecycle.step(Event::Begin);
+        self.exchange.written_at.set(None);
+        self.exchange.time_to_first_byte.set(None);
+        // Discards a notification about an earlier answer.
+        let _ = pin!(self.exchange.answer_started.notified()).as_mut().enable();
+        let (driver, exchange) = (&mut self.driver, &self.exchange);
+        let sent = self.sender.send_request(request);
+        let answer = drive(driver, async {
+            let (head, body) = sent.await.map_err(|_| ())?.into_parts();
+            let body = Limited::new(body, max_body).collect().await.map_err(|_| ())?;
+            Ok((head, body.to_bytes()))
+        });
+        let late = async {
+            exchange.answer_started.notified().await;
+            // Bytes received before the request's last byte was written are no answer to wait for.
+            if matches!(exchange.lifecycle.state(), Connection::Busy { written: Written::Whole, .. }) {
+                sleep(rest).await;
+            }
+        };
+        let unwritten = async {
+            let Some(by) = write_by else { return pending().await };
+            sleep_until(by).await;
+            if !matches!(
+                exchange.lifecycle.state(),
+                Connection::Busy { written: Written::Nothing | Written::Part, heard: false }
+            ) {
+                pending::<()>().await;
+            }
+        };
+        let end = tokio::select! {
+            biased;
+            answer = answer => answer,
+            () = late => Err(()),
+            () = unwritten => Err(()),
+        };
+        let lifecycle = &exchange.lifecycle;
+        if end.is_ok() && matches!(lifecycle.state(), Connection::Busy { heard: false, .. }) {
+            // The final answer came together with an interim one.
+            lifecycle.step(Event::Heard);
+        }
+        match (end, lifecycle.state()) {
+            (Ok(answer), Connection::Busy { written: Written::Whole, .. }) => {
+                lifecycle.step(Event::Whole);
+                Ok(answer)
+            }
+            // An answer to an incompletely written request is not an answer to this request.
+            (_, now) => Err(now.progress()),
+        }
+    }
+
+    /// Whether the connection can carry another request now.
+    pub async fn is_free(&mut self) -> bool {
+        let (driver, sender) = (&mut self.driver, &mut self.sender);
+        let ready = poll_fn(|cx| {
+            poll_driver(driver, cx);
+            Poll::Ready(matches!(sender.poll_ready(cx), Poll::Ready(Ok(()))))
+        })
+        .await
+            && self.driver.is_some();
+        if ready && self.exchange.lifecycle.state() == Connection::Answered {
+            self.exchange.lifecycle.step(Event::Quiet);
+        }
+        ready && self.exchange.lifecycle.state() == Connection::Free
+    }
+}
+
+type Driver = Option<Pin<Box<http1::Connection<TokioIo<TrackedStream>, Full<Bytes>>>>>;
+
+fn poll_driver(driver: &mut Driver, cx: &mut Context<'_>) {
+    if driver.as_mut().is_some_and(|d| d.as_mut().poll(cx).is_ready()) {
+        *driver = None;
+    }
+}
+
+/// Waits for a future that depends on the connection, and drives the connection meanwhile.
+async fn drive<T>(driver: &mut Driver, future: impl Future<Output = T>) -> T {
+    let mut future = pin!(future);
+    poll_fn(|cx| {
+        poll_driver(driver, cx);
+        future.as_mut().poll(cx)
+    })
+    .await
+}
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The real gateway: the data plane's engine with the counters, the discovery and the clients' protocol of the deployments
-//! in service.
+//! The gateway program: the data plane with the counters, service discovery and client protocol of production
+//! deployments.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -8,4 +8,4 @@
 pub mod counting;
 pub mod fleet;
 pub mod front;
-pub use fennelscale_dataplane::{clock, engine, faults, observe, task};
+pub use fennelscale_dataplane::{clock, engine, faults, lifecycle, task};
