--- a/crates/dataplane/src/back/backends.rs
+++ b/crates/dataplane/src/back/backends.rs
@@ -61,7 +61,7 @@
     pub target: hyper::http::uri::PathAndQuery,
     /// The request id.
     pub id: HeaderValue,
-    /// Whether the request may be sent again if its connection break_rates.
+    /// Whether the request may be sent again if its connection breaks.
     pub repeatable: bool,
     /// The forwarded headers; [`Protocol::build_request`] adds its own.
     pub headers: HeaderMap,
@@ -100,7 +100,7 @@
 /// What a request requires of its connection.
 #[derive(Clone, Copy)]
 struct ConnectionRequirements<'a> {
-    /// The request may be sent again if its connection break_rates.
+    /// The request may be sent again if its connection breaks.
     repeatable: bool,
     /// The connection must be new.
     must_be_new: bool,
@@ -157,7 +157,8 @@
         self.ready && !self.replaced
     }
 
-    /// How long an idle connection is trusted: a share of the backend's stated timeout, or the default.
+    /// How long an idle connection is trusted: a share of the backend's stated timeout, as the statement may
+    /// arrive late, or the default.
     fn max_idle(&self, default: Duration) -> Duration {
         self.idle_timeout.map_or(default, |timeout| timeout.mul_f64(STATED_IDLE_SHARE))
     }
--- a/crates/dataplane/src/back/connection.rs
+++ b/crates/dataplane/src/back/connection.rs
@@ -247,7 +247,8 @@
     /// than its stated length. A request whose last byte is not written at `write_by` is abandoned: dropping
     /// the connection then guarantees that it is not executed.
     ///
-    /// # Errors When the connection fails first or the answer cannot be read; the error tells how far the
+    /// # Errors
+    /// When the connection fails first or the answer cannot be read; the error tells how far the
     /// request got.
     pub async fn exchange(
         &mut self, request: Request<Full<Bytes>>, max_body: usize, rest: Duration, write_by: Option<Instant>,
--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -74,7 +74,8 @@
     /// Creates an engine. If there are counters, `counters` creates their client from the time limit of a
     /// call and the handler of its result.
     ///
-    /// # Errors When the settings are invalid.
+    /// # Errors
+    /// When the settings are invalid.
     pub fn start(
         settings: Settings, seed: u64, backends: Rc<Backends>,
         counters: Option<impl FnOnce(Duration, Rc<CounterReplyHandler>) -> Rc<dyn CounterClient>>,
--- a/crates/dataplane/src/front/acceptor.rs
+++ b/crates/dataplane/src/front/acceptor.rs
@@ -319,8 +319,8 @@
                 let _ = write!(reasons, ", {} {count}", why.name());
             }
             eprintln!(
-                "connections since the start: {} came, {} admitted ({} after a wait), {} refused{reasons}; {} of these by a \
-                 reset; {} asked to leave; descriptors ran out {} times",
+                "connections since the start: {} received, {} admitted ({} after waiting), {} refused{reasons}; {} of these \
+                 by a reset; {} evicted; out of descriptors {} times",
                 counts.connected,
                 counts.admitted,
                 counts.held,
--- a/crates/dataplane/src/front/client_connection.rs
+++ b/crates/dataplane/src/front/client_connection.rs
@@ -25,7 +25,7 @@
 pub const READ_BUFFER_SIZE: usize = 16 * 1024;
 /// The end of a request's head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// Interval at which the deadline of a connection without one is computed again.
+/// A connection whose activity has no deadline, such as an open request, is checked again after this time.
 const OPEN_REQUEST_CHECK: Duration = Duration::from_secs(2);
 
 /// The admission module with its clock.
--- a/gateway/src/back/discovery.rs
+++ b/gateway/src/back/discovery.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a long-poll call waits for changes. A lost call cannot be told from one without changes until its
-/// wait is over, and draining backends count as announced some seconds after the change. Short waits bound
+/// How long a long-poll call waits for changes. A lost call looks like one without changes until its wait is
+/// over, while draining backends count as announced some seconds after the change. Short waits bound
 /// that delay, at the cost of a small call for each wait without changes.
 const POLL_WAIT: Duration = Duration::from_secs(1);
 /// A call without an answer this long after its wait is considered lost.
--- a/gateway/src/commands/cli.rs
+++ b/gateway/src/commands/cli.rs
@@ -1,10 +1,10 @@
-//! The command line. Without arguments the program is the gateway; its tools are subcommands. The doc comments of
-//! commands and arguments are the text of `--help`.
+//! The command line. Without arguments the program is the gateway; its tools are subcommands. The doc comments
+//! of commands and arguments are the text of `--help`.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 
-/// A quota gateway. With no argument it is the gateway itself, with_context by NODE_CONFIG, NODE_LISTEN and NODE_DISCOVERY.
+/// A quota gateway. With no argument it is the gateway itself, told by NODE_CONFIG, NODE_LISTEN and NODE_DISCOVERY.
 #[derive(Debug, Parser)]
 #[command(name = "fennelscale", version, arg_required_else_help = true)]
 pub struct Cli {
--- a/gateway/src/commands/rehearse.rs
+++ b/gateway/src/commands/rehearse.rs
@@ -189,8 +189,8 @@
     })
 }
 
-/// Becomes the gateway: asks the kernel to kill this process when its parent ends, then replaces it by this program
-/// without arguments. So a rehearsal that is killed leaves no gateways behind.
+/// Becomes the gateway: asks the kernel to kill this process when its parent ends, then replaces it by this
+/// program without arguments. So a rehearsal that is killed leaves no gateways behind.
 pub fn tethered(parent: i32) -> ExitCode {
     use std::os::unix::process::CommandExt;
     let fail = |what: &dyn Display| {
--- a/gateway/src/fleet/mod.rs
+++ b/gateway/src/fleet/mod.rs
@@ -89,7 +89,8 @@
 /// Writes the disk of an initial keeper. This is done once for each, before the fleet runs for the first
 /// time.
 ///
-/// # Errors When the disk is not empty, or the rules have no folder or no keeper of this name.
+/// # Errors
+/// When the disk is not empty, or the rules have no folder or no keeper of this name.
 pub fn init(rules: &Rules, name: &str) -> io::Result<()> {
     let folder = rules.disk.as_ref().ok_or_else(|| io::Error::other("fleet.disk names no folder"))?;
     if !rules.keepers.contains_key(name) {
@@ -230,7 +231,7 @@
                 "fleet: {by} has the name of this gateway: TWO PROCESSES CLAIM ONE NAME. This one takes part in nothing any more"
             ),
             Event::Member(Change::NameClaimed(by)) => {
-                eprintln!("fleet: {by} claims a name that belongs to a later run: it was told");
+                eprintln!("fleet: {by} claims a name that belongs to a later run: it was notified");
             }
             Event::Settled(serial, settled) => {
                 if let Some(sender) = self.proposals.borrow_mut().remove(&serial) {
