--- a/system/simulation/src/core.rs
+++ b/system/simulation/src/core.rs
@@ -68,7 +68,7 @@
             seeds: seeds.to_vec(),
             bootstrap,
             fault_tolerance: (1, 1, 1),
-            incarnation: incarnation,
+            incarnation,
         };
         let replica = Replica::new(config, self.disk.clone(), now);
         let registry = RegistryState::new(
--- a/system/simulation/tests/hard.rs
+++ b/system/simulation/tests/hard.rs
@@ -90,7 +90,7 @@
         simulation.fault(Fault::KillCore(holder));
         simulation.run(4000.0);
         check(&simulation, &format!("seed {seed}"));
-        // The other nine tenths of the quota slices continue; the other tenant is not overloaded.
+        // Slices of nine tenths of the quota continue; the other tenant is not overloaded.
         assert!(
             simulation.served - before > 160,
             "seed {seed}: {} in four seconds",
