--- a/system/config-store/src/lib.rs
+++ b/system/config-store/src/lib.rs
@@ -7,7 +7,7 @@
 mod store;
 
 use event_log::EventLog;
-use fennelscale_host::link::{Peers, Writer, hear, split};
+use fennelscale_host::link::{Peers, Writer, receive, split};
 use fennelscale_host::{link, spawn, start};
 use fennelscale_messages::Host;
 use fennelscale_messages::store::{Member, RegistryToStore, StoreMessage, StoreResponse, StoreToRegistry};
@@ -49,23 +49,27 @@
     let missing = |field: &str| {
         miette::miette!(help = "the config store requires this setting", "settings field {field} is missing")
     };
-    let folder = settings.data.as_ref().ok_or_else(|| missing("dataDirectory"))?;
+    let folder = settings.data_directory.as_ref().ok_or_else(|| missing("dataDirectory"))?;
     let host = Host::from_ip(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
-    let incarnation = fennelscale_messages::mix(u64::from(std::process::id()) ^ start::life());
+    let incarnation = fennelscale_messages::mix(u64::from(std::process::id()) ^ start::random_incarnation());
     let config = ReplicaConfig {
         local: Member { host, zone: settings.zone.clone(), region: settings.region.clone() },
         seeds: settings.seeds.iter().filter_map(|seed| Host::from_ip(seed.ip())).collect(),
         bootstrap: settings.bootstrap,
-        fault_tolerance: (settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions),
+        fault_tolerance: (
+            settings.fault_tolerance.machines,
+            settings.fault_tolerance.zones,
+            settings.fault_tolerance.regions,
+        ),
         incarnation: incarnation >> 24,
     };
     let store = Store::open(config, folder, settings.limits.disk, 0.0)?;
-    let peer_listener = start::listen(settings.own(Port::Depot)).await?;
+    let peer_listener = start::listen(settings.own_address(Port::Stores)).await?;
     let grace = settings.bounds.grace;
     let store = Rc::new(ConfigStore {
         store: RefCell::new(store),
         event_log: RefCell::new(EventLog::new(folder.join("events"))),
-        peers: Peers::new(host, settings.own(Port::Depot).port()),
+        peers: Peers::new(host, settings.own_address(Port::Stores).port()),
         registry: RefCell::default(),
         started: Instant::now(),
     });
@@ -73,16 +77,16 @@
         spawn(store.clone().reopen());
     }
     let receiving = store.clone();
-    hear(peer_listener, move |from, message: StoreMessage| {
+    receive(peer_listener, move |from, message: StoreMessage| {
         receiving.step(|replica, now| replica.receive(now, from, message))
     });
     // The registry of this machine is the only caller. The store connects to it, since it may start later or
     // restart.
-    let registry_address = settings.own(Port::Shelf);
+    let registry_address = settings.own_address(Port::RegistryForStore);
     let serving = store.clone();
     spawn(async move {
         loop {
-            if let Ok(stream) = link::dial(registry_address).await {
+            if let Ok(stream) = link::connect(registry_address).await {
                 serving.clone().serve_registry(stream).await;
             }
             sleep(TICK).await;
@@ -101,7 +105,7 @@
             _ = signals.hangup.recv() => {
                 // Changed settings (seeds, tolerance) apply at a start; a running store knows the list of
                 // members.
-                let _ = start::again();
+                let _ = start::reload_settings();
             }
         }
     }
--- a/system/host/src/call.rs
+++ b/system/host/src/call.rs
@@ -21,15 +21,15 @@
 use tokio::time::timeout;
 
 /// The longest body of a call. Ten thousand routes fit.
-const LONGEST: usize = 8 << 20;
+const MAX_BODY: usize = 8 << 20;
 /// Connections of callers that are open at once; more wait in the machine's line.
-const MOST: usize = 200;
+const MAX_CONNECTIONS: usize = 200;
 /// A call must be read whole within this, and its answer begun within the other.
-const READ: Duration = Duration::from_secs(10);
-const SERVE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+const SERVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A call as it came.
-pub struct Asked {
+pub struct ApiRequest {
     /// Its method.
     pub method: Method,
     /// Its path.
@@ -40,16 +40,16 @@
     pub body: Bytes,
 }
 
-impl Asked {
+impl ApiRequest {
     /// A value of the query, with its percent signs resolved.
     pub fn query(&self, name: &str) -> Option<String> {
         let mut pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs.find(|(key, _)| *key == name).map(|(_, value)| plain(value))
+        pairs.find(|(key, _)| *key == name).map(|(_, value)| percent_decode(value))
     }
 }
 
 /// Percent signs resolved; one that is none stays.
-fn plain(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let (mut out, mut at) = (Vec::with_capacity(bytes.len()), 0);
     while at < bytes.len() {
@@ -73,9 +73,9 @@
     /// What answers it.
     type Answer: Answer;
     /// Methods and path, as documents write it.
-    const FORM: &'static str;
+    const PATTERN: &'static str;
     /// Reads it; none if the call is of another kind, by method or path.
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>>;
+    fn read(request: &ApiRequest) -> Option<Result<Self, Failure>>;
 }
 
 /// What answers a call.
@@ -103,17 +103,19 @@
 }
 
 /// Who serves a kind of call.
-pub trait Serves<C: Call> {
+pub trait Handler<C: Call> {
     /// Serves it.
     fn serve(&self, call: C) -> impl Future<Output = Result<C::Answer, Failure>>;
 }
 
 /// The one handler: reads a call of a kind, has it served, writes the answer. None if the call is of another kind.
-pub async fn handle<C: Call, S: Serves<C>>(server: &S, asked: &Asked) -> Option<Response<Full<Bytes>>> {
-    let answer = match C::read(asked)? {
-        Ok(call) => match timeout(SERVE, server.serve(call)).await {
+pub async fn handle<C: Call, S: Handler<C>>(
+    server: &S, request: &ApiRequest,
+) -> Option<Response<Full<Bytes>>> {
+    let answer = match C::read(request)? {
+        Ok(call) => match timeout(SERVE_TIMEOUT, server.serve(call)).await {
             Ok(answer) => answer,
-            Err(_) => Err(Failure::new(Kind::Unclear, "no answer in time")),
+            Err(_) => Err(Failure::new(Kind::OutcomeUnknown, "no answer in time")),
         },
         Err(failure) => Err(failure),
     };
@@ -125,15 +127,15 @@
             response
         }
         Err(failure) => {
-            if failure.kind != Kind::NoRoom {
+            if failure.kind != Kind::Overloaded {
                 tracing::info!(
                     event = "call-failed",
-                    call = C::FORM,
-                    kind = failure.kind.row().1,
+                    call = C::PATTERN,
+                    kind = failure.kind.description().1,
                     text = failure.text
                 );
             }
-            let mut response = failed(&failure);
+            let mut response = error_response(&failure);
             // For whoever tells others of it.
             response.extensions_mut().insert(failure);
             response
@@ -142,8 +144,8 @@
 }
 
 /// The answer to a call without success.
-pub fn failed(failure: &Failure) -> Response<Full<Bytes>> {
-    let (status, name, help) = failure.kind.row();
+pub fn error_response(failure: &Failure) -> Response<Full<Bytes>> {
+    let (status, name, help) = failure.kind.description();
     let text =
         |text: &str| text.replace('\\', "\\\\").replace('"', "\\\"").replace(|c: char| c.is_control(), " ");
     let body =
@@ -163,14 +165,14 @@
 }
 
 /// Serves calls on a listener for as long as the program runs. `serve` answers what it knows.
-pub fn listen<F>(listener: TcpListener, serve: impl Fn(Asked) -> F + 'static)
+pub fn listen<F>(listener: TcpListener, serve: impl Fn(ApiRequest) -> F + 'static)
 where
     F: Future<Output = Option<Response<Full<Bytes>>>> + 'static,
 {
-    let (serve, room) = (Rc::new(serve), Arc::new(Semaphore::new(MOST)));
+    let (serve, permits) = (Rc::new(serve), Arc::new(Semaphore::new(MAX_CONNECTIONS)));
     spawn(async move {
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
@@ -185,34 +187,34 @@
                 // A caller that says nothing gives its place back in time.
                 let connection = http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(READ)
+                    .header_read_timeout(READ_TIMEOUT)
                     .max_buf_size(64 * 1024)
                     .serve_connection(TokioIo::new(stream), service);
                 let _ = connection.await;
-                drop(place);
+                drop(permit);
             });
         }
     });
 }
 
-async fn answer<F>(request: Request<Incoming>, serve: &impl Fn(Asked) -> F) -> Response<Full<Bytes>>
+async fn answer<F>(request: Request<Incoming>, serve: &impl Fn(ApiRequest) -> F) -> Response<Full<Bytes>>
 where
     F: Future<Output = Option<Response<Full<Bytes>>>>,
 {
     let (head, body) = request.into_parts();
-    let body = match timeout(READ, Limited::new(body, LONGEST).collect()).await {
+    let body = match timeout(READ_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            return failed(&Failure::new(Kind::TooLarge, format!("at most {LONGEST} bytes")));
+            return error_response(&Failure::new(Kind::TooLarge, format!("at most {MAX_BODY} bytes")));
         }
-        _ => return failed(&Failure::new(Kind::Malformed, "the body ended early")),
+        _ => return error_response(&Failure::new(Kind::Malformed, "the body ended early")),
     };
     let path = head.uri.path().to_owned();
     let query = head.uri.query().unwrap_or_default().to_owned();
-    let asked = Asked { method: head.method, path, query, body };
-    match serve(asked).await {
+    let request = ApiRequest { method: head.method, path, query, body };
+    match serve(request).await {
         Some(response) => response,
-        None => failed(&Failure::new(Kind::NotFound, "there is no such call here")),
+        None => error_response(&Failure::new(Kind::NotFound, "there is no such call here")),
     }
 }
 
@@ -223,10 +225,10 @@
     #[test]
     fn a_query_is_read_with_its_percent_signs() {
         let query = "name=a%2Eexample&zone=x+y&bad=%zz".to_owned();
-        let asked = Asked { method: Method::GET, path: "/".into(), query, body: Bytes::new() };
-        assert_eq!(asked.query("name").as_deref(), Some("a.example"));
-        assert_eq!(asked.query("zone").as_deref(), Some("x y"));
-        assert_eq!(asked.query("bad").as_deref(), Some("%zz"));
-        assert_eq!(asked.query("none"), None);
+        let request = ApiRequest { method: Method::GET, path: "/".into(), query, body: Bytes::new() };
+        assert_eq!(request.query("name").as_deref(), Some("a.example"));
+        assert_eq!(request.query("zone").as_deref(), Some("x y"));
+        assert_eq!(request.query("bad").as_deref(), Some("%zz"));
+        assert_eq!(request.query("none"), None);
     }
 }
--- a/system/host/src/error.rs
+++ b/system/host/src/error.rs
@@ -14,21 +14,21 @@
     /// There is no such thing.
     NotFound,
     /// The thing is there and does not take this method.
-    Method,
+    MethodNotAllowed,
     /// It is too long.
     TooLarge,
     /// A key is missing or not known.
-    NoKey,
+    InvalidKey,
     /// A quota is spent.
     OverQuota,
     /// Nobody can take it now; it has not run and will not.
-    NoRoom,
+    Overloaded,
     /// Nothing is known of how it went.
-    Unclear,
+    OutcomeUnknown,
     /// A backend gave no usable answer.
-    BadAnswer,
+    InvalidBackendResponse,
     /// A backend gave no answer in time.
-    NoAnswer,
+    BackendTimeout,
 }
 
 /// Every kind, for tests and documents.
@@ -37,19 +37,19 @@
     Kind::Invalid,
     Kind::Conflict,
     Kind::NotFound,
-    Kind::Method,
+    Kind::MethodNotAllowed,
     Kind::TooLarge,
-    Kind::NoKey,
+    Kind::InvalidKey,
     Kind::OverQuota,
-    Kind::NoRoom,
-    Kind::Unclear,
-    Kind::BadAnswer,
-    Kind::NoAnswer,
+    Kind::Overloaded,
+    Kind::OutcomeUnknown,
+    Kind::InvalidBackendResponse,
+    Kind::BackendTimeout,
 ];
 
 impl Kind {
     /// The status that answers it, its name in logs, and what to do.
-    pub const fn row(self) -> (StatusCode, &'static str, &'static str) {
+    pub const fn description(self) -> (StatusCode, &'static str, &'static str) {
         match self {
             Self::Malformed => {
                 (StatusCode::BAD_REQUEST, "malformed", "send a whole request in the form of the protocol")
@@ -57,18 +57,20 @@
             Self::Invalid => (StatusCode::BAD_REQUEST, "invalid", "change what is named and send it again"),
             Self::Conflict => (StatusCode::CONFLICT, "conflict", "read the items and send a higher version"),
             Self::NotFound => (StatusCode::NOT_FOUND, "not-found", "check host and path"),
-            Self::Method => (StatusCode::METHOD_NOT_ALLOWED, "method", "check the method"),
+            Self::MethodNotAllowed => (StatusCode::METHOD_NOT_ALLOWED, "method", "check the method"),
             Self::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "too-large", "send less at once"),
-            Self::NoKey => {
+            Self::InvalidKey => {
                 (StatusCode::UNAUTHORIZED, "no-key", "send a key of a tenant, alone, in X-Api-Key")
             }
             Self::OverQuota => (StatusCode::TOO_MANY_REQUESTS, "over-quota", "come back after Retry-After"),
-            Self::NoRoom => (StatusCode::SERVICE_UNAVAILABLE, "no-room", "come back after Retry-After"),
-            Self::Unclear => {
+            Self::Overloaded => (StatusCode::SERVICE_UNAVAILABLE, "no-room", "come back after Retry-After"),
+            Self::OutcomeUnknown => {
                 (StatusCode::SERVICE_UNAVAILABLE, "unclear", "send it again unchanged, to any gateway")
             }
-            Self::BadAnswer => (StatusCode::BAD_GATEWAY, "bad-answer", "repeat it only if it may run twice"),
-            Self::NoAnswer => {
+            Self::InvalidBackendResponse => {
+                (StatusCode::BAD_GATEWAY, "bad-answer", "repeat it only if it may run twice")
+            }
+            Self::BackendTimeout => {
                 (StatusCode::GATEWAY_TIMEOUT, "no-answer", "repeat it only if it may run twice")
             }
         }
@@ -76,12 +78,12 @@
 
     /// The status that answers it.
     pub const fn status(self) -> StatusCode {
-        self.row().0
+        self.description().0
     }
 
     /// Whether the answer is a promise that the call has not run and never will.
-    pub const fn promises(self) -> bool {
-        matches!(self, Self::OverQuota | Self::NoRoom)
+    pub const fn guarantees_not_executed(self) -> bool {
+        matches!(self, Self::OverQuota | Self::Overloaded)
     }
 }
 
@@ -108,11 +110,11 @@
     #[test]
     fn only_promises_have_the_status_of_one() {
         for kind in ALL {
-            let (status, name, help) = kind.row();
+            let (status, name, help) = kind.description();
             assert!(!name.is_empty() && !help.is_empty() && !status.is_success());
             // 429 and 503 say that nothing has run. To an operator a 503 says so too: it sends the same again.
             let promise = [429, 503, 408, 421].contains(&status.as_u16());
-            assert_eq!(promise, kind.promises() || kind == Kind::Unclear, "{kind:?}");
+            assert_eq!(promise, kind.guarantees_not_executed() || kind == Kind::OutcomeUnknown, "{kind:?}");
         }
     }
 }
--- a/system/host/src/start.rs
+++ b/system/host/src/start.rs
@@ -1,6 +1,6 @@
 //! The start and the end of a program.
 
-use fennelscale_node_settings::{Fault, Settings};
+use fennelscale_node_settings::{Settings, SettingsError};
 use std::future::Future;
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -23,26 +23,26 @@
 ) -> ExitCode {
     let settings = match Settings::from_environment() {
         Ok(settings) => settings,
-        Err(fault) => return unusable(program, fault.into()),
+        Err(error) => return report_failure(program, error.into()),
     };
-    crate::log::begin(&settings.node, debug);
+    crate::log::init(&settings.node, debug);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
-        Err(error) => return unusable(program, miette::miette!("{error}")),
+        Err(error) => return report_failure(program, miette::miette!("{error}")),
     };
-    let ended = LocalSet::new().block_on(&runtime, async {
+    let result = LocalSet::new().block_on(&runtime, async {
         let terminate = signal(SignalKind::terminate()).map_err(|e| miette::miette!("{e}"))?;
         let hangup = signal(SignalKind::hangup()).map_err(|e| miette::miette!("{e}"))?;
         tracing::info!(event = "started", program, version = env!("CARGO_PKG_VERSION"), zone = settings.zone);
         main(settings, Signals { terminate, hangup }).await
     });
-    match ended {
+    match result {
         Ok(()) => {
             tracing::info!(event = "ended", program);
             ExitCode::SUCCESS
         }
-        Err(report) => unusable(program, report),
+        Err(report) => report_failure(program, report),
     }
 }
 
@@ -55,8 +55,8 @@
 
 /// Checks a settings file and says what is wrong with it.
 pub fn check(program: &str) -> ExitCode {
-    match Settings::told_by_environment() {
-        Ok((settings, told)) => {
+    match Settings::from_environment_with_report() {
+        Ok((settings, report)) => {
             let list = |fields: &[String]| {
                 if fields.is_empty() { "nothing".to_owned() } else { fields.join(", ") }
             };
@@ -65,16 +65,16 @@
                 std::io::stdout(),
                 "{program}: settings of {} can be used\n  taken: {}\n  ignored: {}",
                 settings.node,
-                list(&told.taken),
-                list(&told.ignored)
+                list(&report.used),
+                list(&report.ignored)
             );
             ExitCode::SUCCESS
         }
-        Err(fault) => unusable(program, fault.into()),
+        Err(error) => report_failure(program, error.into()),
     }
 }
 
-fn unusable(program: &str, report: miette::Report) -> ExitCode {
+fn report_failure(program: &str, report: miette::Report) -> ExitCode {
     let help = report.help().map(|help| format!("; {help}")).unwrap_or_default();
     eprintln!("{program}: {report}{help}");
     ExitCode::from(2)
@@ -94,19 +94,19 @@
 }
 
 /// Reads the settings again after a SIGHUP; unusable ones change nothing.
-pub fn again() -> Option<Settings> {
+pub fn reload_settings() -> Option<Settings> {
     match Settings::from_environment() {
         Ok(settings) => Some(settings),
-        Err(fault) => {
-            let fault: Fault = fault;
-            tracing::warn!(event = "settings-unusable", error = %fault);
+        Err(error) => {
+            let error: SettingsError = error;
+            tracing::warn!(event = "settings-unusable", error = %error);
             None
         }
     }
 }
 
 /// A number that differs from start to start.
-pub fn life() -> u64 {
+pub fn random_incarnation() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
--- a/system/host/tests/link.rs
+++ b/system/host/tests/link.rs
@@ -22,7 +22,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let to = listener.local_addr().unwrap();
             let (sender, mut heard) = mpsc::unbounded_channel();
-            link::hear(listener, move |from: Host, word: u32| sender.send((from, word)).unwrap());
+            link::receive(listener, move |from: Host, word: u32| sender.send((from, word)).unwrap());
             let mut former = line(to, Host(1), 10).await;
             assert_eq!(heard.recv().await, Some((Host(1), 10)));
             let mut other = line(to, Host(2), 20).await;
--- a/system/node-settings/src/bounds.rs
+++ b/system/node-settings/src/bounds.rs
@@ -1,6 +1,6 @@
 //! The figures of the rules, as the settings give them.
 
-use crate::read::{self, Fault, Sheet};
+use crate::read::{self, Document, SettingsError};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
         }
 
         impl Bounds {
-            pub(crate) fn read(sheet: &Sheet) -> Result<Self, Fault> {
-                let given: BTreeMap<String, String> = read::bounds(sheet)?.into_iter().collect();
+            pub(crate) fn read(document: &Document) -> Result<Self, SettingsError> {
+                let given: BTreeMap<String, String> = read::bounds(document)?.into_iter().collect();
                 const NAMES: &[&str] = &[$($name),*];
-                given.keys().filter(|name| !NAMES.contains(&name.as_str())).for_each(|name| sheet.unused(name));
+                given.keys().filter(|name| !NAMES.contains(&name.as_str())).for_each(|name| document.unused(name));
                 Ok(Self { $($field: {
                     let text = given.get($name).map_or($fallback, String::as_str);
-                    <$kind as Figure>::figure(text).ok_or_else(|| Fault::Field {
+                    <$kind as BoundValue>::parse(text).ok_or_else(|| SettingsError::Field {
                         field: format!("bounds.{}", $name),
                         found: text.to_owned(),
-                        help: <$kind as Figure>::HELP.to_owned(),
+                        help: <$kind as BoundValue>::HELP.to_owned(),
                     })?
                 },)* })
             }
@@ -30,21 +30,21 @@
     };
 }
 
-trait Figure: Sized {
+trait BoundValue: Sized {
     const HELP: &'static str;
-    fn figure(text: &str) -> Option<Self>;
+    fn parse(text: &str) -> Option<Self>;
 }
 
-impl Figure for Duration {
+impl BoundValue for Duration {
     const HELP: &'static str = "write a number and its unit, like 1500ms or 2.5s";
-    fn figure(text: &str) -> Option<Self> {
-        read::span(text)
+    fn parse(text: &str) -> Option<Self> {
+        read::duration(text)
     }
 }
 
-impl Figure for f64 {
+impl BoundValue for f64 {
     const HELP: &'static str = "write a number of 0 or more";
-    fn figure(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
     }
 }
@@ -60,6 +60,6 @@
     cold_overage: f64 = "coldOverage", "1.5", "What the rate of a cold backend may be exceeded by, as a factor.";
     cold_slack: f64 = "coldSlack", "5", "What it may be exceeded by beyond that.";
     evacuation: Duration = "evacuation", "5000ms", "A zone gets nothing this long after its evacuation was acknowledged.";
-    ttl_most: Duration = "ttl_max", "5s", "The longest time that a directory answer counts.";
+    max_ttl: Duration = "ttl_max", "5s", "The longest time that a directory answer counts.";
     catch_up: Duration = "catchUp", "4s", "A machine that returns counts as lost for so long.";
 }
--- a/system/node-settings/src/lib.rs
+++ b/system/node-settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a program of the system is told: the settings file that `FENNELSCALE_CONFIG` names, read once, checked, typed.
+//! What a program of the system is report: the settings file that `FENNELSCALE_CONFIG` names, read once, checked, typed.
 //!
 //! The file is TOML. It is turned into JSON once and read by pointers: fields that nobody here asks for may come and go.
 //! Every error names the field, what stands there and what to do.
@@ -7,30 +7,30 @@
 mod read;
 
 pub use bounds::Bounds;
-pub use read::{Fault, Told};
+pub use read::{FieldReport, SettingsError};
 
-use read::Sheet;
+use read::Document;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// The environment variable that names the settings file.
-pub const VARIABLE: &str = "FENNELSCALE_CONFIG";
+pub const SETTINGS_VARIABLE: &str = "FENNELSCALE_CONFIG";
 
 /// The ports that processes listen on for each other, by their place in the machine's range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
     /// Stores, for each other.
-    Depot = 0,
+    Stores = 0,
     /// Registries, for each other.
-    Postmaster = 1,
+    Registries = 1,
     /// Registries, for the sessions of proxies.
     Sessions = 2,
     /// The registry, for its machine's store.
-    Shelf = 3,
+    RegistryForStore = 3,
     /// Proxies, for news that others pass on.
-    Courier = 4,
+    Proxies = 4,
 }
 
 /// Where to listen for whom.
@@ -70,16 +70,16 @@
 
 /// The platform's list of backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cloud {
+pub struct CloudApi {
     /// Where it is asked for.
     pub address: SocketAddr,
     /// Calls a second that it takes from all gateways together.
-    pub per_s: f64,
+    pub rate_per_s: f64,
     /// How old its answers may be.
-    pub lag: Duration,
+    pub max_lag: Duration,
 }
 
-/// All that a program is told.
+/// All that a program is report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The machine's name.
@@ -97,9 +97,9 @@
     /// The whole system starts for the first time, on empty disks.
     pub bootstrap: bool,
     /// The machine counts towards a quorum.
-    pub counts: bool,
+    pub counts_toward_quorum: bool,
     /// The folder for files that last.
-    pub data: Option<PathBuf>,
+    pub data_directory: Option<PathBuf>,
     /// How often processes should show that they live.
     pub heartbeat: Duration,
     /// The region of each zone.
@@ -109,13 +109,13 @@
     /// What the machine has.
     pub limits: Limits,
     /// What may be lost.
-    pub tolerance: Tolerance,
+    pub fault_tolerance: Tolerance,
     /// The list of backends.
-    pub cloud: Cloud,
+    pub cloud_api: CloudApi,
     /// The figures of the rules.
     pub bounds: Bounds,
     /// What failure orders may do; without it none is taken or heeded.
-    pub failures: Option<fennelscale_fault_injection::Limits>,
+    pub failure_limits: Option<fennelscale_fault_injection::Limits>,
 }
 
 impl Settings {
@@ -123,88 +123,88 @@
     ///
     /// # Errors
     /// When there is none or it cannot be used.
-    pub fn from_environment() -> Result<Self, Fault> {
-        Self::told_by_environment().map(|(settings, _)| settings)
+    pub fn from_environment() -> Result<Self, SettingsError> {
+        Self::from_environment_with_report().map(|(settings, _)| settings)
     }
 
     /// The same, and what became of the file's fields.
     ///
     /// # Errors
     /// When there is none or it cannot be used.
-    pub fn told_by_environment() -> Result<(Self, Told), Fault> {
-        let Some(path) = std::env::var_os(VARIABLE) else { return Err(Fault::NotNamed) };
+    pub fn from_environment_with_report() -> Result<(Self, FieldReport), SettingsError> {
+        let Some(path) = std::env::var_os(SETTINGS_VARIABLE) else { return Err(SettingsError::NotNamed) };
         let path = PathBuf::from(path);
-        let text = std::fs::read_to_string(&path).map_err(|error| Fault::Unreadable {
+        let text = std::fs::read_to_string(&path).map_err(|error| SettingsError::Unreadable {
             path: path.display().to_string(),
             error: error.to_string(),
         })?;
-        Self::parse_told(&text)
+        Self::parse_with_report(&text)
     }
 
     /// Reads the text of a settings file.
     ///
     /// # Errors
     /// When it cannot be used.
-    pub fn parse(text: &str) -> Result<Self, Fault> {
-        Self::parse_told(text).map(|(settings, _)| settings)
+    pub fn parse(text: &str) -> Result<Self, SettingsError> {
+        Self::parse_with_report(text).map(|(settings, _)| settings)
     }
 
     /// The same, and what became of its fields.
     ///
     /// # Errors
     /// When it cannot be used.
-    pub fn parse_told(text: &str) -> Result<(Self, Told), Fault> {
-        let sheet = Sheet::parse(text)?;
-        let settings = Self::read(&sheet)?;
-        Ok((settings, sheet.told()))
+    pub fn parse_with_report(text: &str) -> Result<(Self, FieldReport), SettingsError> {
+        let document = Document::parse(text)?;
+        let settings = Self::read(&document)?;
+        Ok((settings, document.report()))
     }
 
-    fn read(sheet: &Sheet) -> Result<Self, Fault> {
-        let ports: Vec<u16> = sheet.list("/internalPortRange")?;
+    fn read(document: &Document) -> Result<Self, SettingsError> {
+        let ports: Vec<u16> = document.list("/internalPortRange")?;
         let &[first, last] = ports.as_slice() else {
-            return Err(sheet.fault("/internalPortRange", "write two ports, the first and the last"));
+            return Err(document.error("/internalPortRange", "write two ports, the first and the last"));
         };
-        if last < first || last - first < Port::Courier as u16 {
-            return Err(sheet.fault("/internalPortRange", "leave at least five ports from first to last"));
+        if last < first || last - first < Port::Proxies as u16 {
+            return Err(document.error("/internalPortRange", "leave at least five ports from first to last"));
         }
-        let zones: BTreeMap<String, String> = sheet.value("/zones")?;
-        let (zone, region): (String, String) = (sheet.value("/zone")?, sheet.value("/region")?);
+        let zones: BTreeMap<String, String> = document.value("/zones")?;
+        let (zone, region): (String, String) = (document.value("/zone")?, document.value("/region")?);
         if zones.get(&zone) != Some(&region) {
-            return Err(sheet.fault("/zone", "name a zone of [zones] whose region is `region`"));
+            return Err(document.error("/zone", "name a zone of [zones] whose region is `region`"));
         }
-        let megabytes = |at: &str| sheet.number(at).map(|mb| (mb * 1e6) as u64);
+        let megabytes = |at: &str| document.number(at).map(|mb| (mb * 1e6) as u64);
         Ok(Self {
-            node: sheet.value("/nodeName")?,
-            ip: sheet.value("/ipAddress")?,
+            node: document.value("/nodeName")?,
+            ip: document.value("/ipAddress")?,
             ports: (first, last),
-            seeds: sheet.list("/seedNodes")?,
-            bootstrap: sheet.value("/bootstrap")?,
-            counts: sheet.value("/countsTowardQuorum")?,
-            data: sheet.maybe("/dataDirectory")?,
-            heartbeat: sheet.span("/heartbeatInterval")?,
+            seeds: document.list("/seedNodes")?,
+            bootstrap: document.value("/bootstrap")?,
+            counts_toward_quorum: document.value("/countsTowardQuorum")?,
+            data_directory: document.optional("/dataDirectory")?,
+            heartbeat: document.duration("/heartbeatInterval")?,
             listen: Listen {
-                frontend: sheet.maybe("/listenAddresses/frontend")?,
-                readiness: sheet.maybe("/listenAddresses/readiness")?,
-                control: sheet.maybe("/listenAddresses/controlPlane")?,
-                directory: sheet.maybe("/listenAddresses/directory")?,
+                frontend: document.optional("/listenAddresses/frontend")?,
+                readiness: document.optional("/listenAddresses/readiness")?,
+                control: document.optional("/listenAddresses/controlPlane")?,
+                directory: document.optional("/listenAddresses/directory")?,
             },
             limits: Limits {
                 memory: megabytes("/limits/memoryMb")?,
-                descriptors: sheet.value("/limits/maxFileDescriptors")?,
+                descriptors: document.value("/limits/maxFileDescriptors")?,
                 disk: megabytes("/limits/diskMb")?,
             },
-            tolerance: Tolerance {
-                machines: sheet.value("/faultTolerance/machineLosses")?,
-                zones: sheet.value("/faultTolerance/zones")?,
-                regions: sheet.value("/faultTolerance/regionLosses")?,
+            fault_tolerance: Tolerance {
+                machines: document.value("/faultTolerance/machineLosses")?,
+                zones: document.value("/faultTolerance/zones")?,
+                regions: document.value("/faultTolerance/regionLosses")?,
             },
-            cloud: Cloud {
-                address: sheet.value("/cloudApi/address")?,
-                per_s: sheet.number("/cloudApi/ratePerS")?,
-                lag: sheet.span("/cloudApi/maxLag")?,
+            cloud_api: CloudApi {
+                address: document.value("/cloudApi/address")?,
+                rate_per_s: document.number("/cloudApi/ratePerS")?,
+                max_lag: document.duration("/cloudApi/maxLag")?,
             },
-            bounds: Bounds::read(sheet)?,
-            failures: failures(sheet)?,
+            bounds: Bounds::read(document)?,
+            failure_limits: failure_limits(document)?,
             zone,
             region,
             zones,
@@ -212,36 +212,36 @@
     }
 
     /// Where a process of this machine listens for others.
-    pub fn own(&self, port: Port) -> SocketAddr {
-        self.at(self.ip, port)
+    pub fn own_address(&self, port: Port) -> SocketAddr {
+        self.address_of(self.ip, port)
     }
 
     /// Where the process of another machine listens: all machines use the same ports.
-    pub fn at(&self, ip: IpAddr, port: Port) -> SocketAddr {
+    pub fn address_of(&self, ip: IpAddr, port: Port) -> SocketAddr {
         SocketAddr::new(ip, self.ports.0 + port as u16)
     }
 
     /// Where the seeds' processes listen.
-    pub fn seeds_at(&self, port: Port) -> Vec<SocketAddr> {
-        self.seeds.iter().map(|seed| self.at(seed.ip(), port)).collect()
+    pub fn seed_addresses(&self, port: Port) -> Vec<SocketAddr> {
+        self.seeds.iter().map(|seed| self.address_of(seed.ip(), port)).collect()
     }
 }
 
 /// The table `failureOrders`, where there is one.
-fn failures(sheet: &Sheet) -> Result<Option<fennelscale_fault_injection::Limits>, Fault> {
+fn failure_limits(document: &Document) -> Result<Option<fennelscale_fault_injection::Limits>, SettingsError> {
     const AT: &str = "/failureOrders";
-    if !sheet.has(AT) {
+    if !document.has(AT) {
         return Ok(None);
     }
-    let kinds: Vec<String> = sheet.value("/failureOrders/kinds")?;
+    let kinds: Vec<String> = document.value("/failureOrders/kinds")?;
     let names = fennelscale_fault_injection::FailureKind::NAMES;
     if kinds.iter().any(|kind| !names.contains(&kind.as_str())) {
-        return Err(sheet.fault("/failureOrders/kinds", format!("list some of {}", names.join(", "))));
+        return Err(document.error("/failureOrders/kinds", format!("list some of {}", names.join(", "))));
     }
     Ok(Some(fennelscale_fault_injection::Limits {
-        max_requests: sheet.value("/failureOrders/mostInAll")?,
-        max_per_s: sheet.number("/failureOrders/mostPerS")?,
-        max_duration: sheet.span("/failureOrders/longest")?,
+        max_requests: document.value("/failureOrders/mostInAll")?,
+        max_per_s: document.number("/failureOrders/mostPerS")?,
+        max_duration: document.duration("/failureOrders/longest")?,
         kinds: kinds.into_iter().collect(),
     }))
 }
--- a/system/node-settings/src/read.rs
+++ b/system/node-settings/src/read.rs
@@ -1,4 +1,4 @@
-//! The file as a sheet of fields that are read by pointer.
+//! The file as a document of fields that are read by pointer.
 
 use miette::Diagnostic;
 use serde::de::DeserializeOwned;
@@ -10,7 +10,7 @@
 
 /// Settings that cannot be used.
 #[derive(Clone, Debug, Diagnostic, Error, PartialEq)]
-pub enum Fault {
+pub enum SettingsError {
     /// No file is named.
     #[error("no settings file is named")]
     #[diagnostic(help("set FENNELSCALE_CONFIG to the path of the settings file"))]
@@ -46,14 +46,14 @@
 
 /// What became of a file's fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct FieldReport {
     /// Read and used.
-    pub taken: Vec<String>,
+    pub used: Vec<String>,
     /// Passed over: these may be of another version, or misspelt.
     pub ignored: Vec<String>,
 }
 
-pub(crate) struct Sheet {
+pub(crate) struct Document {
     json: String,
     /// Every field of the file, with dots; what was asked for; bounds that no rule here goes by.
     fields: Vec<String>,
@@ -80,10 +80,11 @@
         .collect()
 }
 
-impl Sheet {
-    pub(crate) fn parse(text: &str) -> Result<Self, Fault> {
-        let malformed =
-            |error: &dyn std::fmt::Display| Fault::Malformed { error: error.to_string().trim().to_owned() };
+impl Document {
+    pub(crate) fn parse(text: &str) -> Result<Self, SettingsError> {
+        let malformed = |error: &dyn std::fmt::Display| SettingsError::Malformed {
+            error: error.to_string().trim().to_owned(),
+        };
         let table: toml::Table = text.parse().map_err(|error| malformed(&error))?;
         let json = sonic_rs::to_string(&table).map_err(|error| malformed(&error))?;
         let mut all = Vec::new();
@@ -92,16 +93,16 @@
     }
 
     /// Which fields were read and which nobody asked for.
-    pub(crate) fn told(&self) -> Told {
+    pub(crate) fn report(&self) -> FieldReport {
         let asked = self.asked.borrow();
         let read = |field: &String| {
             asked.iter().any(|name| {
                 field.strip_prefix(name.as_str()).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
             })
         };
-        let (taken, mut ignored): (Vec<_>, Vec<_>) = self.fields.iter().cloned().partition(read);
+        let (used, mut ignored): (Vec<_>, Vec<_>) = self.fields.iter().cloned().partition(read);
         ignored.extend(self.unused.borrow().iter().cloned());
-        Told { taken, ignored }
+        FieldReport { used, ignored }
     }
 
     /// A bound that no rule here goes by.
@@ -118,46 +119,46 @@
         self.at(at).is_some()
     }
 
-    pub(crate) fn fault(&self, at: &str, help: impl Into<String>) -> Fault {
+    pub(crate) fn error(&self, at: &str, help: impl Into<String>) -> SettingsError {
         let found = self.at(at).map_or("is missing".into(), |value| value.as_raw_str().to_owned());
-        Fault::Field { field: at.trim_start_matches('/').replace('/', "."), found, help: help.into() }
+        SettingsError::Field { field: at.trim_start_matches('/').replace('/', "."), found, help: help.into() }
     }
 
-    pub(crate) fn maybe<T: DeserializeOwned>(&self, at: &str) -> Result<Option<T>, Fault> {
+    pub(crate) fn optional<T: DeserializeOwned>(&self, at: &str) -> Result<Option<T>, SettingsError> {
         let Some(value) = self.at(at) else { return Ok(None) };
         let read = sonic_rs::from_str(value.as_raw_str());
         read.map(Some).map_err(|_| {
             let kind = std::any::type_name::<T>().rsplit("::").next().unwrap_or_default();
-            self.fault(at, format!("write a value that can be read as {kind}"))
+            self.error(at, format!("write a value that can be read as {kind}"))
         })
     }
 
-    pub(crate) fn value<T: DeserializeOwned>(&self, at: &str) -> Result<T, Fault> {
-        self.maybe(at)?.ok_or_else(|| self.fault(at, "add the field: this program cannot do without it"))
+    pub(crate) fn value<T: DeserializeOwned>(&self, at: &str) -> Result<T, SettingsError> {
+        self.optional(at)?.ok_or_else(|| self.error(at, "add the field: this program cannot do without it"))
     }
 
-    pub(crate) fn list<T: DeserializeOwned>(&self, at: &str) -> Result<Vec<T>, Fault> {
+    pub(crate) fn list<T: DeserializeOwned>(&self, at: &str) -> Result<Vec<T>, SettingsError> {
         self.value(at)
     }
 
     /// A number that is finite and not negative.
-    pub(crate) fn number(&self, at: &str) -> Result<f64, Fault> {
+    pub(crate) fn number(&self, at: &str) -> Result<f64, SettingsError> {
         let number: f64 = self.value(at)?;
         if number.is_finite() && number >= 0.0 {
             Ok(number)
         } else {
-            Err(self.fault(at, "write a number of 0 or more"))
+            Err(self.error(at, "write a number of 0 or more"))
         }
     }
 
-    pub(crate) fn span(&self, at: &str) -> Result<Duration, Fault> {
+    pub(crate) fn duration(&self, at: &str) -> Result<Duration, SettingsError> {
         let text: String = self.value(at)?;
-        span(&text).ok_or_else(|| self.fault(at, "write a number and its unit, like 1500ms or 2.5s"))
+        duration(&text).ok_or_else(|| self.error(at, "write a number and its unit, like 1500ms or 2.5s"))
     }
 }
 
 /// A time as a text: a number and its unit, `ms` or `s`.
-pub(crate) fn span(text: &str) -> Option<Duration> {
+pub(crate) fn duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
         None => (text.strip_suffix('s')?, 1.0),
@@ -169,16 +170,18 @@
 }
 
 /// The value of a bound, from `bounds`, a list of `name=value` or one line of them with commas.
-pub(crate) fn bounds(sheet: &Sheet) -> Result<Vec<(String, String)>, Fault> {
+pub(crate) fn bounds(document: &Document) -> Result<Vec<(String, String)>, SettingsError> {
     const AT: &str = "/bounds";
-    let lines: Vec<String> = match sheet.at(AT) {
-        Some(value) if value.is_str() => sheet.value::<String>(AT)?.split(',').map(str::to_owned).collect(),
-        _ => sheet.list(AT)?,
+    let lines: Vec<String> = match document.at(AT) {
+        Some(value) if value.is_str() => {
+            document.value::<String>(AT)?.split(',').map(str::to_owned).collect()
+        }
+        _ => document.list(AT)?,
     };
     let pair = |line: &String| {
         let (name, value) = line.split_once('=')?;
         Some((name.trim().to_owned(), value.trim().to_owned()))
     };
-    let fault = || sheet.fault(AT, "write each bound as name=value");
+    let fault = || document.error(AT, "write each bound as name=value");
     lines.iter().map(|line| pair(line).ok_or_else(fault)).collect()
 }
--- a/system/node-settings/src/tests.rs
+++ b/system/node-settings/src/tests.rs
@@ -38,8 +38,8 @@
     let settings = Settings::parse(TEXT).unwrap();
     assert_eq!(settings.bounds.retry_slack, 64.0);
     assert_eq!(settings.bounds.drain, Duration::from_secs(4));
-    assert_eq!(settings.own(Port::Postmaster), "10.1.0.35:7741".parse().unwrap());
-    assert_eq!(settings.seeds_at(Port::Depot)[1], "10.2.0.10:7740".parse().unwrap());
+    assert_eq!(settings.own_address(Port::Registries), "10.1.0.35:7741".parse().unwrap());
+    assert_eq!(settings.seed_addresses(Port::Stores)[1], "10.2.0.10:7740".parse().unwrap());
     assert_eq!((settings.listen.frontend, settings.limits.disk), (None, 256_000_000));
 }
 
@@ -65,18 +65,18 @@
     ];
     for (from, to, field) in cases {
         let fault = Settings::parse(&TEXT.replacen(from, to, 1)).unwrap_err();
-        let Fault::Field { field: named, found, help } = fault else { panic!("{fault}") };
+        let SettingsError::Field { field: named, found, help } = fault else { panic!("{fault}") };
         assert_eq!(named, field);
         assert!(!found.is_empty() && !help.is_empty());
     }
-    assert!(matches!(Settings::parse("a = "), Err(Fault::Malformed { .. })));
+    assert!(matches!(Settings::parse("a = "), Err(SettingsError::Malformed { .. })));
 }
 
 #[test]
 fn failure_orders_have_limits_or_there_are_none() {
-    assert_eq!(Settings::parse(TEXT).unwrap().failures, None);
+    assert_eq!(Settings::parse(TEXT).unwrap().failure_limits, None);
     let table = "[failureOrders]\nmostInAll = 40\nmostPerS = 2.5\nlongest = \"60s\"\nkinds = [\"refuse\", \"delay\"]\n";
-    let limits = Settings::parse(&format!("{TEXT}{table}")).unwrap().failures.unwrap();
+    let limits = Settings::parse(&format!("{TEXT}{table}")).unwrap().failure_limits.unwrap();
     assert_eq!(
         (limits.max_requests, limits.max_per_s, limits.max_duration, limits.kinds.len()),
         (40, 2.5, Duration::from_secs(60), 2)
@@ -88,18 +88,18 @@
         ("\"60s\"", "60", "failureOrders.longest"),
     ] {
         let fault = Settings::parse(&format!("{TEXT}{}", table.replacen(from, to, 1))).unwrap_err();
-        assert!(matches!(&fault, Fault::Field { field: named, .. } if named == field), "{fault}");
+        assert!(matches!(&fault, SettingsError::Field { field: named, .. } if named == field), "{fault}");
     }
 }
 
 #[test]
 fn what_is_taken_and_what_is_passed_over_is_told() {
-    let (settings, told) = Settings::parse_told(TEXT).unwrap();
+    let (settings, report) = Settings::parse_with_report(TEXT).unwrap();
     assert_eq!(settings, Settings::parse(TEXT).unwrap());
-    assert_eq!(told.ignored, ["newField.any", "role", "serves", "bounds.seedLag"]);
+    assert_eq!(report.ignored, ["newField.any", "role", "serves", "bounds.seedLag"]);
     for field in ["zones.a", "limits.diskMb", "bounds", "cloudApi.maxLag", "listenAddresses.controlPlane"] {
-        assert!(told.taken.iter().any(|taken| taken == field), "{field}: {told:?}");
+        assert!(report.used.iter().any(|used| used == field), "{field}: {report:?}");
     }
-    let (_, told) = Settings::parse_told(&TEXT.replace("dataDirectory", "datadirectory")).unwrap();
-    assert!(told.ignored.contains(&"datadirectory".to_owned()), "a misspelt field shows");
+    let (_, report) = Settings::parse_with_report(&TEXT.replace("dataDirectory", "datadirectory")).unwrap();
+    assert!(report.ignored.contains(&"datadirectory".to_owned()), "a misspelt field shows");
 }
--- a/system/proxy/src/frontend.rs
+++ b/system/proxy/src/frontend.rs
@@ -14,7 +14,7 @@
 use fennelscale_dataplane::front::door::Door;
 use fennelscale_dataplane::front::guest::{BUFFER, Guest, Tap};
 use fennelscale_fault_injection::{Caller, FailureKind, Verdict};
-use fennelscale_host::call::{Asked, failed};
+use fennelscale_host::call::{ApiRequest, error_response};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_settings::admission::Admission;
 use fennelscale_settings::units::Quantity;
@@ -69,7 +69,7 @@
 
 /// The answer to a readiness check: whether the platform may send clients to this proxy. None for another
 /// path.
-pub fn readiness_response(request: &Asked, ready: bool) -> Option<Response<Full<Bytes>>> {
+pub fn readiness_response(request: &ApiRequest, ready: bool) -> Option<Response<Full<Bytes>>> {
     if request.path != "/fennelscale/readiness" {
         return None;
     }
@@ -97,7 +97,7 @@
     }
 
     fn to_response(&self) -> Response<Full<Bytes>> {
-        let mut response = failed(&self.failure);
+        let mut response = error_response(&self.failure);
         let seconds = self.retry_after.map(|ms| format!("{:.3}", ms.max(0.0) / 1000.0));
         if let Some(value) = seconds.and_then(|seconds| HeaderValue::from_str(&seconds).ok()) {
             response.headers_mut().insert(RETRY_AFTER, value);
@@ -226,7 +226,7 @@
             }
             FailureKind::Refuse => {
                 let refusal = Refusal::with_retry_after(
-                    Kind::NoRoom,
+                    Kind::Overloaded,
                     "this proxy takes no requests now",
                     NOT_READY_RETRY_AFTER,
                 );
@@ -324,7 +324,7 @@
             return refuse(Kind::Malformed, "no path");
         };
         if head.method == Method::CONNECT {
-            return refuse(Kind::Method, "GET, POST, PUT, PATCH, DELETE, HEAD, OPTIONS");
+            return refuse(Kind::MethodNotAllowed, "GET, POST, PUT, PATCH, DELETE, HEAD, OPTIONS");
         }
         let Some(id) = single(&head.headers, &REQUEST_ID).cloned() else {
             return refuse(Kind::Malformed, "Fennelscale-Request-Id must be given once");
@@ -337,7 +337,7 @@
         // A proxy without a routing table cannot tell that a route does not exist.
         if !self.proxy.routing_state.borrow().is_ready() || self.refusing.get() {
             return Err(Refusal::with_retry_after(
-                Kind::NoRoom,
+                Kind::Overloaded,
                 "this proxy takes no requests now",
                 NOT_READY_RETRY_AFTER,
             ));
@@ -356,7 +356,7 @@
         let tenant =
             single(&head.headers, &API_KEY).and_then(|k| k.to_str().ok()).and_then(|k| state.table.tenant(k));
         if state.table.has_tenants() && !route.public && (key_count != 1 || tenant.is_none()) {
-            return refuse(Kind::NoKey, "X-Api-Key");
+            return refuse(Kind::InvalidKey, "X-Api-Key");
         }
         let tenant = tenant.cloned();
         let mut headers = forwarded_headers(&head.headers);
@@ -382,7 +382,7 @@
         let max_bytes = (self.proxy.settings.limits.memory as f64 * BODY_MEMORY_SHARE) as usize;
         if self.body_bytes.get() + expected > max_bytes {
             return Err(Refusal::with_retry_after(
-                Kind::NoRoom,
+                Kind::Overloaded,
                 "no memory for this body now",
                 NOT_READY_RETRY_AFTER,
             ));
@@ -416,13 +416,13 @@
             Err(()) => {
                 let regions = (&route.allowed_regions, tenant.as_ref().map(|t| &t.allowed_regions));
                 tracing::debug!(event = "no-region", route = route.name, regions = ?regions);
-                return Err(Refusal::with_retry_after(Kind::NoRoom, "no region may serve this", 1000.0));
+                return Err(Refusal::with_retry_after(Kind::Overloaded, "no region may serve this", 1000.0));
             }
         };
         let service = pick_service(&route.services, &message.id);
         let Some(service) = self.proxy.services.get(service) else {
             return Err(Refusal::with_retry_after(
-                Kind::NoRoom,
+                Kind::Overloaded,
                 "the service has no backends yet",
                 NOT_READY_RETRY_AFTER,
             ));
@@ -459,10 +459,14 @@
                 Ok(response)
             }
             Ok(Ok(Reply::Refused(wait))) => {
-                Err(Refusal::with_retry_after(Kind::NoRoom, "no backend has room", wait))
+                Err(Refusal::with_retry_after(Kind::Overloaded, "no backend has room", wait))
+            }
+            Ok(Ok(Reply::Failed(false)) | Err(_)) => {
+                Err(Refusal::new(Kind::InvalidBackendResponse, "no usable answer"))
+            }
+            Ok(Ok(Reply::Failed(true))) | Err(_) => {
+                Err(Refusal::new(Kind::BackendTimeout, "no answer in time"))
             }
-            Ok(Ok(Reply::Failed(false)) | Err(_)) => Err(Refusal::new(Kind::BadAnswer, "no usable answer")),
-            Ok(Ok(Reply::Failed(true))) | Err(_) => Err(Refusal::new(Kind::NoAnswer, "no answer in time")),
         }
     }
 
--- a/system/proxy/src/metrics.rs
+++ b/system/proxy/src/metrics.rs
@@ -7,7 +7,7 @@
 use crate::service_engines::ServiceEngine;
 use bytes::Bytes;
 use doorcourse::Outcome;
-use fennelscale_host::call::Asked;
+use fennelscale_host::call::ApiRequest;
 use http_body_util::Full;
 use hyper::Response;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -168,7 +168,7 @@
 }
 
 /// The answer to a scrape; none for another path.
-pub fn answer(request: &Asked, text: impl FnOnce() -> String) -> Option<Response<Full<Bytes>>> {
+pub fn answer(request: &ApiRequest, text: impl FnOnce() -> String) -> Option<Response<Full<Bytes>>> {
     if request.path != METRICS_PATH {
         return None;
     }
--- a/system/proxy/src/peer_sync.rs
+++ b/system/proxy/src/peer_sync.rs
@@ -38,8 +38,8 @@
                 round += 1;
                 let (proxy, to) = (proxy.clone(), others[(round + n) % others.len()]);
                 spawn(async move {
-                    let at = proxy.settings.at(to.ip(), Port::Courier);
-                    if let Ok(stream) = link::dial(at).await {
+                    let at = proxy.settings.address_of(to.ip(), Port::Proxies);
+                    if let Ok(stream) = link::connect(at).await {
                         // Several proxies are asked, so one that does not answer is skipped.
                         let _ = timeout(PEER_TIMEOUT, ask(&proxy, stream)).await;
                     }
--- a/system/proxy/src/proxy.rs
+++ b/system/proxy/src/proxy.rs
@@ -101,7 +101,7 @@
     let readiness = settings.listen.readiness.ok_or_else(|| missing("listenAddresses.readiness"))?;
     let clients = start::listen(frontend).await?;
     let readiness = start::listen(readiness).await?;
-    let peers = start::listen(settings.own(Port::Courier)).await?;
+    let peers = start::listen(settings.own_address(Port::Proxies)).await?;
     let metrics_listener = match metrics_port {
         Some(port) => Some(start::listen(SocketAddr::new(settings.ip, port)).await?),
         None => None,
@@ -112,16 +112,16 @@
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         zone_regions: settings.zones.clone(),
-        max_list_age: settings.cloud.lag.as_secs_f64() * 1000.0,
+        max_list_age: settings.cloud_api.max_lag.as_secs_f64() * 1000.0,
     };
-    let incarnation = start::life();
+    let incarnation = start::random_incarnation();
     let retry = (settings.bounds.retry_ratio, settings.bounds.retry_slack);
     let (trace, started_at) = (Rc::<RefCell<RequestTrace>>::default(), Instant::now());
     let services =
         ServiceEngines::new(&settings.zone, budget.backends, retry, incarnation, trace.clone(), started_at);
     let grace = settings.bounds.grace;
     let failure_orders = FaultInjector::new(
-        settings.failures.clone(),
+        settings.failure_limits.clone(),
         fennelscale_fault_injection::proxy_id(host, incarnation),
     );
     let proxy = Rc::new(Proxy {
@@ -186,7 +186,7 @@
     let reloading = proxy.clone();
     spawn(async move {
         while signals.hangup.recv().await.is_some() {
-            if let Some(settings) = start::again() {
+            if let Some(settings) = start::reload_settings() {
                 tracing::info!(event = "settings-read", seeds = settings.seeds.len());
                 *reloading.seeds.borrow_mut() = settings.seeds;
             }
--- a/system/proxy/src/session.rs
+++ b/system/proxy/src/session.rs
@@ -60,7 +60,7 @@
 async fn probe(proxy: Rc<Proxy>, registries: Vec<Host>) -> ProbeResult {
     let mut failed = Vec::new();
     for registry in registries {
-        if link::dial(proxy.settings.at(registry.ip(), Port::Sessions)).await.is_ok() {
+        if link::connect(proxy.settings.address_of(registry.ip(), Port::Sessions)).await.is_ok() {
             return ProbeResult { failed, reached: true };
         }
         failed.push(registry);
@@ -91,8 +91,8 @@
 }
 
 async fn run_session(proxy: &Rc<Proxy>, host: Host, choice: &mut RegistryChoice) -> Result<(), &'static str> {
-    let to = proxy.settings.at(host.ip(), Port::Sessions);
-    let stream = link::dial(to).await.map_err(|_| "no connection")?;
+    let to = proxy.settings.address_of(host.ip(), Port::Sessions);
+    let stream = link::connect(to).await.map_err(|_| "no connection")?;
     let (mut reader, writer) = split(stream);
     writer.send(&proxy.first_message());
     proxy.set_session(Some(writer.clone()));
--- a/system/proxy/tests/helper/mod.rs
+++ b/system/proxy/tests/helper/mod.rs
@@ -287,7 +287,8 @@
     pub async fn start(test_bed: &TestBed, others: &[(Host, &str)]) -> Self {
         let settings = test_bed.settings();
         let session = Rc::<RegistrySession>::default();
-        let listener = TcpListener::bind(settings.at(test_bed.ip(REGISTRY).into(), Port::Sessions)).await;
+        let listener =
+            TcpListener::bind(settings.address_of(test_bed.ip(REGISTRY).into(), Port::Sessions)).await;
         let accepting = session.clone();
         link::accept(listener.expect("an address for the registry"), move |stream| {
             receive(accepting.clone(), stream)
--- a/system/registry/src/api.rs
+++ b/system/registry/src/api.rs
@@ -5,7 +5,7 @@
 use crate::requests::Request;
 use bytes::Bytes;
 use fennelscale_config::ParsedItem;
-use fennelscale_host::call::{Asked, Call, Done, Json, Serves, handle};
+use fennelscale_host::call::{ApiRequest, Call, Done, Handler, Json, handle};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_maintenance::order::Node;
 use fennelscale_maintenance::plan::Reason;
@@ -45,18 +45,18 @@
     zone: String,
 }
 
-pub(crate) fn method(asked: &Asked, allowed: &[Method]) -> Result<(), Failure> {
+pub(crate) fn method(asked: &ApiRequest, allowed: &[Method]) -> Result<(), Failure> {
     if allowed.contains(&asked.method) {
         return Ok(());
     }
     let names: Vec<&str> = allowed.iter().map(Method::as_str).collect();
-    Err(Failure::new(Kind::Method, names.join(", ")))
+    Err(Failure::new(Kind::MethodNotAllowed, names.join(", ")))
 }
 
 impl Call for PatchConfig {
     type Answer = Done;
-    const FORM: &'static str = "PATCH /fennelscale/config";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "PATCH /fennelscale/config";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         if asked.path != CONFIG || asked.method == Method::GET {
             return None;
         }
@@ -71,16 +71,16 @@
 
 impl Call for GetConfig {
     type Answer = Json;
-    const FORM: &'static str = "GET /fennelscale/config";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "GET /fennelscale/config";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         (asked.path == CONFIG && asked.method == Method::GET).then_some(Ok(Self))
     }
 }
 
 impl Call for Evacuate {
     type Answer = Done;
-    const FORM: &'static str = "POST, DELETE /fennelscale/evacuations/ZONE";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "POST, DELETE /fennelscale/evacuations/ZONE";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         let zone = asked.path.strip_prefix(EVACUATIONS)?;
         Some(
             method(asked, &[Method::POST, Method::DELETE])
@@ -91,8 +91,8 @@
 
 impl Call for Maintenance {
     type Answer = Json;
-    const FORM: &'static str = "GET /fennelscale/maintenance";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "GET /fennelscale/maintenance";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         (asked.path == MAINTENANCE && asked.method != Method::POST)
             .then(|| method(asked, &[Method::GET, Method::POST]).map(|()| Self))
     }
@@ -100,8 +100,8 @@
 
 impl Call for CheckOrders {
     type Answer = Json;
-    const FORM: &'static str = "POST /fennelscale/maintenance";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "POST /fennelscale/maintenance";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         (asked.path == MAINTENANCE && asked.method == Method::POST).then(|| {
             let changes = fennelscale_config::parse_call(&asked.body).map(Self);
             changes.map_err(|invalid| Failure::new(Kind::Invalid, invalid.0))
@@ -111,24 +111,24 @@
 
 impl Call for Failures {
     type Answer = Json;
-    const FORM: &'static str = "GET /fennelscale/failures";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "GET /fennelscale/failures";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         (asked.path == "/fennelscale/failures").then(|| method(asked, &[Method::GET]).map(|()| Self))
     }
 }
 
 impl Call for Status {
     type Answer = Json;
-    const FORM: &'static str = "GET /fennelscale/status";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "GET /fennelscale/status";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         (asked.path == "/fennelscale/status").then(|| method(asked, &[Method::GET]).map(|()| Self))
     }
 }
 
 impl Call for Resolve {
     type Answer = Json;
-    const FORM: &'static str = "GET /fennelscale/resolve";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "GET /fennelscale/resolve";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         if asked.path != "/fennelscale/resolve" {
             return None;
         }
@@ -150,15 +150,15 @@
         StoreResponse::Conflict(text) => Err(Failure::new(Kind::Conflict, text)),
         StoreResponse::Forgotten => {
             let text = "older than the versions that are remembered: without effect, and not known whether it was ever taken";
-            Err(Failure::new(Kind::Unclear, text))
+            Err(Failure::new(Kind::OutcomeUnknown, text))
         }
         StoreResponse::Fresh(_) | StoreResponse::Unclear => {
-            Err(Failure::new(Kind::Unclear, "no quorum of stores has answered"))
+            Err(Failure::new(Kind::OutcomeUnknown, "no quorum of stores has answered"))
         }
     }
 }
 
-impl Serves<PatchConfig> for Rc<Registry> {
+impl Handler<PatchConfig> for Rc<Registry> {
     async fn serve(&self, call: PatchConfig) -> Result<Done, Failure> {
         let items = call.0.len();
         if let Some((order, node, why)) = check_orders(self, &call.0).into_iter().next() {
@@ -203,7 +203,7 @@
         let invalid =
             |text: String| Failure::new(Kind::Invalid, format!("failure order {}: {text}", order.name));
         let settings = registry.settings.borrow().clone();
-        let Some(limits) = &settings.failures else {
+        let Some(limits) = &settings.failure_limits else {
             return Err(invalid("the settings have no table failureOrders, so there are none".into()));
         };
         limits.check(&order).map_err(invalid)?;
@@ -221,7 +221,7 @@
     Ok(())
 }
 
-impl Serves<Failures> for Rc<Registry> {
+impl Handler<Failures> for Rc<Registry> {
     async fn serve(&self, _: Failures) -> Result<Json, Failure> {
         let counts = self.state.borrow().failure_counts();
         let totals = |[served, refused, failed]: &[u64; 3]| {
@@ -242,7 +242,7 @@
     }
 }
 
-impl Serves<CheckOrders> for Rc<Registry> {
+impl Handler<CheckOrders> for Rc<Registry> {
     async fn serve(&self, call: CheckOrders) -> Result<Json, Failure> {
         let missing = check_orders(self, &call.0);
         let missing: Vec<String> = missing
@@ -256,7 +256,7 @@
     }
 }
 
-impl Serves<Maintenance> for Rc<Registry> {
+impl Handler<Maintenance> for Rc<Registry> {
     async fn serve(&self, _: Maintenance) -> Result<Json, Failure> {
         let (time, orders) = self.state.borrow_mut().maintenance_status(self.now());
         let list = |texts: &[String]| texts.iter().map(|t| quoted(t)).collect::<Vec<_>>().join(",");
@@ -289,14 +289,14 @@
     }
 }
 
-impl Serves<GetConfig> for Rc<Registry> {
+impl Handler<GetConfig> for Rc<Registry> {
     async fn serve(&self, _: GetConfig) -> Result<Json, Failure> {
         let items = items_or_failure(self.call_store(StoreRequest::Read).await)?.unwrap_or_default();
         Ok(Json(fennelscale_config::render_items(items.iter().map(|(name, entry)| (name.as_str(), entry)))))
     }
 }
 
-impl Serves<Evacuate> for Rc<Registry> {
+impl Handler<Evacuate> for Rc<Registry> {
     async fn serve(&self, Evacuate(zone, on): Evacuate) -> Result<Done, Failure> {
         if !self.settings.borrow().zones.contains_key(&zone) {
             return Err(Failure::new(Kind::NotFound, format!("there is no zone {zone}")));
@@ -311,7 +311,7 @@
     sonic_rs::to_string(text).unwrap_or_else(|_| "\"\"".into())
 }
 
-impl Serves<Status> for Rc<Registry> {
+impl Handler<Status> for Rc<Registry> {
     async fn serve(&self, _: Status) -> Result<Json, Failure> {
         let pairs = self.state.borrow().status(self.now());
         let pairs: Vec<String> =
@@ -320,7 +320,7 @@
     }
 }
 
-impl Serves<Resolve> for Rc<Registry> {
+impl Handler<Resolve> for Rc<Registry> {
     async fn serve(&self, call: Resolve) -> Result<Json, Failure> {
         let settings = self.settings.borrow().clone();
         let region = match settings.zones.get(&call.zone) {
@@ -329,18 +329,18 @@
         };
         let proxies = self.state.borrow().resolve(self.now(), region);
         if proxies.is_empty() {
-            return Err(Failure::new(Kind::NoRoom, "no proxy takes clients now"));
+            return Err(Failure::new(Kind::Overloaded, "no proxy takes clients now"));
         }
         let address =
             |proxy: &fennelscale_messages::session::ProxyInfo| format!("\"{}:{}\"", proxy.host, proxy.port);
         let addresses: Vec<String> = proxies.iter().take(MAX_ADDRESSES).map(address).collect();
-        let ttl = DIRECTORY_TTL.min(self.settings.borrow().bounds.ttl_most).as_millis();
+        let ttl = DIRECTORY_TTL.min(self.settings.borrow().bounds.max_ttl).as_millis();
         Ok(Json(format!("{{\"addresses\":[{}],\"ttl\":\"{ttl}ms\"}}", addresses.join(","))))
     }
 }
 
 /// Serves the API for operators.
-pub async fn control(registry: &Rc<Registry>, asked: Asked) -> Option<Response<Full<Bytes>>> {
+pub async fn control(registry: &Rc<Registry>, asked: ApiRequest) -> Option<Response<Full<Bytes>>> {
     let answer = answer(registry, &asked).await?;
     // Rejected reads are not recorded as events; they only concern the caller.
     if let Some(failure) = answer.extensions().get::<Failure>()
@@ -348,7 +348,7 @@
         && asked.method != Method::GET
     {
         let name = asked.path.strip_prefix("/fennelscale/").unwrap_or(&asked.path);
-        let cause = format!("{}: {}", failure.kind.row().1, failure.text);
+        let cause = format!("{}: {}", failure.kind.description().1, failure.text);
         registry.with(|state, now| state.on_call_refused(now, name, &cause));
     }
     Some(answer)
@@ -364,7 +364,7 @@
     }};
 }
 
-async fn answer(registry: &Rc<Registry>, asked: &Asked) -> Option<Response<Full<Bytes>>> {
+async fn answer(registry: &Rc<Registry>, asked: &ApiRequest) -> Option<Response<Full<Bytes>>> {
     first_of!(
         registry,
         asked,
@@ -381,6 +381,6 @@
 }
 
 /// Serves the directory for clients.
-pub async fn directory(registry: &Rc<Registry>, asked: Asked) -> Option<Response<Full<Bytes>>> {
+pub async fn directory(registry: &Rc<Registry>, asked: ApiRequest) -> Option<Response<Full<Bytes>>> {
     handle::<Resolve, _>(registry, &asked).await
 }
--- a/system/registry/src/backend_list.rs
+++ b/system/registry/src/backend_list.rs
@@ -30,7 +30,7 @@
 }
 
 async fn read_pages(settings: &Settings) -> Result<Vec<Backend>, &'static str> {
-    let address = settings.cloud.address;
+    let address = settings.cloud_api.address;
     let mut link = Link::connect(address, CONNECT_TIMEOUT, false).await.map_err(|_| "no connection")?;
     // The list may change between pages; if a backend is on two pages, the later entry counts.
     let mut all: BTreeMap<String, Backend> = BTreeMap::new();
--- a/system/registry/src/events.rs
+++ b/system/registry/src/events.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{method, quoted};
 use crate::registry::Registry;
-use fennelscale_host::call::{Asked, Call, Json, Serves};
+use fennelscale_host::call::{ApiRequest, Call, Handler, Json};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_membership::feed::{self, Event};
 use fennelscale_membership::merge::{self, Cursor, MergedEvents};
@@ -34,8 +34,8 @@
 
 impl Call for Events {
     type Answer = Json;
-    const FORM: &'static str = "GET /fennelscale/events";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "GET /fennelscale/events";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         if asked.path != "/fennelscale/events" {
             return None;
         }
@@ -68,7 +68,7 @@
     }
 }
 
-impl Serves<Events> for Rc<Registry> {
+impl Handler<Events> for Rc<Registry> {
     async fn serve(&self, call: Events) -> Result<Json, Failure> {
         let merged = self.events(call).await;
         let event = |(host, event): &(Host, Event)| {
--- a/system/registry/src/registry.rs
+++ b/system/registry/src/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::api;
 use crate::backend_list;
-use fennelscale_host::link::{self, Peers, Reader, Writer, hear, split};
+use fennelscale_host::link::{self, Peers, Reader, Writer, receive, split};
 use fennelscale_host::start::Signals;
 use fennelscale_host::{call, spawn, start};
 use fennelscale_membership::{Output, RegistryState};
@@ -65,15 +65,15 @@
     let host = Host::from_ip(settings.ip).ok_or_else(|| missing("ipAddress (IPv4)"))?;
     let control = settings.listen.control.ok_or_else(|| missing("listenAddresses.controlPlane"))?;
     let directory = settings.listen.directory.ok_or_else(|| missing("listenAddresses.directory"))?;
-    let incarnation = start::life() >> 1;
+    let incarnation = start::random_incarnation() >> 1;
     let mut state =
         RegistryState::new(host, incarnation, &settings.zone, &settings.region, settings.bootstrap, 0.0);
-    let tolerance = settings.tolerance;
+    let tolerance = settings.fault_tolerance;
     state.set_deployment(settings.zones.clone(), tolerance.machines, (tolerance.zones, tolerance.regions));
-    let peers = Peers::new(host, settings.own(Port::Postmaster).port());
-    let registry_listener = start::listen(settings.own(Port::Postmaster)).await?;
-    let session_listener = start::listen(settings.own(Port::Sessions)).await?;
-    let store_listener = start::listen(settings.own(Port::Shelf)).await?;
+    let peers = Peers::new(host, settings.own_address(Port::Registries).port());
+    let registry_listener = start::listen(settings.own_address(Port::Registries)).await?;
+    let session_listener = start::listen(settings.own_address(Port::Sessions)).await?;
+    let store_listener = start::listen(settings.own_address(Port::RegistryForStore)).await?;
     let (control, directory) = (start::listen(control).await?, start::listen(directory).await?);
     let registry = Rc::new(Registry {
         settings: RefCell::new(Rc::new(settings)),
@@ -90,7 +90,7 @@
         started_at: Instant::now(),
     });
     let receiver = registry.clone();
-    hear(registry_listener, move |from, message: RegistryMessage| {
+    receive(registry_listener, move |from, message: RegistryMessage| {
         receiver.with(|state, now| state.receive_from_registry(now, from, message))
     });
     let server = registry.clone();
@@ -137,8 +137,8 @@
     /// Reads the settings file again; the address of the platform may have changed. An invalid file is
     /// ignored.
     fn reload_settings(&self) {
-        if let Some(settings) = start::again() {
-            let platform_moved = settings.cloud != self.settings.borrow().cloud;
+        if let Some(settings) = start::reload_settings() {
+            let platform_moved = settings.cloud_api != self.settings.borrow().cloud_api;
             tracing::info!(event = "settings-read", platform_moved);
             *self.settings.borrow_mut() = Rc::new(settings);
         }
--- a/system/registry/src/requests.rs
+++ b/system/registry/src/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::api::method;
 use crate::registry::{Registry, RequestRecords};
-use fennelscale_host::call::{Asked, Call, Json, Serves};
+use fennelscale_host::call::{ApiRequest, Call, Handler, Json};
 use fennelscale_host::error::{Failure, Kind};
 use fennelscale_messages::Host;
 use fennelscale_messages::registry::RegistryMessage;
@@ -26,8 +26,8 @@
 
 impl Call for Request {
     type Answer = Json;
-    const FORM: &'static str = "GET /fennelscale/requests/ID";
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>> {
+    const PATTERN: &'static str = "GET /fennelscale/requests/ID";
+    fn read(asked: &ApiRequest) -> Option<Result<Self, Failure>> {
         let id = asked.path.strip_prefix(REQUESTS_PATH)?;
         Some(method(asked, &[Method::GET]).and_then(|()| {
             if id.is_empty() || id.len() > MAX_ID_LENGTH {
@@ -38,7 +38,7 @@
     }
 }
 
-impl Serves<Request> for Rc<Registry> {
+impl Handler<Request> for Rc<Registry> {
     async fn serve(&self, Request(id): Request) -> Result<Json, Failure> {
         let records = self.request_records(fennelscale_messages::hash(id.as_bytes())).await;
         let lines: Vec<String> = records
