--- a/system/host/src/call.rs
+++ b/system/host/src/call.rs
@@ -1,5 +1,5 @@
-//! Calls from outside: each call and its answer are a pair of types, and one generic handler reads the one, has it served and
-//! writes the other.
+//! The HTTP API: each call and its answer are a pair of types. One generic function parses the call, runs its
+//! handler and writes the response.
 
 use crate::error::{Failure, Kind};
 use crate::spawn;
@@ -20,35 +20,35 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// The longest body of a call. Ten thousand routes fit.
+/// The largest request body. 10,000 routes fit.
 const MAX_BODY: usize = 8 << 20;
-/// Connections of callers that are open at once; more wait in the machine's line.
+/// Concurrent client connections; further ones wait in the kernel's accept queue.
 const MAX_CONNECTIONS: usize = 200;
-/// A call must be read whole within this, and its answer begun within the other.
+/// Time limit for reading a whole request; [`SERVE_TIMEOUT`] limits the time until its response starts.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 const SERVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A call as it came.
+/// A request as received.
 pub struct ApiRequest {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path.
+    /// The path.
     pub path: String,
-    /// Its query; empty without one.
+    /// The query string; empty if there is none.
     pub query: String,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
 impl ApiRequest {
-    /// A value of the query, with its percent signs resolved.
+    /// A query parameter, percent-decoded.
     pub fn query(&self, name: &str) -> Option<String> {
         let mut pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| percent_decode(value))
     }
 }
 
-/// Percent signs resolved; one that is none stays.
+/// Percent-decodes a text; invalid escapes are kept as they are.
 fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let (mut out, mut at) = (Vec::with_capacity(bytes.len()), 0);
@@ -68,23 +68,23 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// A kind of call.
+/// A type of API call.
 pub trait Call: Sized {
-    /// What answers it.
+    /// The type of its answer.
     type Answer: Answer;
-    /// Methods and path, as documents write it.
+    /// Methods and path, as written in the documentation.
     const PATTERN: &'static str;
-    /// Reads it; none if the call is of another kind, by method or path.
+    /// Parses the request; `None` if its method or path belongs to another type of call.
     fn read(request: &ApiRequest) -> Option<Result<Self, Failure>>;
 }
 
-/// What answers a call.
+/// The answer to a call.
 pub trait Answer {
-    /// The body, where there is one: JSON.
+    /// The JSON body, if there is one.
     fn body(self) -> Option<String>;
 }
 
-/// Nothing but that it is done.
+/// Success without a body.
 pub struct Done;
 
 impl Answer for Done {
@@ -93,7 +93,7 @@
     }
 }
 
-/// A text of JSON.
+/// A JSON text.
 pub struct Json(pub String);
 
 impl Answer for Json {
@@ -102,13 +102,14 @@
     }
 }
 
-/// Who serves a kind of call.
+/// Handles a type of call.
 pub trait Handler<C: Call> {
-    /// Serves it.
+    /// Handles the call.
     fn serve(&self, call: C) -> impl Future<Output = Result<C::Answer, Failure>>;
 }
 
-/// The one handler: reads a call of a kind, has it served, writes the answer. None if the call is of another kind.
+/// Parses a call of type `C`, runs its handler and builds the response. `None` if the request is another type
+/// of call.
 pub async fn handle<C: Call, S: Handler<C>>(
     server: &S, request: &ApiRequest,
 ) -> Option<Response<Full<Bytes>>> {
@@ -136,14 +137,14 @@
                 );
             }
             let mut response = error_response(&failure);
-            // For whoever tells others of it.
+            // Lets the caller record the failure in the event feed.
             response.extensions_mut().insert(failure);
             response
         }
     })
 }
 
-/// The answer to a call without success.
+/// The response to a failed call.
 pub fn error_response(failure: &Failure) -> Response<Full<Bytes>> {
     let (status, name, help) = failure.kind.description();
     let text =
@@ -164,7 +165,8 @@
     response
 }
 
-/// Serves calls on a listener for as long as the program runs. `serve` answers what it knows.
+/// Serves requests on a listener until the program ends. `serve` returns `None` for calls that it does not
+/// know.
 pub fn listen<F>(listener: TcpListener, serve: impl Fn(ApiRequest) -> F + 'static)
 where
     F: Future<Output = Option<Response<Full<Bytes>>>> + 'static,
@@ -184,7 +186,7 @@
                     let serve = serve.clone();
                     async move { Ok::<_, Infallible>(answer(request, &*serve).await) }
                 });
-                // A caller that says nothing gives its place back in time.
+                // The read timeout frees the permit of an idle client.
                 let connection = http1::Builder::new()
                     .timer(TokioTimer::new())
                     .header_read_timeout(READ_TIMEOUT)
@@ -223,7 +225,7 @@
     use super::*;
 
     #[test]
-    fn a_query_is_read_with_its_percent_signs() {
+    fn query_parameters_are_percent_decoded() {
         let query = "name=a%2Eexample&zone=x+y&bad=%zz".to_owned();
         let request = ApiRequest { method: Method::GET, path: "/".into(), query, body: Bytes::new() };
         assert_eq!(request.query("name").as_deref(), Some("a.example"));
--- a/system/host/src/error.rs
+++ b/system/host/src/error.rs
@@ -1,37 +1,37 @@
-//! The one closed list of what a caller can be told besides success, and the table from kind to answer.
+//! All errors that an API caller or client can receive, and the table from error kind to response.
 
 use hyper::StatusCode;
 
-/// Why a call has no success.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It cannot be read.
+    /// The request cannot be parsed.
     Malformed,
-    /// It is read, and can't be.
+    /// The request is well-formed but its content is invalid.
     Invalid,
-    /// It stands against a newer version.
+    /// It conflicts with a newer version.
     Conflict,
-    /// There is no such thing.
+    /// The resource does not exist.
     NotFound,
-    /// The thing is there and does not take this method.
+    /// The resource exists but does not support this method.
     MethodNotAllowed,
-    /// It is too long.
+    /// The request is too large.
     TooLarge,
-    /// A key is missing or not known.
+    /// The API key is missing or unknown.
     InvalidKey,
-    /// A quota is spent.
+    /// A quota is exhausted.
     OverQuota,
-    /// Nobody can take it now; it has not run and will not.
+    /// There is no capacity for it now; it has not been executed and will not be.
     Overloaded,
-    /// Nothing is known of how it went.
+    /// Whether it was executed is unknown.
     OutcomeUnknown,
-    /// A backend gave no usable answer.
+    /// A backend sent an unusable response.
     InvalidBackendResponse,
-    /// A backend gave no answer in time.
+    /// A backend did not respond in time.
     BackendTimeout,
 }
 
-/// Every kind, for tests and documents.
+/// Every kind, for tests and documentation.
 pub const ALL: [Kind; 12] = [
     Kind::Malformed,
     Kind::Invalid,
@@ -48,7 +48,7 @@
 ];
 
 impl Kind {
-    /// The status that answers it, its name in logs, and what to do.
+    /// The response status, the name in logs and response bodies, and the help text.
     pub const fn description(self) -> (StatusCode, &'static str, &'static str) {
         match self {
             Self::Malformed => {
@@ -76,28 +76,28 @@
         }
     }
 
-    /// The status that answers it.
+    /// The response status.
     pub const fn status(self) -> StatusCode {
         self.description().0
     }
 
-    /// Whether the answer is a promise that the call has not run and never will.
+    /// Whether the response guarantees that the call has not been executed and never will be.
     pub const fn guarantees_not_executed(self) -> bool {
         matches!(self, Self::OverQuota | Self::Overloaded)
     }
 }
 
-/// A call without success: its kind, and what exactly, for who sent it.
+/// A failed call: the kind of error and the details for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Failure {
-    /// The kind.
+    /// The kind of error.
     pub kind: Kind,
-    /// What exactly.
+    /// The details.
     pub text: String,
 }
 
 impl Failure {
-    /// A failure of a kind.
+    /// Creates a failure.
     pub fn new(kind: Kind, text: impl Into<String>) -> Self {
         Self { kind, text: text.into() }
     }
@@ -108,13 +108,18 @@
     use super::*;
 
     #[test]
-    fn only_promises_have_the_status_of_one() {
+    fn only_unexecuted_calls_get_a_status_that_says_so() {
         for kind in ALL {
             let (status, name, help) = kind.description();
             assert!(!name.is_empty() && !help.is_empty() && !status.is_success());
-            // 429 and 503 say that nothing has run. To an operator a 503 says so too: it sends the same again.
-            let promise = [429, 503, 408, 421].contains(&status.as_u16());
-            assert_eq!(promise, kind.guarantees_not_executed() || kind == Kind::OutcomeUnknown, "{kind:?}");
+            // 429 and 503 say that nothing was executed. `OutcomeUnknown` also uses 503: the operator repeats
+            // the same call.
+            let retry_is_safe = [429, 503, 408, 421].contains(&status.as_u16());
+            assert_eq!(
+                retry_is_safe,
+                kind.guarantees_not_executed() || kind == Kind::OutcomeUnknown,
+                "{kind:?}"
+            );
         }
     }
 }
--- a/system/host/src/lib.rs
+++ b/system/host/src/lib.rs
@@ -1,6 +1,7 @@
-//! Plumbing of the system's programs: frames on sockets, links to others, calls from outside, logs, the start.
+//! Runtime support for the system's programs: framed connections, the HTTP API, logging and startup.
 //!
-//! Everything runs on one thread. Nothing is decided here: the machines say what to send, write and answer.
+//! Everything runs on one thread. Decisions are left to the state machines, which say what to send, write and
+//! answer.
 
 pub mod call;
 pub mod error;
@@ -10,7 +11,7 @@
 
 use std::future::Future;
 
-/// Runs a task for as long as the program runs.
+/// Spawns a task on the local thread; it may run until the program ends.
 pub fn spawn(task: impl Future<Output = ()> + 'static) {
     tokio::task::spawn_local(task);
 }
--- a/system/host/src/link.rs
+++ b/system/host/src/link.rs
@@ -1,8 +1,8 @@
-//! Frames on sockets. A [`Line`] carries words both ways; [`Peers`] keeps one connection to each of several others and says unused
-//! on those that are down.
+//! Framed messages over TCP. [`split`] gives the two halves of a bidirectional connection; [`Peers`] keeps
+//! one outgoing connection to each of several hosts and drops messages for those that are down.
 //!
-//! Guards against machines without power and cuts: connections come up within [`CONNECT_TIMEOUT`] or not, and what is written and
-//! not acknowledged within [`USER_TIMEOUT`] ends its connection.
+//! Two timeouts guard against powered-off hosts and network partitions: [`CONNECT_TIMEOUT`] for connecting,
+//! and [`USER_TIMEOUT`] for data that is written but not acknowledged.
 
 use crate::spawn;
 use fennelscale_messages::{Host, decode_frame, encode_frame, frame_length};
@@ -18,44 +18,44 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// A connection comes up within this: two ways there and back between the farthest regions, and some.
+/// Time limit for connecting: two round trips between the most distant regions, and a margin.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Bytes that are not acknowledged for this long end their connection.
+/// A connection is closed when data stays unacknowledged for this long.
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// After a connection failed the next is tried after this.
+/// Delay before reconnecting after a failed attempt.
 const RECONNECT_DELAY: Duration = Duration::from_millis(120);
-/// Frames that wait to be written on one connection; beyond that its reader is as good as gone.
+/// Frames queued for one connection; if more are waiting, the receiver is treated as gone.
 const MAX_QUEUED_FRAMES: usize = 4096;
-/// Frames are joined into writes of about this size.
+/// Queued frames are combined into writes of about this size.
 const WRITE_SIZE: usize = 64 * 1024;
 
-/// A connection ready for words.
+/// Connects and configures the socket for messages.
 pub async fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await??;
     configure(&stream)?;
     Ok(stream)
 }
 
-/// Sets a connection up for words.
+/// Configures a socket for messages.
 pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    // Where the system does not know this, the beats that go over each connection show a dead one later.
+    // On systems without this option, missing heartbeats reveal a dead connection, only later.
     let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
     Ok(())
 }
 
-/// The reading end of a connection.
+/// The receiving half of a connection.
 pub struct Reader(BufReader<OwnedReadHalf>);
 
 impl Reader {
-    /// The next message; an error when the connection is down or brings what is no message.
+    /// Receives the next message; an error if the connection is down or the data cannot be decoded.
     pub async fn next<T: for<'a> bitcode::Decode<'a>>(&mut self) -> io::Result<T> {
         let mut head = [0; 4];
         self.0.read_exact(&mut head).await?;
         let unreadable = |error| io::Error::new(io::ErrorKind::InvalidData, error);
         let length = frame_length(head).map_err(unreadable)?;
-        // Grows with what comes: a length alone takes no memory.
+        // The buffer grows with the received data, so that a length prefix alone allocates little.
         let mut body = Vec::with_capacity(length.min(WRITE_SIZE));
         (&mut self.0).take(length as u64).read_to_end(&mut body).await?;
         if body.len() < length {
@@ -65,23 +65,24 @@
     }
 }
 
-/// The writing end of a connection; more than [`MAX_QUEUED_FRAMES`] frames are not kept.
+/// The sending half of a connection; it queues at most [`MAX_QUEUED_FRAMES`] frames.
 #[derive(Clone)]
 pub struct Writer(mpsc::Sender<Rc<Vec<u8>>>);
 
 impl Writer {
-    /// Sends a message; false if the connection is down or full.
+    /// Queues a message; false if the connection is down or its queue is full.
     pub fn send<T: bitcode::Encode>(&self, message: &T) -> bool {
         self.0.try_send(Rc::new(encode_frame(message))).is_ok()
     }
 
-    /// Sends a frame that goes to several.
+    /// Queues an encoded frame, which can be shared between connections.
     pub fn send_frame(&self, frame: &Rc<Vec<u8>>) -> bool {
         self.0.try_send(frame.clone()).is_ok()
     }
 }
 
-/// Both ends of a connection. Writing goes on until the writer is dropped or the connection fails.
+/// Splits a connection into its halves. Queued frames are written until the writer is dropped or the
+/// connection fails.
 pub fn split(stream: TcpStream) -> (Reader, Writer) {
     let (input, output) = stream.into_split();
     let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
@@ -98,7 +99,7 @@
     let _ = output.shutdown().await;
 }
 
-/// The next frames as one write.
+/// Combines the next queued frames into one write.
 async fn next_batch(frames: &mut mpsc::Receiver<Rc<Vec<u8>>>) -> Option<Vec<u8>> {
     let mut bytes = frames.recv().await?.to_vec();
     while bytes.len() < WRITE_SIZE {
@@ -108,7 +109,7 @@
     Some(bytes)
 }
 
-/// Lines to several others, each made when there is something to say.
+/// Outgoing connections to several hosts, each opened when there is something to send.
 pub struct Peers {
     me: Host,
     port: u16,
@@ -116,12 +117,12 @@
 }
 
 impl Peers {
-    /// Lines from this machine to that port of others.
+    /// Prepares connections from this host to the given port of others.
     pub fn new(me: Host, port: u16) -> Self {
         Self { me, port, connections: RefCell::default() }
     }
 
-    /// Sends a message. It is lost if the connection is down: whoever needs it sent for certain sends it again.
+    /// Sends a message. It is lost if the connection is down; callers that need delivery must retry.
     pub fn send<T: bitcode::Encode>(&self, to: Host, message: &T) {
         let mut connections = self.connections.borrow_mut();
         let connection = connections.entry(to).or_insert_with(|| {
@@ -134,7 +135,7 @@
     }
 }
 
-/// Keeps a connection: connects when there is something to say, and forgets what could not be said.
+/// Maintains a connection: connects when there is something to send, and drops queued frames if that fails.
 async fn run_connection(me: Host, to: SocketAddr, mut frames: mpsc::Receiver<Rc<Vec<u8>>>) {
     while let Some(first) = next_batch(&mut frames).await {
         let Ok(stream) = connect(to).await else {
@@ -155,15 +156,17 @@
                     Some(more) => bytes = more,
                     None => return,
                 },
-                // The other side says unused on this connection: what ends here is the connection.
+                // The peer sends nothing on this connection, so that a completed read means that it has
+                // ended.
                 _ = input.read(&mut unused) => break,
             }
         }
     }
 }
 
-/// Hears what others say on connections of [`Peers`], for as long as the program runs. Of connections from one machine only the newest is on_message: what a
-/// former life of its process said, or what was held up on a connection that it has given up, is not taken after it.
+/// Receives messages from the [`Peers`] of other hosts until the program ends. Only the newest connection of
+/// each host counts: messages of an earlier incarnation of its process, or delayed on an abandoned
+/// connection, are ignored.
 pub fn receive<T: for<'a> bitcode::Decode<'a> + 'static>(
     listener: TcpListener, on_message: impl Fn(Host, T) + 'static,
 ) {
@@ -200,7 +203,7 @@
     });
 }
 
-/// Takes connections for as long as the program runs.
+/// Accepts connections until the program ends.
 pub fn accept<F: Future<Output = ()> + 'static>(
     listener: TcpListener, serve: impl Fn(TcpStream) -> F + 'static,
 ) {
--- a/system/host/src/log.rs
+++ b/system/host/src/log.rs
@@ -1,5 +1,5 @@
-//! Logs: one line of `key=value` pairs for each event, on standard error. In a second no more than [`MAX_LINES_PER_SECOND`] of them are
-//! written; the next line after that says how many were left out.
+//! Logging: one line of `key=value` pairs for each event, on standard error. At most [`MAX_LINES_PER_SECOND`]
+//! are written per second; the next line after that reports how many were dropped.
 
 use std::fmt::{self, Write as _};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,8 +10,8 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Lines in a second: a storm of changes or lost sessions must cost requests nothing. Single steps are not counted, who wants
-/// them wants all.
+/// Keeps a burst of changes or lost sessions from slowing down requests. Debug events are exempt: whoever
+/// turns them on wants all of them.
 const MAX_LINES_PER_SECOND: u32 = 200;
 
 struct LineFormat {
@@ -20,7 +20,7 @@
     limit: Arc<Mutex<RateLimit>>,
 }
 
-/// What was written in the second at hand, and what was not since the last line.
+/// Lines written in the current second, and lines dropped since the last one written.
 #[derive(Default)]
 struct RateLimit {
     second: u64,
@@ -29,7 +29,7 @@
 }
 
 impl RateLimit {
-    /// Whether a line may be written now.
+    /// Whether another line may be written now; counts it either way.
     fn try_take(&mut self, second: u64) -> bool {
         if second != self.second {
             (self.second, self.lines) = (second, 0);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Passes events on to be written, as many as may be.
+/// Filters events by the rate limit.
 struct RateLimited {
     start: std::time::Instant,
     limit: Arc<Mutex<RateLimit>>,
@@ -68,7 +68,7 @@
         let unquoted =
             !value.is_empty() && !value.contains(|c: char| c.is_whitespace() || c == '"' || c.is_control());
         self.1 = self.1.and_then(|()| match name {
-            // Pairs that a machine made already.
+            // Already formatted as pairs by a state machine.
             "about" => write!(self.0, " {value}"),
             _ if unquoted => write!(self.0, " {name}={value}"),
             _ => write!(self.0, " {name}={value:?}"),
@@ -112,7 +112,7 @@
     }
 }
 
-/// Has all events of this process written, each with the machine's name; `debug` those too that tell of single steps.
+/// Installs the log subscriber, which adds the node's name to each event; `debug` enables debug events.
 pub fn init(node: &str, debug: bool) {
     let start = std::time::Instant::now();
     let limit = Arc::<Mutex<RateLimit>>::default();
@@ -124,7 +124,7 @@
         .event_format(line)
         .finish()
         .with(RateLimited { start, limit });
-    // A second start in one process keeps the first.
+    // If one process starts several programs, the first subscriber stays.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
@@ -147,7 +147,7 @@
     }
 
     #[test]
-    fn an_event_is_one_line_of_pairs() {
+    fn an_event_is_written_as_one_line_of_pairs() {
         let (start, limit) = (std::time::Instant::now(), Arc::default());
         let (captured, line) = (Capture::default(), LineFormat { node: "n1".into(), start, limit });
         let to = captured.clone();
@@ -165,11 +165,11 @@
     }
 
     #[test]
-    fn a_storm_of_events_is_cut_short_and_what_is_left_out_is_counted() {
+    fn a_burst_of_events_is_limited_and_dropped_lines_are_counted() {
         let (captured, start) = (Capture::default(), std::time::Instant::now());
         let (to, limit) = (captured.clone(), Arc::<Mutex<RateLimit>>::default());
         let line = LineFormat { node: "n1".into(), start, limit: limit.clone() };
-        // A second that does not end: it is the limit's, not the clock's.
+        // A start in the future keeps the elapsed time at 0, so that the second never ends by the clock.
         let limited =
             RateLimited { start: start + std::time::Duration::from_secs(3600), limit: limit.clone() };
         let subscriber =
@@ -192,7 +192,7 @@
     }
 
     #[test]
-    fn each_second_has_its_lines() {
+    fn the_line_limit_applies_to_each_second() {
         let mut limit = RateLimit::default();
         let taken = |limit: &mut RateLimit, second| (0..1000).filter(|_| limit.try_take(second)).count();
         assert_eq!([taken(&mut limit, 7), taken(&mut limit, 8)], [MAX_LINES_PER_SECOND as usize; 2]);
--- a/system/host/src/start.rs
+++ b/system/host/src/start.rs
@@ -1,4 +1,4 @@
-//! The start and the end of a program.
+//! Startup and shutdown of a program.
 
 use fennelscale_node_settings::{Settings, SettingsError};
 use std::future::Future;
@@ -9,15 +9,15 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// Signals that a program heeds.
+/// Signals that a program handles.
 pub struct Signals {
-    /// It is to end.
+    /// SIGTERM: shut down.
     pub terminate: Signal,
-    /// Its settings have changed.
+    /// SIGHUP: reload the settings.
     pub hangup: Signal,
 }
 
-/// Runs a program on this one thread. It ends with status 2 if it cannot start.
+/// Runs a program on the current thread. The exit status is 2 if it cannot start.
 pub fn run<F: Future<Output = miette::Result<()>>>(
     program: &str, debug: bool, main: impl FnOnce(Settings, Signals) -> F,
 ) -> ExitCode {
@@ -46,21 +46,21 @@
     }
 }
 
-/// Runs a program, or where `only_check` says so checks its settings file.
+/// Runs a program, or only checks its settings file if `only_check` is set.
 pub fn run_or_check<F: Future<Output = miette::Result<()>>>(
     program: &str, only_check: bool, debug: bool, main: impl FnOnce(Settings, Signals) -> F,
 ) -> ExitCode {
     if only_check { check(program) } else { run(program, debug, main) }
 }
 
-/// Checks a settings file and says what is wrong with it.
+/// Checks the settings file and prints which fields are used and ignored, or the error.
 pub fn check(program: &str) -> ExitCode {
     match Settings::from_environment_with_report() {
         Ok((settings, report)) => {
             let list = |fields: &[String]| {
                 if fields.is_empty() { "nothing".to_owned() } else { fields.join(", ") }
             };
-            // Whoever reads may stop before the end: that is no fault.
+            // A reader that closes the pipe early is not an error.
             let _ = writeln!(
                 std::io::stdout(),
                 "{program}: settings of {} can be used\n  taken: {}\n  ignored: {}",
@@ -80,10 +80,10 @@
     ExitCode::from(2)
 }
 
-/// Listens, or says where it could not.
+/// Binds a listener; an error names the address.
 ///
 /// # Errors
-/// When the address cannot be had.
+/// If the address cannot be bound.
 pub async fn listen(at: SocketAddr) -> miette::Result<TcpListener> {
     TcpListener::bind(at).await.map_err(|error| {
         miette::miette!(
@@ -93,7 +93,7 @@
     })
 }
 
-/// Reads the settings again after a SIGHUP; unusable ones change nothing.
+/// Reads the settings again after a SIGHUP; `None` if they are invalid.
 pub fn reload_settings() -> Option<Settings> {
     match Settings::from_environment() {
         Ok(settings) => Some(settings),
@@ -105,13 +105,13 @@
     }
 }
 
-/// A number that differs from start to start.
+/// A random number that identifies this run of the process.
 pub fn random_incarnation() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
 
-/// The command line of a program of the system: its name, a line that says what it is, and what it runs.
+/// Defines a program's command line from its name, a description and the function to run.
 #[macro_export]
 macro_rules! program {
     ($name:literal, $what:literal, $run:path) => {
@@ -126,13 +126,13 @@
             verbose: bool,
         }
 
-        /// Runs the program by its arguments.
+        /// Runs the program with its command-line arguments.
         pub fn main() -> std::process::ExitCode {
             let arguments = <Arguments as gumdrop::Options>::parse_args_default_or_exit();
             $crate::start::run_or_check($name, arguments.check, arguments.verbose, $run)
         }
 
-        /// Runs the program with a settings file and usual arguments, for programs that are several in one.
+        /// Runs the program with default arguments, for binaries that contain several programs.
         pub fn run_plain() -> std::process::ExitCode {
             $crate::start::run($name, false, $run)
         }
--- a/system/node-settings/src/bounds.rs
+++ b/system/node-settings/src/bounds.rs
@@ -1,4 +1,4 @@
-//! The figures of the rules, as the settings give them.
+//! Bounds of the system's guarantees, as given in the settings.
 
 use crate::read::{self, Document, SettingsError};
 use std::collections::BTreeMap;
@@ -6,7 +6,8 @@
 
 macro_rules! bounds {
     ($($field:ident: $kind:ident = $name:literal, $fallback:literal, $what:literal;)*) => {
-        /// The figures of the rules; one that the file does not name has the value that the rules' page gives as usual.
+        /// Bounds of the system's guarantees; one that the file does not set has the default of the rules'
+        /// page.
         #[derive(Clone, Debug, PartialEq)]
         pub struct Bounds {
             $(#[doc = $what] pub $field: $kind,)*
@@ -50,16 +51,16 @@
 }
 
 bounds! {
-    contact_window: Duration = "contactWindow", "5000ms", "Rules with a bound hold for machines in touch for this long.";
-    drain: Duration = "drain", "4000ms", "A backend gets nothing this long after it was seen to drain.";
-    grace: Duration = "gracePeriod", "6s", "From SIGTERM to SIGKILL.";
-    config_apply: Duration = "configApply", "4000ms", "A change is in force this long after its acknowledgement.";
-    retry_ratio: f64 = "retryBudgetRatio", "0.2", "Further tries for each request.";
-    retry_slack: f64 = "retryBudgetSlack", "60", "Further tries beyond the ratio.";
-    budget_window: Duration = "budgetWindow", "10s", "The time over which further tries are counted.";
-    cold_overage: f64 = "coldOverage", "1.5", "What the rate of a cold backend may be exceeded by, as a factor.";
-    cold_slack: f64 = "coldSlack", "5", "What it may be exceeded by beyond that.";
-    evacuation: Duration = "evacuation", "5000ms", "A zone gets nothing this long after its evacuation was acknowledged.";
-    max_ttl: Duration = "ttl_max", "5s", "The longest time that a directory answer counts.";
-    catch_up: Duration = "catchUp", "4s", "A machine that returns counts as lost for so long.";
+    contact_window: Duration = "contactWindow", "5000ms", "Bounded guarantees apply to hosts that have been connected for this long.";
+    drain: Duration = "drain", "4000ms", "A backend gets no request this long after it was seen draining.";
+    grace: Duration = "gracePeriod", "6s", "Time between SIGTERM and SIGKILL.";
+    config_apply: Duration = "configApply", "4000ms", "A change is in effect this long after its acknowledgement.";
+    retry_ratio: f64 = "retryBudgetRatio", "0.2", "Retries per request.";
+    retry_slack: f64 = "retryBudgetSlack", "60", "Retries allowed beyond the ratio.";
+    budget_window: Duration = "budgetWindow", "10s", "The window over which retries are counted.";
+    cold_overage: f64 = "coldOverage", "1.5", "Factor by which the rate limit of a cold backend may be exceeded.";
+    cold_slack: f64 = "coldSlack", "5", "Requests allowed beyond that factor.";
+    evacuation: Duration = "evacuation", "5000ms", "A zone gets no request this long after its evacuation was acknowledged.";
+    max_ttl: Duration = "ttl_max", "5s", "The maximum time to live of a directory answer.";
+    catch_up: Duration = "catchUp", "4s", "A returning host counts as lost for this long.";
 }
--- a/system/node-settings/src/lib.rs
+++ b/system/node-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a program of the system is report: the settings file that `FENNELSCALE_CONFIG` names, read once, checked, typed.
+//! The settings of a program: reads and validates the file that `FENNELSCALE_CONFIG` names.
 //!
-//! The file is TOML. It is turned into JSON once and read by pointers: fields that nobody here asks for may come and go.
-//! Every error names the field, what stands there and what to do.
+//! The file is TOML. It is converted to JSON once and read by JSON pointers, so that unknown fields may be
+//! added or removed. Every error names the field, its value and the remedy.
 
 mod bounds;
 mod read;
@@ -18,71 +18,71 @@
 /// The environment variable that names the settings file.
 pub const SETTINGS_VARIABLE: &str = "FENNELSCALE_CONFIG";
 
-/// The ports that processes listen on for each other, by their place in the machine's range.
+/// The ports for connections between processes, as offsets in the host's port range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
-    /// Stores, for each other.
+    /// Stores, for other stores.
     Stores = 0,
-    /// Registries, for each other.
+    /// Registries, for other registries.
     Registries = 1,
-    /// Registries, for the sessions of proxies.
+    /// Registries, for proxy sessions.
     Sessions = 2,
-    /// The registry, for its machine's store.
+    /// The registry, for the store on the same host.
     RegistryForStore = 3,
-    /// Proxies, for news that others pass on.
+    /// Proxies, for updates relayed by other proxies.
     Proxies = 4,
 }
 
-/// Where to listen for whom.
+/// Listen addresses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Listen {
-    /// Clients.
+    /// For clients.
     pub frontend: Option<SocketAddr>,
-    /// The platform's question whether clients may come.
+    /// For the platform's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Operators.
+    /// For the operators' API.
     pub control: Option<SocketAddr>,
-    /// Clients that ask where to go.
+    /// For clients that look up a proxy.
     pub directory: Option<SocketAddr>,
 }
 
-/// What the machine has.
+/// Resource limits of the host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of memory of one process.
+    /// Memory per process, in bytes.
     pub memory: u64,
-    /// Descriptors of one process.
+    /// File descriptors per process.
     pub descriptors: usize,
-    /// Bytes of the disk, shared by the machine's processes; 0 without one.
+    /// Disk space shared by the host's processes, in bytes; 0 without a disk.
     pub disk: u64,
 }
 
-/// What may be lost at once while everything still holds.
+/// Simultaneous losses that the system must tolerate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tolerance {
-    /// Machines that count towards a quorum.
+    /// Hosts that count toward a quorum.
     pub machines: usize,
-    /// Zones.
+    /// Whole zones.
     pub zones: usize,
-    /// Regions.
+    /// Whole regions.
     pub regions: usize,
 }
 
-/// The platform's list of backends.
+/// The platform API that lists backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CloudApi {
-    /// Where it is asked for.
+    /// Its address.
     pub address: SocketAddr,
-    /// Calls a second that it takes from all gateways together.
+    /// Calls per second that it accepts from all gateways together.
     pub rate_per_s: f64,
-    /// How old its answers may be.
+    /// How stale its answers may be.
     pub max_lag: Duration,
 }
 
-/// All that a program is report.
+/// All settings of a program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The machine's name.
+    /// The host's name.
     pub node: String,
     /// Its address.
     pub ip: IpAddr,
@@ -90,47 +90,47 @@
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// The first and last port of processes for each other.
+    /// The first and last port for connections between processes.
     pub ports: (u16, u16),
-    /// Control addresses of a few machines.
+    /// Control addresses of some hosts.
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time, on empty disks.
+    /// Whether the whole system starts for the first time, on empty disks.
     pub bootstrap: bool,
-    /// The machine counts towards a quorum.
+    /// Whether the host counts toward a quorum.
     pub counts_toward_quorum: bool,
-    /// The folder for files that last.
+    /// The directory for persistent files.
     pub data_directory: Option<PathBuf>,
-    /// How often processes should show that they live.
+    /// The interval between heartbeats.
     pub heartbeat: Duration,
     /// The region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// Where to listen.
+    /// Listen addresses.
     pub listen: Listen,
-    /// What the machine has.
+    /// Resource limits of the host.
     pub limits: Limits,
-    /// What may be lost.
+    /// Losses that the system must tolerate.
     pub fault_tolerance: Tolerance,
-    /// The list of backends.
+    /// The platform API.
     pub cloud_api: CloudApi,
-    /// The figures of the rules.
+    /// Bounds of the system's guarantees.
     pub bounds: Bounds,
-    /// What failure orders may do; without it none is taken or heeded.
+    /// Limits of failure orders; without them no order is accepted or applied.
     pub failure_limits: Option<fennelscale_fault_injection::Limits>,
 }
 
 impl Settings {
-    /// Reads the file that the environment names.
+    /// Reads the settings file that the environment names.
     ///
     /// # Errors
-    /// When there is none or it cannot be used.
+    /// If no file is named, or the file cannot be read or is invalid.
     pub fn from_environment() -> Result<Self, SettingsError> {
         Self::from_environment_with_report().map(|(settings, _)| settings)
     }
 
-    /// The same, and what became of the file's fields.
+    /// Like [`Settings::from_environment`], and reports which fields were used.
     ///
     /// # Errors
-    /// When there is none or it cannot be used.
+    /// If no file is named, or the file cannot be read or is invalid.
     pub fn from_environment_with_report() -> Result<(Self, FieldReport), SettingsError> {
         let Some(path) = std::env::var_os(SETTINGS_VARIABLE) else { return Err(SettingsError::NotNamed) };
         let path = PathBuf::from(path);
@@ -141,10 +141,10 @@
         Self::parse_with_report(&text)
     }
 
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// When it cannot be used.
+    /// If the settings are invalid.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         Self::parse_with_report(text).map(|(settings, _)| settings)
     }
@@ -152,7 +152,7 @@
     /// The same, and what became of its fields.
     ///
     /// # Errors
-    /// When it cannot be used.
+    /// If the settings are invalid.
     pub fn parse_with_report(text: &str) -> Result<(Self, FieldReport), SettingsError> {
         let document = Document::parse(text)?;
         let settings = Self::read(&document)?;
@@ -211,23 +211,23 @@
         })
     }
 
-    /// Where a process of this machine listens for others.
+    /// The address where a process of this host listens.
     pub fn own_address(&self, port: Port) -> SocketAddr {
         self.address_of(self.ip, port)
     }
 
-    /// Where the process of another machine listens: all machines use the same ports.
+    /// The address where a process of another host listens; all hosts use the same ports.
     pub fn address_of(&self, ip: IpAddr, port: Port) -> SocketAddr {
         SocketAddr::new(ip, self.ports.0 + port as u16)
     }
 
-    /// Where the seeds' processes listen.
+    /// The addresses where the seed hosts' processes listen.
     pub fn seed_addresses(&self, port: Port) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| self.address_of(seed.ip(), port)).collect()
     }
 }
 
-/// The table `failureOrders`, where there is one.
+/// Reads the table `failureOrders`, if present.
 fn failure_limits(document: &Document) -> Result<Option<fennelscale_fault_injection::Limits>, SettingsError> {
     const AT: &str = "/failureOrders";
     if !document.has(AT) {
--- a/system/node-settings/src/read.rs
+++ b/system/node-settings/src/read.rs
@@ -1,4 +1,4 @@
-//! The file as a document of fields that are read by pointer.
+//! The settings file as a document whose fields are read by JSON pointer.
 
 use miette::Diagnostic;
 use serde::de::DeserializeOwned;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Settings that cannot be used.
+/// Why settings cannot be used.
 #[derive(Clone, Debug, Diagnostic, Error, PartialEq)]
 pub enum SettingsError {
     /// No file is named.
@@ -19,49 +19,49 @@
     #[error("settings file {path}: {error}")]
     #[diagnostic(help("check that the file is there and may be read by this user"))]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system says.
+        /// The I/O error.
         error: String,
     },
-    /// It is no TOML.
+    /// The file is not valid TOML.
     #[error("settings file: {error}")]
     #[diagnostic(help("the file must be TOML; the message above tells the place"))]
     Malformed {
-        /// What the reader says.
+        /// The parser's error.
         error: String,
     },
-    /// A field is missing or says something that cannot be.
+    /// A field is missing or invalid.
     #[error("settings field {field}: {found}")]
     #[diagnostic(help("{help}"))]
     Field {
-        /// Which field.
+        /// The field's name.
         field: String,
-        /// What stands there.
+        /// The value found.
         found: String,
-        /// What to do.
+        /// The remedy.
         help: String,
     },
 }
 
-/// What became of a file's fields.
+/// Which fields of a file were used.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FieldReport {
-    /// Read and used.
+    /// Fields that were used.
     pub used: Vec<String>,
-    /// Passed over: these may be of another version, or misspelt.
+    /// Fields that were ignored; they may belong to another version or be misspelt.
     pub ignored: Vec<String>,
 }
 
 pub(crate) struct Document {
     json: String,
-    /// Every field of the file, with dots; what was asked for; bounds that no rule here goes by.
+    /// Every field of the file as a dotted path; then the paths that were looked up, and unknown bounds.
     fields: Vec<String>,
     asked: RefCell<BTreeSet<String>>,
     unused: RefCell<Vec<String>>,
 }
 
-/// The fields of a table, those of its tables one by one.
+/// Lists the fields of a table, including those of nested tables.
 fn fields(table: &toml::Table, before: &str, all: &mut Vec<String>) {
     for (name, value) in table {
         let name = format!("{before}{name}");
@@ -72,7 +72,7 @@
     }
 }
 
-/// `/a/b` as a pointer.
+/// Parses `/a/b` into pointer nodes.
 fn pointer(at: &str) -> Vec<PointerNode> {
     at.split('/')
         .filter(|part| !part.is_empty())
@@ -92,7 +92,7 @@
         Ok(Self { json, fields: all, asked: RefCell::default(), unused: RefCell::default() })
     }
 
-    /// Which fields were read and which nobody asked for.
+    /// Reports which fields were used and which were ignored.
     pub(crate) fn report(&self) -> FieldReport {
         let asked = self.asked.borrow();
         let read = |field: &String| {
@@ -105,7 +105,7 @@
         FieldReport { used, ignored }
     }
 
-    /// A bound that no rule here goes by.
+    /// Records an unknown bound as ignored.
     pub(crate) fn unused(&self, bound: &str) {
         self.unused.borrow_mut().push(format!("bounds.{bound}"));
     }
@@ -141,7 +141,7 @@
         self.value(at)
     }
 
-    /// A number that is finite and not negative.
+    /// Reads a finite number that is not negative.
     pub(crate) fn number(&self, at: &str) -> Result<f64, SettingsError> {
         let number: f64 = self.value(at)?;
         if number.is_finite() && number >= 0.0 {
@@ -157,7 +157,7 @@
     }
 }
 
-/// A time as a text: a number and its unit, `ms` or `s`.
+/// Parses a duration: a number and its unit, `ms` or `s`.
 pub(crate) fn duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
@@ -169,7 +169,7 @@
     Duration::try_from_secs_f64(number.parse::<f64>().ok()? * unit).ok()
 }
 
-/// The value of a bound, from `bounds`, a list of `name=value` or one line of them with commas.
+/// Reads the names and values in `bounds`, a list of `name=value` or one comma-separated string of them.
 pub(crate) fn bounds(document: &Document) -> Result<Vec<(String, String)>, SettingsError> {
     const AT: &str = "/bounds";
     let lines: Vec<String> = match document.at(AT) {
--- a/system/node-settings/src/tests.rs
+++ b/system/node-settings/src/tests.rs
@@ -34,7 +34,7 @@
 "#;
 
 #[test]
-fn a_file_is_read_and_fields_unknown_are_passed_over() {
+fn a_file_is_read_and_unknown_fields_are_ignored() {
     let settings = Settings::parse(TEXT).unwrap();
     assert_eq!(settings.bounds.retry_slack, 64.0);
     assert_eq!(settings.bounds.drain, Duration::from_secs(4));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn bounds_on_one_line_are_read_too() {
+fn comma_separated_bounds_are_accepted() {
     let text = TEXT.replace(
         r#"["drain=4000ms", "retryBudgetSlack=64", "seedLag=3s"]"#,
         r#""drain=2.5s,retryBudgetSlack=64""#,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn every_error_names_field_value_and_what_to_do() {
+fn every_error_names_the_field_its_value_and_the_remedy() {
     let cases = [
         ("zone = \"a\"", "zone = \"b\"", "zone"),
         ("\"1500ms\"", "\"1500\"", "heartbeatInterval"),
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn failure_orders_have_limits_or_there_are_none() {
+fn failure_orders_need_complete_limits() {
     assert_eq!(Settings::parse(TEXT).unwrap().failure_limits, None);
     let table = "[failureOrders]\nmostInAll = 40\nmostPerS = 2.5\nlongest = \"60s\"\nkinds = [\"refuse\", \"delay\"]\n";
     let limits = Settings::parse(&format!("{TEXT}{table}")).unwrap().failure_limits.unwrap();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_is_taken_and_what_is_passed_over_is_told() {
+fn used_and_ignored_fields_are_reported() {
     let (settings, report) = Settings::parse_with_report(TEXT).unwrap();
     assert_eq!(settings, Settings::parse(TEXT).unwrap());
     assert_eq!(report.ignored, ["newField.any", "role", "serves", "bounds.seedLag"]);
@@ -101,5 +101,5 @@
         assert!(report.used.iter().any(|used| used == field), "{field}: {report:?}");
     }
     let (_, report) = Settings::parse_with_report(&TEXT.replace("dataDirectory", "datadirectory")).unwrap();
-    assert!(report.ignored.contains(&"datadirectory".to_owned()), "a misspelt field shows");
+    assert!(report.ignored.contains(&"datadirectory".to_owned()), "a misspelt field is reported as ignored");
 }
