--- a/system/fennelctl/src/events.rs
+++ b/system/fennelctl/src/events.rs
@@ -1,21 +1,21 @@
-//! What happened, and what is known of one thing by it.
+//! The event feed, and explanations of one object from its events.
 
-use crate::gateway::{Asked, Gateways};
-use crate::print;
+use crate::print_result;
+use crate::registry_client::{CallResult, RegistryClient};
 use gumdrop::Options;
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 use std::collections::{HashSet, VecDeque};
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// While nothing comes events are asked for this often.
-const FOLLOW: Duration = Duration::from_millis(500);
-/// Ids that are remembered, to leave out what comes again.
-const REMEMBERED: usize = 8192;
-/// Answers in a row without an event that is wanted, after which no more are looked for: other things happen all the time.
-const EMPTY: u32 = 16;
-/// Kinds of items, as their names begin in events.
-const ITEMS: [&str; 4] = ["r:", "t:", "s:", "l:"];
+/// Interval for polling while there are no new events.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of event ids kept to filter out duplicates.
+const MAX_REMEMBERED_IDS: usize = 8192;
+/// Stop after this many consecutive pages without a matching event: unrelated events keep arriving.
+const MAX_EMPTY_PAGES: u32 = 16;
+/// Prefixes of item names in events, one for each kind of item.
+const ITEM_PREFIXES: [&str; 4] = ["r:", "t:", "s:", "l:"];
 
 #[derive(Debug, Options)]
 pub struct Events {
@@ -47,21 +47,21 @@
     of.get(name).and_then(|v| v.as_str()).unwrap_or_default().to_owned()
 }
 
-fn plain(text: &str) -> String {
+fn strip_reserved(text: &str) -> String {
     text.replace(['&', '%', '+', ' ', '#'], "")
 }
 
-/// Ids of events that were shown lately.
+/// Ids of recently seen events.
 #[derive(Default)]
-struct Shown(HashSet<String>, VecDeque<String>);
+struct SeenEvents(HashSet<String>, VecDeque<String>);
 
-impl Shown {
+impl SeenEvents {
     fn is_new(&mut self, id: String) -> bool {
         if !self.0.insert(id.clone()) {
             return false;
         }
         self.1.push_back(id);
-        if self.1.len() > REMEMBERED
+        if self.1.len() > MAX_REMEMBERED_IDS
             && let Some(old) = self.1.pop_front()
         {
             self.0.remove(&old);
@@ -70,33 +70,40 @@
     }
 }
 
-/// One answer: its events, the cursor, whether some may be missing.
+/// One page of events, the next cursor, and whether events may be missing.
 struct Page(Vec<Value>, String, bool);
 
-async fn page(gateways: &Gateways, after: &str, filter: &str) -> Result<Page, Asked> {
-    let path = format!("/fennelscale/events?after={}{filter}", plain(after));
-    match gateways.clear("GET", &path, "").await {
-        Asked::Answered(200, body) => {
-            let told: Value = sonic_rs::from_str(&body).unwrap_or_default();
-            let events = told.get("events").and_then(|e| e.as_array()).map(|e| e.to_vec());
-            let missed = told.get("missed").and_then(|m| m.as_bool()) == Some(true);
-            Ok(Page(events.unwrap_or_default(), text(&told, "cursor"), missed))
+async fn fetch_page(registries: &RegistryClient, after: &str, filter: &str) -> Result<Page, CallResult> {
+    let path = format!("/fennelscale/events?after={}{filter}", strip_reserved(after));
+    match registries.call("GET", &path, "").await {
+        CallResult::Response(200, body) => {
+            let response: Value = sonic_rs::from_str(&body).unwrap_or_default();
+            let events = response.get("events").and_then(|e| e.as_array()).map(|e| e.to_vec());
+            let missed = response.get("missed").and_then(|m| m.as_bool()) == Some(true);
+            Ok(Page(events.unwrap_or_default(), text(&response, "cursor"), missed))
         }
         other => Err(other),
     }
 }
 
-fn show(gateways: &Gateways, event: &Value) {
-    if gateways.json {
+fn show(registries: &RegistryClient, event: &Value) {
+    if registries.json {
         say!("{}", sonic_rs::to_string(event).unwrap_or_default());
         return;
     }
-    let of = |name: &str| text(event, name);
-    say!("{:>10} {:15} {:17} {} ({})", of("at"), of("by"), of("kind"), of("what"), of("cause"));
+    let field = |name: &str| text(event, name);
+    say!(
+        "{:>10} {:15} {:17} {} ({})",
+        field("at"),
+        field("by"),
+        field("kind"),
+        field("what"),
+        field("cause")
+    );
 }
 
-/// Shows events, oldest first; those that come again, as after a change of gateway, once.
-pub async fn follow(gateways: &Gateways, events: Events) -> ExitCode {
+/// Prints events, oldest first. Duplicates, as after switching to another registry, are printed once.
+pub async fn follow(registries: &RegistryClient, events: Events) -> ExitCode {
     let mut after = events.after.unwrap_or_default();
     if events.past {
         after = "oldest".into();
@@ -104,16 +111,16 @@
     let mut filter = String::new();
     for (name, value) in [("kind", &events.kind), ("what", &events.what)] {
         if let Some(value) = value {
-            filter.push_str(&format!("&{name}={}", plain(value)));
+            filter.push_str(&format!("&{name}={}", strip_reserved(value)));
         }
     }
-    let (mut shown, mut empty) = (Shown::default(), 0);
+    let (mut seen, mut empty_pages) = (SeenEvents::default(), 0);
     loop {
-        let Page(list, cursor, missed) = match page(gateways, &after, &filter).await {
+        let Page(list, cursor, missed) = match fetch_page(registries, &after, &filter).await {
             Ok(page) => page,
-            // Who follows waits for a gateway to come back.
-            Err(Asked::Unclear) if events.follow => continue,
-            Err(other) => return print(other),
+            // In follow mode, wait until a registry is reachable again.
+            Err(CallResult::OutcomeUnknown) if events.follow => continue,
+            Err(other) => return print_result(other),
         };
         if missed && !after.is_empty() {
             eprintln!(
@@ -121,37 +128,37 @@
             );
         }
         for event in &list {
-            if shown.is_new(text(event, "id")) {
-                show(gateways, event);
+            if seen.is_new(text(event, "id")) {
+                show(registries, event);
             }
         }
-        // Also an answer without events may have come further.
-        empty = if list.is_empty() { empty + 1 } else { 0 };
-        let further = empty == 0 || cursor != after;
+        // A page without events may still have advanced the cursor.
+        empty_pages = if list.is_empty() { empty_pages + 1 } else { 0 };
+        let further = empty_pages == 0 || cursor != after;
         after = cursor;
-        if further && empty < EMPTY {
+        if further && empty_pages < MAX_EMPTY_PAGES {
             continue;
         }
         if !events.follow {
-            if !gateways.json {
+            if !registries.json {
                 eprintln!("fennelctl: to go on from here: --after {after}");
             }
             return ExitCode::SUCCESS;
         }
-        tokio::time::sleep(FOLLOW).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Everything that any registry saw of one thing, oldest first, and whether some may be missing.
-async fn all_of(gateways: &Gateways, what: &str) -> Result<(Vec<Value>, bool), Asked> {
-    let (mut after, mut all, mut missing, mut empty) = ("oldest".to_owned(), Vec::new(), false, 0);
-    let (mut shown, filter) = (Shown::default(), format!("&what={}", plain(what)));
+/// All events about one object from any registry, oldest first, and whether some may be missing.
+async fn events_about(registries: &RegistryClient, what: &str) -> Result<(Vec<Value>, bool), CallResult> {
+    let (mut after, mut all, mut missing, mut empty_pages) = ("oldest".to_owned(), Vec::new(), false, 0);
+    let (mut seen, filter) = (SeenEvents::default(), format!("&what={}", strip_reserved(what)));
     loop {
-        let Page(list, cursor, missed) = page(gateways, &after, &filter).await?;
+        let Page(list, cursor, missed) = fetch_page(registries, &after, &filter).await?;
         missing |= missed;
-        empty = if list.is_empty() { empty + 1 } else { 0 };
-        let further = empty < EMPTY && (empty == 0 || cursor != after);
-        all.extend(list.into_iter().filter(|e| text(e, "what") == what && shown.is_new(text(e, "id"))));
+        empty_pages = if list.is_empty() { empty_pages + 1 } else { 0 };
+        let further = empty_pages < MAX_EMPTY_PAGES && (empty_pages == 0 || cursor != after);
+        all.extend(list.into_iter().filter(|e| text(e, "what") == what && seen.is_new(text(e, "id"))));
         if !further {
             return Ok((all, missing));
         }
@@ -159,27 +166,27 @@
     }
 }
 
-/// The version of an item that stands, by a list of the configuration; none if it does not.
-fn standing(config: &Value, name: &str) -> Option<(&'static str, String)> {
+/// The kind and current version of an item in the configuration, if it exists.
+fn current_version(config: &Value, name: &str) -> Option<(&'static str, String)> {
     let named = |list: Option<&Value>| {
-        let items = list.and_then(|list| list.as_array())?;
-        items.iter().find(|item| text(item, "name") == name).map(|item| text(item, "revision"))
+        let list = list.and_then(|list| list.as_array())?;
+        list.iter().find(|item| text(item, "name") == name).map(|item| text(item, "revision"))
     };
-    let set = config.get("upsert").unwrap_or(config);
+    let items = config.get("upsert").unwrap_or(config);
     let route = || {
-        let listeners = set.get("listeners").and_then(|l| l.as_array())?;
+        let listeners = items.get("listeners").and_then(|l| l.as_array())?;
         listeners.iter().find_map(|listener| named(listener.get("policy")))
     };
-    let tenant = || named(set.get("tenants"));
-    let service = || named(set.get("backendPools"));
+    let tenant = || named(items.get("tenants"));
+    let service = || named(items.get("backendPools"));
     route()
         .map(|version| ("route", version))
         .or_else(|| tenant().map(|version| ("tenant", version)))
         .or_else(|| service().map(|version| ("service", version)))
 }
 
-/// What an event of a kind means for whoever asks why.
-fn meaning(kind: &str) -> &'static str {
+/// Explains the consequence of an event of this kind.
+fn explanation(kind: &str) -> &'static str {
     match kind {
         "item-chosen" => "that version is in force at every proxy that does not lag",
         "item-dropped" => "it is dropped: requests for it get 404, or 401 for a tenant's keys",
@@ -199,50 +206,50 @@
     }
 }
 
-/// What is known of one thing: what stands, what happened to it, what that means, and what may hide more.
-pub async fn explain(gateways: &Gateways, explain: Explain) -> ExitCode {
+/// Explains one object: its current version, its events, their consequence, and what may be missing.
+pub async fn explain(registries: &RegistryClient, explain: Explain) -> ExitCode {
     if explain.request {
-        return request(gateways, &explain.what).await;
+        return explain_request(registries, &explain.what).await;
     }
     let mut found = Vec::new();
     let mut missing = false;
-    let names = std::iter::once(String::new()).chain(ITEMS.map(str::to_owned));
+    let names = std::iter::once(String::new()).chain(ITEM_PREFIXES.map(str::to_owned));
     for what in names.map(|kind| format!("{kind}{}", explain.what)) {
-        match all_of(gateways, &what).await {
+        match events_about(registries, &what).await {
             Ok((events, missed)) => {
                 found.extend(events);
                 missing |= missed;
             }
-            Err(other) => return print(other),
+            Err(other) => return print_result(other),
         }
     }
-    let config = match gateways.clear("GET", "/fennelscale/config", "").await {
-        Asked::Answered(200, body) => sonic_rs::from_str(&body).unwrap_or_default(),
+    let config = match registries.call("GET", "/fennelscale/config", "").await {
+        CallResult::Response(200, body) => sonic_rs::from_str(&body).unwrap_or_default(),
         _ => Value::default(),
     };
-    let stands = standing(&config, &explain.what);
-    if gateways.json {
-        let version = stands.as_ref().map_or("null".into(), |(_, v)| format!("\"{v}\""));
+    let current = current_version(&config, &explain.what);
+    if registries.json {
+        let version = current.as_ref().map_or("null".into(), |(_, v)| format!("\"{v}\""));
         let events: Vec<String> = found.iter().filter_map(|e| sonic_rs::to_string(e).ok()).collect();
         say!("{{\"stands\":{version},\"events\":[{}],\"missed\":{missing}}}", events.join(","));
     } else {
-        match &stands {
+        match &current {
             Some((kind, version)) => {
                 say!("{} {}: version {version} stands, as of a quorum", kind, explain.what)
             }
             None => say!("{}: no item of that name stands, as of a quorum", explain.what),
         }
-        found.iter().for_each(|event| show(gateways, event));
+        found.iter().for_each(|event| show(registries, event));
         if let Some(last) = found.last() {
-            let meaning = meaning(&text(last, "kind"));
-            let rest = if meaning.is_empty() { String::new() } else { format!(": {meaning}") };
+            let explanation = explanation(&text(last, "kind"));
+            let rest = if explanation.is_empty() { String::new() } else { format!(": {explanation}") };
             say!("last: {}{rest}", text(last, "kind"));
         } else {
             say!(
                 "no registry that answers has seen anything of it: a call without a clear answer leaves no trace"
             );
         }
-        for (at, body) in gateways.each("/fennelscale/status").await {
+        for (at, body) in registries.call_each("/fennelscale/status").await {
             let status: Value = body.and_then(|body| sonic_rs::from_str(&body).ok()).unwrap_or_default();
             let (lagging, fresh) = (text(&status, "sessions_lagging"), text(&status, "copy_fresh"));
             if fresh != "true" || lagging != "0" {
@@ -255,38 +262,39 @@
             say!("a registry ended in between: what it saw in its last second may be missing");
         }
     }
-    if stands.is_none() && found.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    if current.is_none() && found.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-/// What each proxy that had a request did with it.
-async fn request(gateways: &Gateways, id: &str) -> ExitCode {
-    let body = match gateways.clear("GET", &format!("/fennelscale/requests/{}", plain(id)), "").await {
-        Asked::Answered(200, body) => body,
-        other => return print(other),
-    };
-    let told: Value = sonic_rs::from_str(&body).unwrap_or_default();
-    let known = told.get("requests").and_then(|r| r.as_array()).map(|r| r.to_vec()).unwrap_or_default();
-    if gateways.json {
+/// Prints what each proxy that received a request did with it.
+async fn explain_request(registries: &RegistryClient, id: &str) -> ExitCode {
+    let body =
+        match registries.call("GET", &format!("/fennelscale/requests/{}", strip_reserved(id)), "").await {
+            CallResult::Response(200, body) => body,
+            other => return print_result(other),
+        };
+    let response: Value = sonic_rs::from_str(&body).unwrap_or_default();
+    let known = response.get("requests").and_then(|r| r.as_array()).map(|r| r.to_vec()).unwrap_or_default();
+    if registries.json {
         say!("{body}");
     }
-    for one in known.iter().filter(|_| !gateways.json) {
+    for one in known.iter().filter(|_| !registries.json) {
         let none = Value::default();
-        let course = one.get("course").unwrap_or(&none);
-        let of = |name: &str| text(course, name);
-        say!("proxy {} took it {} ago", text(one, "proxy"), of("ago"));
-        if !of("route").is_empty() {
-            say!("  route {} in version {}, tenant {}", of("route"), of("revision"), of("tenant"));
+        let record = one.get("course").unwrap_or(&none);
+        let field = |name: &str| text(record, name);
+        say!("proxy {} took it {} ago", text(one, "proxy"), field("ago"));
+        if !field("route").is_empty() {
+            say!("  route {} in version {}, tenant {}", field("route"), field("revision"), field("tenant"));
         }
-        for attempt in course.get("attempts").and_then(|a| a.as_array()).into_iter().flatten() {
-            let of = |name: &str| text(attempt, name);
+        for attempt in record.get("attempts").and_then(|a| a.as_array()).into_iter().flatten() {
+            let field = |name: &str| text(attempt, name);
             let said = match attempt.get("status").and_then(|s| s.as_u64()) {
-                Some(status) => format!("{status}, taken as {}", of("taken")),
+                Some(status) => format!("{status}, taken as {}", field("taken")),
                 None => "no answer here".into(),
             };
-            say!("  after {} to backend {}: {said}", of("after"), of("backend"));
+            say!("  after {} to backend {}: {said}", field("after"), field("backend"));
         }
-        let status = course.get("status").and_then(|s| s.as_u64()).unwrap_or(0);
-        say!("  answered {status} after {}: {}", of("took"), of("why"));
+        let status = record.get("status").and_then(|s| s.as_u64()).unwrap_or(0);
+        say!("  answered {status} after {}: {}", field("took"), field("why"));
     }
     if known.is_empty() {
         eprintln!("fennelctl: no proxy that answers remembers it: each keeps its last 2,048 requests");
--- a/system/fennelctl/src/failure.rs
+++ b/system/fennelctl/src/failure.rs
@@ -1,14 +1,14 @@
-//! Failure orders: started, run dry, stopped, counted.
+//! Failure orders: start, dry run, stop and report.
 
-use crate::Plain;
-use crate::gateway::Gateways;
-use crate::order::{change, items, text};
+use crate::NoArguments;
+use crate::order::{items, set_state, text};
+use crate::registry_client::RegistryClient;
 use gumdrop::Options;
 use sonic_rs::{JsonValueTrait, Value};
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 
-/// The list of the configuration that they are in.
+/// The configuration list that holds failure orders.
 const LIST: &str = "failureOrders";
 
 #[derive(Debug, Options)]
@@ -22,21 +22,21 @@
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "count whom an order would meet, and fail nobody")]
-    Dry(Named),
+    Dry(OrderArgument),
     #[options(help = "fail whom it names, in its time")]
-    Start(Named),
+    Start(OrderArgument),
     #[options(help = "fail nobody more")]
-    Stop(Named),
+    Stop(OrderArgument),
     #[options(
         help = "how many were named and failed, and how all others fared; name every registry with --at"
     )]
-    Report(Plain),
+    Report(NoArguments),
     #[options(help = "how an order names a key")]
     Fingerprint(Key),
 }
 
 #[derive(Debug, Options)]
-struct Named {
+struct OrderArgument {
     #[options(help = "show this and end")]
     help: bool,
     #[options(free, required, help = "the order")]
@@ -51,16 +51,16 @@
     key: String,
 }
 
-pub async fn run(gateways: &Gateways, failure: Failure) -> ExitCode {
+pub async fn run(registries: &RegistryClient, failure: Failure) -> ExitCode {
     match failure.command {
         None => {
             eprintln!("fennelctl: failure: one of dry, start, stop, report, fingerprint");
             ExitCode::from(2)
         }
-        Some(Command::Dry(named)) => change(gateways, LIST, &named.order, "dry", None).await,
-        Some(Command::Start(named)) => change(gateways, LIST, &named.order, "running", None).await,
-        Some(Command::Stop(named)) => change(gateways, LIST, &named.order, "stopped", None).await,
-        Some(Command::Report(_)) => report(gateways).await,
+        Some(Command::Dry(named)) => set_state(registries, LIST, &named.order, "dry", None).await,
+        Some(Command::Start(named)) => set_state(registries, LIST, &named.order, "running", None).await,
+        Some(Command::Stop(named)) => set_state(registries, LIST, &named.order, "stopped", None).await,
+        Some(Command::Report(_)) => report(registries).await,
         Some(Command::Fingerprint(key)) => {
             say!("{}", fennelscale_fault_injection::fingerprint(&key.key));
             ExitCode::SUCCESS
@@ -68,11 +68,12 @@
     }
 }
 
-/// Named, failed, untouched; others served, refused, failed, before and in the order's time.
-type Sums = [u64; 9];
+/// Requests that an order selected, failed and left unaffected; then other requests served, refused and
+/// failed, before the order's period and within it.
+type Counts = [u64; 9];
 
-/// What one line of an answer says.
-fn sums(line: &Value) -> Sums {
+/// Parses the counts of one line of a response.
+fn counts(line: &Value) -> Counts {
     let number = |value: &Value, name: &str| value.get(name).and_then(|v| v.as_u64()).unwrap_or_default();
     let mut all = [0; 9];
     for (at, name) in ["named", "failed", "untouched"].into_iter().enumerate() {
@@ -87,41 +88,41 @@
     all
 }
 
-/// All that proxies have counted, by order. A proxy whose session has moved is told of by two registries: its counts only grow, so the
-/// higher ones are the newer.
-fn added(answers: &[String]) -> BTreeMap<String, Sums> {
-    let mut lives: BTreeMap<(String, String, String), Sums> = BTreeMap::new();
+/// Adds up the proxies' counts by order. Two registries may report a proxy whose session has moved. Its
+/// counts only grow, so that the higher ones are newer.
+fn total_counts(answers: &[String]) -> BTreeMap<String, Counts> {
+    let mut incarnations: BTreeMap<(String, String, String), Counts> = BTreeMap::new();
     for answer in answers {
-        let told: Value = sonic_rs::from_str(answer).unwrap_or_default();
-        for line in items(&told, "met") {
-            let life = (text(&line, "order"), text(&line, "proxy"), text(&line, "life"));
-            let known = lives.entry(life).or_default();
-            let line = sums(&line);
+        let response: Value = sonic_rs::from_str(answer).unwrap_or_default();
+        for line in items(&response, "met") {
+            let incarnation = (text(&line, "order"), text(&line, "proxy"), text(&line, "life"));
+            let known = incarnations.entry(incarnation).or_default();
+            let line = counts(&line);
             (0..9).for_each(|at| known[at] = known[at].max(line[at]));
         }
     }
-    let mut orders: BTreeMap<String, Sums> = BTreeMap::new();
-    for ((order, ..), sums) in lives {
+    let mut orders: BTreeMap<String, Counts> = BTreeMap::new();
+    for ((order, ..), counts) in incarnations {
         let all = orders.entry(order).or_default();
-        (0..9).for_each(|at| all[at] += sums[at]);
+        (0..9).for_each(|at| all[at] += counts[at]);
     }
     orders
 }
 
-async fn report(gateways: &Gateways) -> ExitCode {
-    let (mut answers, mut silent) = (Vec::new(), 0);
-    for (at, answer) in gateways.each("/fennelscale/failures").await {
+async fn report(registries: &RegistryClient) -> ExitCode {
+    let (mut answers, mut missing) = (Vec::new(), 0);
+    for (at, answer) in registries.call_each("/fennelscale/failures").await {
         match answer {
             Some(answer) => answers.push(answer),
             None => {
                 eprintln!("{at}: no answer; its proxies' counts may be missing");
-                silent += 1;
+                missing += 1;
             }
         }
     }
-    for (order, sums) in added(&answers) {
-        let [named, failed, untouched, before @ .., served, refused, lost] = sums;
-        if gateways.json {
+    for (order, counts) in total_counts(&answers) {
+        let [named, failed, untouched, before @ .., served, refused, lost] = counts;
+        if registries.json {
             let before =
                 format!(r#"{{"served":{},"refused":{},"failed":{}}}"#, before[0], before[1], before[2]);
             let within = format!(r#"{{"served":{served},"refused":{refused},"failed":{lost}}}"#);
@@ -140,15 +141,15 @@
         say!("  all others before its time: {}", share(before));
         say!("  all others in its time:     {}", share([served, refused, lost]));
     }
-    if answers.is_empty() || silent > 0 { ExitCode::from(3) } else { ExitCode::SUCCESS }
+    if answers.is_empty() || missing > 0 { ExitCode::from(3) } else { ExitCode::SUCCESS }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::added;
+    use super::total_counts;
 
     #[test]
-    fn counts_of_two_registries_are_added_and_none_counts_twice() {
+    fn counts_of_two_registries_are_added_without_duplicates() {
         let line = |order: &str, proxy: &str, life: &str, failed: u64| {
             format!(
                 r#"{{"order":"{order}","proxy":"{proxy}","life":"{life}","named":9,"failed":{failed},"untouched":1,"othersBefore":{{"served":5,"refused":0,"failed":0}},"others":{{"served":7,"refused":1,"failed":0}}}}"#
@@ -156,8 +157,8 @@
         };
         let one = format!(r#"{{"met":[{},{}]}}"#, line("o", "p", "1", 3), line("o", "q", "1", 2));
         let other = format!(r#"{{"met":[{},{}]}}"#, line("o", "p", "1", 4), line("o", "p", "2", 1));
-        let sums = added(&[one, other, "{".into()]);
-        assert_eq!(sums["o"], [27, 7, 3, 15, 0, 0, 21, 3, 0]);
-        assert_eq!(sums.len(), 1);
+        let counts = total_counts(&[one, other, "{".into()]);
+        assert_eq!(counts["o"], [27, 7, 3, 15, 0, 0, 21, 3, 0]);
+        assert_eq!(counts.len(), 1);
     }
 }
--- a/system/fennelctl/src/main.rs
+++ b/system/fennelctl/src/main.rs
@@ -1,10 +1,10 @@
-//! `fennelctl`: the operators' tool (the field's term: a control client). Asks registries how they are and what happened, checks,
-//! compares, sends and shows configurations, empties zones and takes them back.
+//! `fennelctl`: the operators' command-line client. Shows the registries' status and events; validates,
+//! compares, applies and shows configurations; evacuates zones and restores them.
 //!
-//! Status: 0 done; 1 it was answered, and not with success (or a difference was found); 2 it could not be asked or the
-//! arguments cannot be; 3 no gateway gave a clear answer.
+//! Exit status: 0 success; 1 an error response, or a difference was found; 2 the call could not be made or
+//! the arguments are invalid; 3 no registry gave a conclusive response.
 
-/// Prints a line. Whoever reads may stop before the end (`| head`): that is no fault.
+/// Prints a line. A reader that closes the pipe early (`| head`) is not an error.
 macro_rules! say {
     ($($line:tt)*) => {{
         use std::io::Write as _;
@@ -15,12 +15,12 @@
 mod config;
 mod events;
 mod failure;
-mod gateway;
 mod maintenance;
 mod order;
+mod registry_client;
 
-use gateway::{Asked, Gateways};
 use gumdrop::Options;
+use registry_client::{CallResult, RegistryClient};
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -43,19 +43,19 @@
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "how each registry is")]
-    Status(Plain),
+    Status(NoArguments),
     #[options(help = "what happened, oldest first")]
     Events(events::Events),
     #[options(help = "what is known of an item, a backend, a proxy, a zone or a tenant, and why")]
     Explain(events::Explain),
     #[options(help = "all items that stand")]
-    Show(Plain),
+    Show(NoArguments),
     #[options(help = "whether a call's file can be, without sending it")]
-    Check(File),
+    Check(FileArgument),
     #[options(help = "what a call's file would change")]
-    Diff(File),
+    Diff(FileArgument),
     #[options(help = "send a call's file until it has a clear answer")]
-    Apply(File),
+    Apply(FileArgument),
     #[options(help = "empty a zone, or take it back")]
     Evacuate(Evacuate),
     #[options(help = "maintenance orders: list, explain, rehearse, approve, start, pause, end, withdraw")]
@@ -65,13 +65,13 @@
 }
 
 #[derive(Debug, Options)]
-struct Plain {
+struct NoArguments {
     #[options(help = "show this and end")]
     help: bool,
 }
 
 #[derive(Debug, Options)]
-struct File {
+struct FileArgument {
     #[options(help = "show this and end")]
     help: bool,
     #[options(free, required, help = "the body of a PATCH, as a file")]
@@ -94,7 +94,7 @@
         say!("{}\n\n{}", Arguments::usage(), Arguments::command_list().unwrap_or_default());
         return ExitCode::from(2);
     };
-    // What needs no gateway.
+    // This command needs no registry.
     if let Command::Check(file) = &command {
         return config::check(&file.file);
     }
@@ -109,60 +109,60 @@
             return ExitCode::from(2);
         }
     };
-    let gateways = Gateways::new(arguments.at, arguments.json);
-    tokio::task::LocalSet::new().block_on(&runtime, run(&gateways, command))
+    let registries = RegistryClient::new(arguments.at, arguments.json);
+    tokio::task::LocalSet::new().block_on(&runtime, run(&registries, command))
 }
 
-async fn run(gateways: &Gateways, command: Command) -> ExitCode {
+async fn run(registries: &RegistryClient, command: Command) -> ExitCode {
     match command {
-        Command::Status(_) => status(gateways).await,
-        Command::Events(events) => events::follow(gateways, events).await,
-        Command::Explain(explain) => events::explain(gateways, explain).await,
-        Command::Show(_) => print(gateways.clear("GET", "/fennelscale/config", "").await),
+        Command::Status(_) => status(registries).await,
+        Command::Events(events) => events::follow(registries, events).await,
+        Command::Explain(explain) => events::explain(registries, explain).await,
+        Command::Show(_) => print_result(registries.call("GET", "/fennelscale/config", "").await),
         Command::Check(file) => config::check(&file.file),
-        Command::Diff(file) => config::diff(gateways, &file.file).await,
+        Command::Diff(file) => config::diff(registries, &file.file).await,
         Command::Apply(file) => match config::read(&file.file) {
-            Ok(body) => print(gateways.clear("PATCH", "/fennelscale/config", &body).await),
+            Ok(body) => print_result(registries.call("PATCH", "/fennelscale/config", &body).await),
             Err(status) => status,
         },
-        Command::Failure(failure) => failure::run(gateways, failure).await,
-        Command::Maintenance(maintenance) => maintenance::run(gateways, maintenance).await,
+        Command::Failure(failure) => failure::run(registries, failure).await,
+        Command::Maintenance(maintenance) => maintenance::run(registries, maintenance).await,
         Command::Evacuate(Evacuate { back, zone, .. }) => {
             let method = if back { "DELETE" } else { "POST" };
-            print(gateways.clear(method, &format!("/fennelscale/evacuations/{zone}"), "").await)
+            print_result(registries.call(method, &format!("/fennelscale/evacuations/{zone}"), "").await)
         }
     }
 }
 
-/// Prints an answer; its status tells how it went.
-fn print(asked: Asked) -> ExitCode {
-    match asked {
-        Asked::Answered(200, body) => {
+/// Prints a response and returns the exit status for it.
+fn print_result(result: CallResult) -> ExitCode {
+    match result {
+        CallResult::Response(200, body) => {
             say!("{body}");
             ExitCode::SUCCESS
         }
-        Asked::Answered(status, body) => {
+        CallResult::Response(status, body) => {
             let value: Value = sonic_rs::from_str(&body).unwrap_or_default();
             let text = |name: &str| value.get(name).and_then(|v| v.as_str()).unwrap_or_default().to_owned();
             eprintln!("fennelctl: {status} {}: {}; {}", text("error"), text("message"), text("help"));
             ExitCode::FAILURE
         }
-        Asked::Unclear => {
+        CallResult::OutcomeUnknown => {
             eprintln!("fennelctl: no gateway gave a clear answer: it may have happened or not; ask again");
             ExitCode::from(3)
         }
     }
 }
 
-async fn status(gateways: &Gateways) -> ExitCode {
-    let mut heard = 0;
-    for (at, answer) in gateways.each("/fennelscale/status").await {
+async fn status(registries: &RegistryClient) -> ExitCode {
+    let mut responses = 0;
+    for (at, answer) in registries.call_each("/fennelscale/status").await {
         let Some(body) = answer else {
             eprintln!("{at}: no answer");
             continue;
         };
-        heard += 1;
-        if gateways.json {
+        responses += 1;
+        if registries.json {
             say!("{body}");
             continue;
         }
@@ -172,5 +172,5 @@
             say!("  {:20} {}", name, value.as_str().unwrap_or_default());
         }
     }
-    if heard > 0 { ExitCode::SUCCESS } else { ExitCode::from(3) }
+    if responses > 0 { ExitCode::SUCCESS } else { ExitCode::from(3) }
 }
--- a/system/fennelctl/src/maintenance.rs
+++ b/system/fennelctl/src/maintenance.rs
@@ -1,16 +1,16 @@
-//! Maintenance orders: rehearsed, approved, started, paused, ended, withdrawn, shown and explained.
+//! Maintenance orders: list, explain, rehearse, approve, start, pause, end and withdraw.
 //!
-//! What is wanted of an order is a field of the order, which is an item like others: each of these commands reads it, changes
-//! that field and sends it under the next version. Whoever changed it in between is heard: 409, nothing has changed.
+//! An order is a configuration item, and its desired state is a field: the commands read the item, change
+//! that field and send it with the next version. A concurrent change leads to a 409, and nothing is changed.
 
-use crate::gateway::{Asked, Gateways};
-use crate::order::{change, items, text};
-use crate::{File, Plain, config, print};
+use crate::order::{items, set_state, text};
+use crate::registry_client::{CallResult, RegistryClient};
+use crate::{FileArgument, NoArguments, config, print_result};
 use gumdrop::Options;
 use sonic_rs::{JsonValueTrait, Value};
 use std::process::ExitCode;
 
-/// The list of the configuration that they are in.
+/// The configuration list that holds maintenance orders.
 const LIST: &str = "workOrders";
 const PATH: &str = "/fennelscale/maintenance";
 
@@ -25,25 +25,25 @@
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "all orders, and how far their nodes are")]
-    List(Plain),
+    List(NoArguments),
     #[options(help = "why the nodes of an order are or are not drained now")]
-    Explain(Named),
+    Explain(OrderArgument),
     #[options(help = "what would stand in the way of a file's orders; nothing is sent on")]
-    Rehearse(File),
+    Rehearse(FileArgument),
     #[options(help = "approve an order (--by NAME)")]
-    Approve(Named),
+    Approve(OrderArgument),
     #[options(help = "service its nodes in the contract's hours")]
-    Start(Named),
+    Start(OrderArgument),
     #[options(help = "drain no further node")]
-    Pause(Named),
+    Pause(OrderArgument),
     #[options(help = "take all its nodes back; it does not go on")]
-    End(Named),
+    End(OrderArgument),
     #[options(help = "take the approval back, and all its nodes")]
-    Withdraw(Named),
+    Withdraw(OrderArgument),
 }
 
 #[derive(Debug, Options)]
-struct Named {
+struct OrderArgument {
     #[options(help = "show this and end")]
     help: bool,
     #[options(help = "who approves it", meta = "NAME")]
@@ -52,7 +52,7 @@
     order: String,
 }
 
-pub async fn run(gateways: &Gateways, maintenance: Maintenance) -> ExitCode {
+pub async fn run(registries: &RegistryClient, maintenance: Maintenance) -> ExitCode {
     match maintenance.command {
         None => {
             eprintln!(
@@ -60,38 +60,40 @@
             );
             ExitCode::from(2)
         }
-        Some(Command::List(_)) => list(gateways, None).await,
-        Some(Command::Explain(named)) => list(gateways, Some(&named.order)).await,
-        Some(Command::Rehearse(file)) => rehearse(gateways, &file.file).await,
+        Some(Command::List(_)) => list(registries, None).await,
+        Some(Command::Explain(named)) => list(registries, Some(&named.order)).await,
+        Some(Command::Rehearse(file)) => rehearse(registries, &file.file).await,
         Some(Command::Approve(named)) => {
             let Some(by) = &named.by else {
                 eprintln!("fennelctl: approve: say who approves it with --by NAME");
                 return ExitCode::from(2);
             };
-            change(gateways, LIST, &named.order, "approved", Some(by)).await
+            set_state(registries, LIST, &named.order, "approved", Some(by)).await
         }
         Some(Command::Start(named)) => {
-            change(gateways, LIST, &named.order, "running", named.by.as_deref()).await
+            set_state(registries, LIST, &named.order, "running", named.by.as_deref()).await
+        }
+        Some(Command::Pause(named)) => set_state(registries, LIST, &named.order, "paused", None).await,
+        Some(Command::End(named)) => set_state(registries, LIST, &named.order, "ended", None).await,
+        Some(Command::Withdraw(named)) => {
+            set_state(registries, LIST, &named.order, "withdrawn", Some("")).await
         }
-        Some(Command::Pause(named)) => change(gateways, LIST, &named.order, "paused", None).await,
-        Some(Command::End(named)) => change(gateways, LIST, &named.order, "ended", None).await,
-        Some(Command::Withdraw(named)) => change(gateways, LIST, &named.order, "withdrawn", Some("")).await,
     }
 }
 
-async fn list(gateways: &Gateways, only: Option<&str>) -> ExitCode {
-    let body = match gateways.clear("GET", PATH, "").await {
-        Asked::Answered(200, body) => body,
-        other => return print(other),
+async fn list(registries: &RegistryClient, only: Option<&str>) -> ExitCode {
+    let body = match registries.call("GET", PATH, "").await {
+        CallResult::Response(200, body) => body,
+        other => return print_result(other),
     };
-    let told: Value = sonic_rs::from_str(&body).unwrap_or_default();
-    let mut orders = items(&told, "orders");
+    let response: Value = sonic_rs::from_str(&body).unwrap_or_default();
+    let mut orders = items(&response, "orders");
     orders.retain(|order| only.is_none_or(|name| text(order, "name") == name));
     if let Some(name) = only.filter(|_| orders.is_empty()) {
         eprintln!("fennelctl: there is no order {name}");
         return ExitCode::FAILURE;
     }
-    if gateways.json {
+    if registries.json {
         match only {
             None => say!("{body}"),
             Some(_) => {
@@ -100,7 +102,7 @@
         }
         return ExitCode::SUCCESS;
     }
-    match told.get("time").filter(|time| !time.is_null()) {
+    match response.get("time").filter(|time| !time.is_null()) {
         None => say!("no time of day can be trusted now; nothing is drained"),
         Some(time) => {
             let ms = |name| time.get(name).and_then(|v| v.as_f64()).unwrap_or_default();
@@ -127,20 +129,20 @@
     ExitCode::SUCCESS
 }
 
-async fn rehearse(gateways: &Gateways, file: &str) -> ExitCode {
+async fn rehearse(registries: &RegistryClient, file: &str) -> ExitCode {
     let body = match config::read(file) {
         Ok(body) => body,
         Err(status) => return status,
     };
-    let answer = match gateways.clear("POST", PATH, &body).await {
-        Asked::Answered(200, answer) => answer,
-        other => return print(other),
+    let answer = match registries.call("POST", PATH, &body).await {
+        CallResult::Response(200, answer) => answer,
+        other => return print_result(other),
     };
-    let told: Value = sonic_rs::from_str(&answer).unwrap_or_default();
-    if gateways.json {
+    let response: Value = sonic_rs::from_str(&answer).unwrap_or_default();
+    if registries.json {
         say!("{answer}");
     } else {
-        for missing in items(&told, "missing") {
+        for missing in items(&response, "missing") {
             say!(
                 "order {}: {}: {}",
                 text(&missing, "order"),
@@ -149,8 +151,8 @@
             );
         }
     }
-    if told.get("can").and_then(|can| can.as_bool()) == Some(true) {
-        if !gateways.json {
+    if response.get("can").and_then(|can| can.as_bool()) == Some(true) {
+        if !registries.json {
             say!("{file}: nothing stands in its way for good");
         }
         return ExitCode::SUCCESS;
--- a/system/node-settings/src/read.rs
+++ b/system/node-settings/src/read.rs
@@ -57,7 +57,7 @@
     json: String,
     /// Every field of the file as a dotted path; then the paths that were looked up, and unknown bounds.
     fields: Vec<String>,
-    asked: RefCell<BTreeSet<String>>,
+    looked_up: RefCell<BTreeSet<String>>,
     unused: RefCell<Vec<String>>,
 }
 
@@ -89,14 +89,14 @@
         let json = sonic_rs::to_string(&table).map_err(|error| malformed(&error))?;
         let mut all = Vec::new();
         fields(&table, "", &mut all);
-        Ok(Self { json, fields: all, asked: RefCell::default(), unused: RefCell::default() })
+        Ok(Self { json, fields: all, looked_up: RefCell::default(), unused: RefCell::default() })
     }
 
     /// Reports which fields were used and which were ignored.
     pub(crate) fn report(&self) -> FieldReport {
-        let asked = self.asked.borrow();
+        let looked_up = self.looked_up.borrow();
         let read = |field: &String| {
-            asked.iter().any(|name| {
+            looked_up.iter().any(|name| {
                 field.strip_prefix(name.as_str()).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
             })
         };
@@ -111,7 +111,7 @@
     }
 
     fn at(&self, at: &str) -> Option<LazyValue<'_>> {
-        self.asked.borrow_mut().insert(at.trim_start_matches('/').replace('/', "."));
+        self.looked_up.borrow_mut().insert(at.trim_start_matches('/').replace('/', "."));
         sonic_rs::get(self.json.as_str(), pointer(at)).ok()
     }
 
@@ -182,6 +182,6 @@
         let (name, value) = line.split_once('=')?;
         Some((name.trim().to_owned(), value.trim().to_owned()))
     };
-    let fault = || document.error(AT, "write each bound as name=value");
-    lines.iter().map(|line| pair(line).ok_or_else(fault)).collect()
+    let invalid = || document.error(AT, "write each bound as name=value");
+    lines.iter().map(|line| pair(line).ok_or_else(invalid)).collect()
 }
