--- a/system/host/src/call.rs
+++ b/system/host/src/call.rs
@@ -1,5 +1,5 @@
-//! Calls from outside: each call and its answer are a pair of types, and one generic handler reads the one, has it served and
-//! writes the other.
+//! The HTTP API: each call and its answer are a pair of types. One generic function parses the call, runs its
+//! handler and writes the response.
 
 use crate::error::{Failure, Kind};
 use crate::spawn;
@@ -20,36 +20,36 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// The longest body of a call. Ten thousand routes fit.
-const LONGEST: usize = 8 << 20;
-/// Connections of callers that are open at once; more wait in the machine's line.
-const MOST: usize = 200;
-/// A call must be read whole within this, and its answer begun within the other.
-const READ: Duration = Duration::from_secs(10);
-const SERVE: Duration = Duration::from_secs(20);
-
-/// A call as it came.
-pub struct Asked {
-    /// Its method.
+/// The largest request body. 10,000 routes fit.
+const MAX_BODY: usize = 8 << 20;
+/// Concurrent client connections; further ones wait in the kernel's accept queue.
+const MAX_CONNECTIONS: usize = 200;
+/// Time limit for reading a whole request; [`SERVE_TIMEOUT`] limits the time until its response starts.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+const SERVE_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// A request as received.
+pub struct ApiRequest {
+    /// The method.
     pub method: Method,
-    /// Its path.
+    /// The path.
     pub path: String,
-    /// Its query; empty without one.
+    /// The query string; empty if there is none.
     pub query: String,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-impl Asked {
-    /// A value of the query, with its percent signs resolved.
+impl ApiRequest {
+    /// A query parameter, percent-decoded.
     pub fn query(&self, name: &str) -> Option<String> {
         let mut pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs.find(|(key, _)| *key == name).map(|(_, value)| plain(value))
+        pairs.find(|(key, _)| *key == name).map(|(_, value)| percent_decode(value))
     }
 }
 
-/// Percent signs resolved; one that is none stays.
-fn plain(text: &str) -> String {
+/// Percent-decodes a text; invalid escapes are kept as they are.
+fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let (mut out, mut at) = (Vec::with_capacity(bytes.len()), 0);
     while at < bytes.len() {
@@ -68,23 +68,23 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// A kind of call.
+/// A type of API call.
 pub trait Call: Sized {
-    /// What answers it.
+    /// The type of its answer.
     type Answer: Answer;
-    /// Methods and path, as documents write it.
-    const FORM: &'static str;
-    /// Reads it; none if the call is of another kind, by method or path.
-    fn read(asked: &Asked) -> Option<Result<Self, Failure>>;
+    /// Methods and path, as written in the documentation.
+    const PATTERN: &'static str;
+    /// Parses the request; `None` if its method or path belongs to another type of call.
+    fn read(request: &ApiRequest) -> Option<Result<Self, Failure>>;
 }
 
-/// What answers a call.
+/// The answer to a call.
 pub trait Answer {
-    /// The body, where there is one: JSON.
+    /// The JSON body, if there is one.
     fn body(self) -> Option<String>;
 }
 
-/// Nothing but that it is done.
+/// Success without a body.
 pub struct Done;
 
 impl Answer for Done {
@@ -93,7 +93,7 @@
     }
 }
 
-/// A text of JSON.
+/// A JSON text.
 pub struct Json(pub String);
 
 impl Answer for Json {
@@ -102,18 +102,21 @@
     }
 }
 
-/// Who serves a kind of call.
-pub trait Serves<C: Call> {
-    /// Serves it.
+/// Handles a type of call.
+pub trait Handler<C: Call> {
+    /// Handles the call.
     fn serve(&self, call: C) -> impl Future<Output = Result<C::Answer, Failure>>;
 }
 
-/// The one handler: reads a call of a kind, has it served, writes the answer. None if the call is of another kind.
-pub async fn handle<C: Call, S: Serves<C>>(server: &S, asked: &Asked) -> Option<Response<Full<Bytes>>> {
-    let answer = match C::read(asked)? {
-        Ok(call) => match timeout(SERVE, server.serve(call)).await {
+/// Parses a call of type `C`, runs its handler and builds the response. `None` if the request is another type
+/// of call.
+pub async fn handle<C: Call, S: Handler<C>>(
+    server: &S, request: &ApiRequest,
+) -> Option<Response<Full<Bytes>>> {
+    let answer = match C::read(request)? {
+        Ok(call) => match timeout(SERVE_TIMEOUT, server.serve(call)).await {
             Ok(answer) => answer,
-            Err(_) => Err(Failure::new(Kind::Unclear, "no answer in time")),
+            Err(_) => Err(Failure::new(Kind::OutcomeUnknown, "no answer in time")),
         },
         Err(failure) => Err(failure),
     };
@@ -125,25 +128,25 @@
             response
         }
         Err(failure) => {
-            if failure.kind != Kind::NoRoom {
+            if failure.kind != Kind::Overloaded {
                 tracing::info!(
                     event = "call-failed",
-                    call = C::FORM,
-                    kind = failure.kind.row().1,
+                    call = C::PATTERN,
+                    kind = failure.kind.description().1,
                     text = failure.text
                 );
             }
-            let mut response = failed(&failure);
-            // For whoever tells others of it.
+            let mut response = error_response(&failure);
+            // Lets the caller record the failure in the event feed.
             response.extensions_mut().insert(failure);
             response
         }
     })
 }
 
-/// The answer to a call without success.
-pub fn failed(failure: &Failure) -> Response<Full<Bytes>> {
-    let (status, name, help) = failure.kind.row();
+/// The response to a failed call.
+pub fn error_response(failure: &Failure) -> Response<Full<Bytes>> {
+    let (status, name, help) = failure.kind.description();
     let text =
         |text: &str| text.replace('\\', "\\\\").replace('"', "\\\"").replace(|c: char| c.is_control(), " ");
     let body =
@@ -162,15 +165,16 @@
     response
 }
 
-/// Serves calls on a listener for as long as the program runs. `serve` answers what it knows.
-pub fn listen<F>(listener: TcpListener, serve: impl Fn(Asked) -> F + 'static)
+/// Serves requests on a listener until the program ends. `serve` returns `None` for calls that it does not
+/// know.
+pub fn listen<F>(listener: TcpListener, serve: impl Fn(ApiRequest) -> F + 'static)
 where
     F: Future<Output = Option<Response<Full<Bytes>>>> + 'static,
 {
-    let (serve, room) = (Rc::new(serve), Arc::new(Semaphore::new(MOST)));
+    let (serve, permits) = (Rc::new(serve), Arc::new(Semaphore::new(MAX_CONNECTIONS)));
     spawn(async move {
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
@@ -182,37 +186,37 @@
                     let serve = serve.clone();
                     async move { Ok::<_, Infallible>(answer(request, &*serve).await) }
                 });
-                // A caller that says nothing gives its place back in time.
+                // The read timeout frees the permit of an idle client.
                 let connection = http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(READ)
+                    .header_read_timeout(READ_TIMEOUT)
                     .max_buf_size(64 * 1024)
                     .serve_connection(TokioIo::new(stream), service);
                 let _ = connection.await;
-                drop(place);
+                drop(permit);
             });
         }
     });
 }
 
-async fn answer<F>(request: Request<Incoming>, serve: &impl Fn(Asked) -> F) -> Response<Full<Bytes>>
+async fn answer<F>(request: Request<Incoming>, serve: &impl Fn(ApiRequest) -> F) -> Response<Full<Bytes>>
 where
     F: Future<Output = Option<Response<Full<Bytes>>>>,
 {
     let (head, body) = request.into_parts();
-    let body = match timeout(READ, Limited::new(body, LONGEST).collect()).await {
+    let body = match timeout(READ_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            return failed(&Failure::new(Kind::TooLarge, format!("at most {LONGEST} bytes")));
+            return error_response(&Failure::new(Kind::TooLarge, format!("at most {MAX_BODY} bytes")));
         }
-        _ => return failed(&Failure::new(Kind::Malformed, "the body ended early")),
+        _ => return error_response(&Failure::new(Kind::Malformed, "the body ended early")),
     };
     let path = head.uri.path().to_owned();
     let query = head.uri.query().unwrap_or_default().to_owned();
-    let asked = Asked { method: head.method, path, query, body };
-    match serve(asked).await {
+    let request = ApiRequest { method: head.method, path, query, body };
+    match serve(request).await {
         Some(response) => response,
-        None => failed(&Failure::new(Kind::NotFound, "there is no such call here")),
+        None => error_response(&Failure::new(Kind::NotFound, "there is no such call here")),
     }
 }
 
@@ -221,12 +225,12 @@
     use super::*;
 
     #[test]
-    fn a_query_is_read_with_its_percent_signs() {
+    fn query_parameters_are_percent_decoded() {
         let query = "name=a%2Eexample&zone=x+y&bad=%zz".to_owned();
-        let asked = Asked { method: Method::GET, path: "/".into(), query, body: Bytes::new() };
-        assert_eq!(asked.query("name").as_deref(), Some("a.example"));
-        assert_eq!(asked.query("zone").as_deref(), Some("x y"));
-        assert_eq!(asked.query("bad").as_deref(), Some("%zz"));
-        assert_eq!(asked.query("none"), None);
+        let request = ApiRequest { method: Method::GET, path: "/".into(), query, body: Bytes::new() };
+        assert_eq!(request.query("name").as_deref(), Some("a.example"));
+        assert_eq!(request.query("zone").as_deref(), Some("x y"));
+        assert_eq!(request.query("bad").as_deref(), Some("%zz"));
+        assert_eq!(request.query("none"), None);
     }
 }
--- a/system/host/src/start.rs
+++ b/system/host/src/start.rs
@@ -1,6 +1,6 @@
-//! The start and the end of a program.
+//! Startup and shutdown of a program.
 
-use fennelscale_node_settings::{Fault, Settings};
+use fennelscale_node_settings::{Settings, SettingsError};
 use std::future::Future;
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -9,81 +9,81 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// Signals that a program heeds.
+/// Signals that a program handles.
 pub struct Signals {
-    /// It is to end.
+    /// SIGTERM: shut down.
     pub terminate: Signal,
-    /// Its settings have changed.
+    /// SIGHUP: reload the settings.
     pub hangup: Signal,
 }
 
-/// Runs a program on this one thread. It ends with status 2 if it cannot start.
+/// Runs a program on the current thread. The exit status is 2 if it cannot start.
 pub fn run<F: Future<Output = miette::Result<()>>>(
     program: &str, debug: bool, main: impl FnOnce(Settings, Signals) -> F,
 ) -> ExitCode {
     let settings = match Settings::from_environment() {
         Ok(settings) => settings,
-        Err(fault) => return unusable(program, fault.into()),
+        Err(error) => return report_failure(program, error.into()),
     };
-    crate::log::begin(&settings.node, debug);
+    crate::log::init(&settings.node, debug);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
-        Err(error) => return unusable(program, miette::miette!("{error}")),
+        Err(error) => return report_failure(program, miette::miette!("{error}")),
     };
-    let ended = LocalSet::new().block_on(&runtime, async {
+    let result = LocalSet::new().block_on(&runtime, async {
         let terminate = signal(SignalKind::terminate()).map_err(|e| miette::miette!("{e}"))?;
         let hangup = signal(SignalKind::hangup()).map_err(|e| miette::miette!("{e}"))?;
         tracing::info!(event = "started", program, version = env!("CARGO_PKG_VERSION"), zone = settings.zone);
         main(settings, Signals { terminate, hangup }).await
     });
-    match ended {
+    match result {
         Ok(()) => {
             tracing::info!(event = "ended", program);
             ExitCode::SUCCESS
         }
-        Err(report) => unusable(program, report),
+        Err(report) => report_failure(program, report),
     }
 }
 
-/// Runs a program, or where `only_check` says so checks its settings file.
+/// Runs a program, or only checks its settings file if `only_check` is set.
 pub fn run_or_check<F: Future<Output = miette::Result<()>>>(
     program: &str, only_check: bool, debug: bool, main: impl FnOnce(Settings, Signals) -> F,
 ) -> ExitCode {
     if only_check { check(program) } else { run(program, debug, main) }
 }
 
-/// Checks a settings file and says what is wrong with it.
+/// Checks the settings file and prints which fields are used and ignored, or the error.
 pub fn check(program: &str) -> ExitCode {
-    match Settings::told_by_environment() {
-        Ok((settings, told)) => {
+    match Settings::from_environment_with_report() {
+        Ok((settings, report)) => {
             let list = |fields: &[String]| {
                 if fields.is_empty() { "nothing".to_owned() } else { fields.join(", ") }
             };
-            // Whoever reads may stop before the end: that is no fault.
+            // A reader that closes the pipe early is not an error.
             let _ = writeln!(
                 std::io::stdout(),
                 "{program}: settings of {} can be used\n  taken: {}\n  ignored: {}",
                 settings.node,
-                list(&told.taken),
-                list(&told.ignored)
+                list(&report.used),
+                list(&report.ignored)
             );
             ExitCode::SUCCESS
         }
-        Err(fault) => unusable(program, fault.into()),
+        Err(error) => report_failure(program, error.into()),
     }
 }
 
-fn unusable(program: &str, report: miette::Report) -> ExitCode {
+fn report_failure(program: &str, report: miette::Report) -> ExitCode {
     let help = report.help().map(|help| format!("; {help}")).unwrap_or_default();
     eprintln!("{program}: {report}{help}");
     ExitCode::from(2)
 }
 
-/// Listens, or says where it could not.
+/// Binds a listener; an error names the address.
 ///
 /// # Errors
-/// When the address cannot be had.
+/// If the address cannot be bound.
 pub async fn listen(at: SocketAddr) -> miette::Result<TcpListener> {
     TcpListener::bind(at).await.map_err(|error| {
         miette::miette!(
@@ -93,25 +93,25 @@
     })
 }
 
-/// Reads the settings again after a SIGHUP; unusable ones change nothing.
-pub fn again() -> Option<Settings> {
+/// Reads the settings again after a SIGHUP; `None` if they are invalid.
+pub fn reload_settings() -> Option<Settings> {
     match Settings::from_environment() {
         Ok(settings) => Some(settings),
-        Err(fault) => {
-            let fault: Fault = fault;
-            tracing::warn!(event = "settings-unusable", error = %fault);
+        Err(error) => {
+            let error: SettingsError = error;
+            tracing::warn!(event = "settings-unusable", error = %error);
             None
         }
     }
 }
 
-/// A number that differs from start to start.
-pub fn life() -> u64 {
+/// A random number that identifies this run of the process.
+pub fn random_incarnation() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
 
-/// The command line of a program of the system: its name, a line that says what it is, and what it runs.
+/// Defines a program's command line from its name, a description and the function to run.
 #[macro_export]
 macro_rules! program {
     ($name:literal, $what:literal, $run:path) => {
@@ -126,13 +126,13 @@
             verbose: bool,
         }
 
-        /// Runs the program by its arguments.
+        /// Runs the program with its command-line arguments.
         pub fn main() -> std::process::ExitCode {
             let arguments = <Arguments as gumdrop::Options>::parse_args_default_or_exit();
             $crate::start::run_or_check($name, arguments.check, arguments.verbose, $run)
         }
 
-        /// Runs the program with a settings file and usual arguments, for programs that are several in one.
+        /// Runs the program with default arguments, for binaries that contain several programs.
         pub fn run_plain() -> std::process::ExitCode {
             $crate::start::run($name, false, $run)
         }
--- a/system/node-settings/src/lib.rs
+++ b/system/node-settings/src/lib.rs
@@ -1,88 +1,88 @@
-//! What a program of the system is told: the settings file that `FENNELSCALE_CONFIG` names, read once, checked, typed.
+//! The settings of a program: reads and validates the file that `FENNELSCALE_CONFIG` names.
 //!
-//! The file is TOML. It is turned into JSON once and read by pointers: fields that nobody here asks for may come and go.
-//! Every error names the field, what stands there and what to do.
+//! The file is TOML. It is converted to JSON once and read by JSON pointers, so that unknown fields may be
+//! added or removed. Every error names the field, its value and the remedy.
 
 mod bounds;
 mod read;
 
 pub use bounds::Bounds;
-pub use read::{Fault, Told};
+pub use read::{FieldReport, SettingsError};
 
-use read::Sheet;
+use read::Document;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// The environment variable that names the settings file.
-pub const VARIABLE: &str = "FENNELSCALE_CONFIG";
+pub const SETTINGS_VARIABLE: &str = "FENNELSCALE_CONFIG";
 
-/// The ports that processes listen on for each other, by their place in the machine's range.
+/// The ports for connections between processes, as offsets in the host's port range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
-    /// Stores, for each other.
-    Depot = 0,
-    /// Registries, for each other.
-    Postmaster = 1,
-    /// Registries, for the sessions of proxies.
+    /// Stores, for other stores.
+    Stores = 0,
+    /// Registries, for other registries.
+    Registries = 1,
+    /// Registries, for proxy sessions.
     Sessions = 2,
-    /// The registry, for its machine's store.
-    Shelf = 3,
-    /// Proxies, for news that others pass on.
-    Courier = 4,
+    /// The registry, for the store on the same host.
+    RegistryForStore = 3,
+    /// Proxies, for updates relayed by other proxies.
+    Proxies = 4,
 }
 
-/// Where to listen for whom.
+/// Listen addresses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Listen {
-    /// Clients.
+    /// For clients.
     pub frontend: Option<SocketAddr>,
-    /// The platform's question whether clients may come.
+    /// For the platform's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Operators.
+    /// For the operators' API.
     pub control: Option<SocketAddr>,
-    /// Clients that ask where to go.
+    /// For clients that look up a proxy.
     pub directory: Option<SocketAddr>,
 }
 
-/// What the machine has.
+/// Resource limits of the host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of memory of one process.
+    /// Memory per process, in bytes.
     pub memory: u64,
-    /// Descriptors of one process.
+    /// File descriptors per process.
     pub descriptors: usize,
-    /// Bytes of the disk, shared by the machine's processes; 0 without one.
+    /// Disk space shared by the host's processes, in bytes; 0 without a disk.
     pub disk: u64,
 }
 
-/// What may be lost at once while everything still holds.
+/// Simultaneous losses that the system must tolerate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tolerance {
-    /// Machines that count towards a quorum.
+    /// Hosts that count toward a quorum.
     pub machines: usize,
-    /// Zones.
+    /// Whole zones.
     pub zones: usize,
-    /// Regions.
+    /// Whole regions.
     pub regions: usize,
 }
 
-/// The platform's list of backends.
+/// The platform API that lists backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cloud {
-    /// Where it is asked for.
+pub struct CloudApi {
+    /// Its address.
     pub address: SocketAddr,
-    /// Calls a second that it takes from all gateways together.
-    pub per_s: f64,
-    /// How old its answers may be.
-    pub lag: Duration,
+    /// Calls per second that it accepts from all gateways together.
+    pub rate_per_s: f64,
+    /// How stale its answers may be.
+    pub max_lag: Duration,
 }
 
-/// All that a program is told.
+/// All settings of a program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The machine's name.
+    /// The host's name.
     pub node: String,
     /// Its address.
     pub ip: IpAddr,
@@ -90,158 +90,158 @@
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// The first and last port of processes for each other.
+    /// The first and last port for connections between processes.
     pub ports: (u16, u16),
-    /// Control addresses of a few machines.
+    /// Control addresses of some hosts.
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time, on empty disks.
+    /// Whether the whole system starts for the first time, on empty disks.
     pub bootstrap: bool,
-    /// The machine counts towards a quorum.
-    pub counts: bool,
-    /// The folder for files that last.
-    pub data: Option<PathBuf>,
-    /// How often processes should show that they live.
+    /// Whether the host counts toward a quorum.
+    pub counts_toward_quorum: bool,
+    /// The directory for persistent files.
+    pub data_directory: Option<PathBuf>,
+    /// The interval between heartbeats.
     pub heartbeat: Duration,
     /// The region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// Where to listen.
+    /// Listen addresses.
     pub listen: Listen,
-    /// What the machine has.
+    /// Resource limits of the host.
     pub limits: Limits,
-    /// What may be lost.
-    pub tolerance: Tolerance,
-    /// The list of backends.
-    pub cloud: Cloud,
-    /// The figures of the rules.
+    /// Losses that the system must tolerate.
+    pub fault_tolerance: Tolerance,
+    /// The platform API.
+    pub cloud_api: CloudApi,
+    /// Bounds of the system's guarantees.
     pub bounds: Bounds,
-    /// What failure orders may do; without it none is taken or heeded.
-    pub failures: Option<fennelscale_fault_injection::Limits>,
+    /// Limits of failure orders; without them no order is accepted or applied.
+    pub failure_limits: Option<fennelscale_fault_injection::Limits>,
 }
 
 impl Settings {
-    /// Reads the file that the environment names.
+    /// Reads the settings file that the environment names.
     ///
     /// # Errors
-    /// When there is none or it cannot be used.
-    pub fn from_environment() -> Result<Self, Fault> {
-        Self::told_by_environment().map(|(settings, _)| settings)
+    /// If no file is named, or the file cannot be read or is invalid.
+    pub fn from_environment() -> Result<Self, SettingsError> {
+        Self::from_environment_with_report().map(|(settings, _)| settings)
     }
 
-    /// The same, and what became of the file's fields.
+    /// Like [`Settings::from_environment`], and reports which fields were used.
     ///
     /// # Errors
-    /// When there is none or it cannot be used.
-    pub fn told_by_environment() -> Result<(Self, Told), Fault> {
-        let Some(path) = std::env::var_os(VARIABLE) else { return Err(Fault::NotNamed) };
+    /// If no file is named, or the file cannot be read or is invalid.
+    pub fn from_environment_with_report() -> Result<(Self, FieldReport), SettingsError> {
+        let Some(path) = std::env::var_os(SETTINGS_VARIABLE) else { return Err(SettingsError::NotNamed) };
         let path = PathBuf::from(path);
-        let text = std::fs::read_to_string(&path).map_err(|error| Fault::Unreadable {
+        let text = std::fs::read_to_string(&path).map_err(|error| SettingsError::Unreadable {
             path: path.display().to_string(),
             error: error.to_string(),
         })?;
-        Self::parse_told(&text)
+        Self::parse_with_report(&text)
     }
 
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// When it cannot be used.
-    pub fn parse(text: &str) -> Result<Self, Fault> {
-        Self::parse_told(text).map(|(settings, _)| settings)
+    /// If the settings are invalid.
+    pub fn parse(text: &str) -> Result<Self, SettingsError> {
+        Self::parse_with_report(text).map(|(settings, _)| settings)
     }
 
     /// The same, and what became of its fields.
     ///
     /// # Errors
-    /// When it cannot be used.
-    pub fn parse_told(text: &str) -> Result<(Self, Told), Fault> {
-        let sheet = Sheet::parse(text)?;
-        let settings = Self::read(&sheet)?;
-        Ok((settings, sheet.told()))
+    /// If the settings are invalid.
+    pub fn parse_with_report(text: &str) -> Result<(Self, FieldReport), SettingsError> {
+        let document = Document::parse(text)?;
+        let settings = Self::read(&document)?;
+        Ok((settings, document.report()))
     }
 
-    fn read(sheet: &Sheet) -> Result<Self, Fault> {
-        let ports: Vec<u16> = sheet.list("/internalPortRange")?;
+    fn read(document: &Document) -> Result<Self, SettingsError> {
+        let ports: Vec<u16> = document.list("/internalPortRange")?;
         let &[first, last] = ports.as_slice() else {
-            return Err(sheet.fault("/internalPortRange", "write two ports, the first and the last"));
+            return Err(document.error("/internalPortRange", "write two ports, the first and the last"));
         };
-        if last < first || last - first < Port::Courier as u16 {
-            return Err(sheet.fault("/internalPortRange", "leave at least five ports from first to last"));
+        if last < first || last - first < Port::Proxies as u16 {
+            return Err(document.error("/internalPortRange", "leave at least five ports from first to last"));
         }
-        let zones: BTreeMap<String, String> = sheet.value("/zones")?;
-        let (zone, region): (String, String) = (sheet.value("/zone")?, sheet.value("/region")?);
+        let zones: BTreeMap<String, String> = document.value("/zones")?;
+        let (zone, region): (String, String) = (document.value("/zone")?, document.value("/region")?);
         if zones.get(&zone) != Some(&region) {
-            return Err(sheet.fault("/zone", "name a zone of [zones] whose region is `region`"));
+            return Err(document.error("/zone", "name a zone of [zones] whose region is `region`"));
         }
-        let megabytes = |at: &str| sheet.number(at).map(|mb| (mb * 1e6) as u64);
+        let megabytes = |at: &str| document.number(at).map(|mb| (mb * 1e6) as u64);
         Ok(Self {
-            node: sheet.value("/nodeName")?,
-            ip: sheet.value("/ipAddress")?,
+            node: document.value("/nodeName")?,
+            ip: document.value("/ipAddress")?,
             ports: (first, last),
-            seeds: sheet.list("/seedNodes")?,
-            bootstrap: sheet.value("/bootstrap")?,
-            counts: sheet.value("/countsTowardQuorum")?,
-            data: sheet.maybe("/dataDirectory")?,
-            heartbeat: sheet.span("/heartbeatInterval")?,
+            seeds: document.list("/seedNodes")?,
+            bootstrap: document.value("/bootstrap")?,
+            counts_toward_quorum: document.value("/countsTowardQuorum")?,
+            data_directory: document.optional("/dataDirectory")?,
+            heartbeat: document.duration("/heartbeatInterval")?,
             listen: Listen {
-                frontend: sheet.maybe("/listenAddresses/frontend")?,
-                readiness: sheet.maybe("/listenAddresses/readiness")?,
-                control: sheet.maybe("/listenAddresses/controlPlane")?,
-                directory: sheet.maybe("/listenAddresses/directory")?,
+                frontend: document.optional("/listenAddresses/frontend")?,
+                readiness: document.optional("/listenAddresses/readiness")?,
+                control: document.optional("/listenAddresses/controlPlane")?,
+                directory: document.optional("/listenAddresses/directory")?,
             },
             limits: Limits {
                 memory: megabytes("/limits/memoryMb")?,
-                descriptors: sheet.value("/limits/maxFileDescriptors")?,
+                descriptors: document.value("/limits/maxFileDescriptors")?,
                 disk: megabytes("/limits/diskMb")?,
             },
-            tolerance: Tolerance {
-                machines: sheet.value("/faultTolerance/machineLosses")?,
-                zones: sheet.value("/faultTolerance/zones")?,
-                regions: sheet.value("/faultTolerance/regionLosses")?,
+            fault_tolerance: Tolerance {
+                machines: document.value("/faultTolerance/machineLosses")?,
+                zones: document.value("/faultTolerance/zones")?,
+                regions: document.value("/faultTolerance/regionLosses")?,
             },
-            cloud: Cloud {
-                address: sheet.value("/cloudApi/address")?,
-                per_s: sheet.number("/cloudApi/ratePerS")?,
-                lag: sheet.span("/cloudApi/maxLag")?,
+            cloud_api: CloudApi {
+                address: document.value("/cloudApi/address")?,
+                rate_per_s: document.number("/cloudApi/ratePerS")?,
+                max_lag: document.duration("/cloudApi/maxLag")?,
             },
-            bounds: Bounds::read(sheet)?,
-            failures: failures(sheet)?,
+            bounds: Bounds::read(document)?,
+            failure_limits: failure_limits(document)?,
             zone,
             region,
             zones,
         })
     }
 
-    /// Where a process of this machine listens for others.
-    pub fn own(&self, port: Port) -> SocketAddr {
-        self.at(self.ip, port)
+    /// The address where a process of this host listens.
+    pub fn own_address(&self, port: Port) -> SocketAddr {
+        self.address_of(self.ip, port)
     }
 
-    /// Where the process of another machine listens: all machines use the same ports.
-    pub fn at(&self, ip: IpAddr, port: Port) -> SocketAddr {
+    /// The address where a process of another host listens; all hosts use the same ports.
+    pub fn address_of(&self, ip: IpAddr, port: Port) -> SocketAddr {
         SocketAddr::new(ip, self.ports.0 + port as u16)
     }
 
-    /// Where the seeds' processes listen.
-    pub fn seeds_at(&self, port: Port) -> Vec<SocketAddr> {
-        self.seeds.iter().map(|seed| self.at(seed.ip(), port)).collect()
+    /// The addresses where the seed hosts' processes listen.
+    pub fn seed_addresses(&self, port: Port) -> Vec<SocketAddr> {
+        self.seeds.iter().map(|seed| self.address_of(seed.ip(), port)).collect()
     }
 }
 
-/// The table `failureOrders`, where there is one.
-fn failures(sheet: &Sheet) -> Result<Option<fennelscale_fault_injection::Limits>, Fault> {
+/// Reads the table `failureOrders`, if present.
+fn failure_limits(document: &Document) -> Result<Option<fennelscale_fault_injection::Limits>, SettingsError> {
     const AT: &str = "/failureOrders";
-    if !sheet.has(AT) {
+    if !document.has(AT) {
         return Ok(None);
     }
-    let kinds: Vec<String> = sheet.value("/failureOrders/kinds")?;
+    let kinds: Vec<String> = document.value("/failureOrders/kinds")?;
     let names = fennelscale_fault_injection::FailureKind::NAMES;
     if kinds.iter().any(|kind| !names.contains(&kind.as_str())) {
-        return Err(sheet.fault("/failureOrders/kinds", format!("list some of {}", names.join(", "))));
+        return Err(document.error("/failureOrders/kinds", format!("list some of {}", names.join(", "))));
     }
     Ok(Some(fennelscale_fault_injection::Limits {
-        max_requests: sheet.value("/failureOrders/mostInAll")?,
-        max_per_s: sheet.number("/failureOrders/mostPerS")?,
-        max_duration: sheet.span("/failureOrders/longest")?,
+        max_requests: document.value("/failureOrders/mostInAll")?,
+        max_per_s: document.number("/failureOrders/mostPerS")?,
+        max_duration: document.duration("/failureOrders/longest")?,
         kinds: kinds.into_iter().collect(),
     }))
 }
--- a/system/node-settings/src/read.rs
+++ b/system/node-settings/src/read.rs
@@ -1,4 +1,4 @@
-//! The file as a sheet of fields that are read by pointer.
+//! The settings file as a document whose fields are read by JSON pointer.
 
 use miette::Diagnostic;
 use serde::de::DeserializeOwned;
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Settings that cannot be used.
+/// Why settings cannot be used.
 #[derive(Clone, Debug, Diagnostic, Error, PartialEq)]
-pub enum Fault {
+pub enum SettingsError {
     /// No file is named.
     #[error("no settings file is named")]
     #[diagnostic(help("set FENNELSCALE_CONFIG to the path of the settings file"))]
@@ -19,49 +19,49 @@
     #[error("settings file {path}: {error}")]
     #[diagnostic(help("check that the file is there and may be read by this user"))]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system says.
+        /// The I/O error.
         error: String,
     },
-    /// It is no TOML.
+    /// The file is not valid TOML.
     #[error("settings file: {error}")]
     #[diagnostic(help("the file must be TOML; the message above tells the place"))]
     Malformed {
-        /// What the reader says.
+        /// The parser's error.
         error: String,
     },
-    /// A field is missing or says something that cannot be.
+    /// A field is missing or invalid.
     #[error("settings field {field}: {found}")]
     #[diagnostic(help("{help}"))]
     Field {
-        /// Which field.
+        /// The field's name.
         field: String,
-        /// What stands there.
+        /// The value found.
         found: String,
-        /// What to do.
+        /// The remedy.
         help: String,
     },
 }
 
-/// What became of a file's fields.
+/// Which fields of a file were used.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
-    /// Read and used.
-    pub taken: Vec<String>,
-    /// Passed over: these may be of another version, or misspelt.
+pub struct FieldReport {
+    /// Fields that were used.
+    pub used: Vec<String>,
+    /// Fields that were ignored; they may belong to another version or be misspelt.
     pub ignored: Vec<String>,
 }
 
-pub(crate) struct Sheet {
+pub(crate) struct Document {
     json: String,
-    /// Every field of the file, with dots; what was asked for; bounds that no rule here goes by.
+    /// Every field of the file as a dotted path; then the paths that were looked up, and unknown bounds.
     fields: Vec<String>,
-    asked: RefCell<BTreeSet<String>>,
+    looked_up: RefCell<BTreeSet<String>>,
     unused: RefCell<Vec<String>>,
 }
 
-/// The fields of a table, those of its tables one by one.
+/// Lists the fields of a table, including those of nested tables.
 fn fields(table: &toml::Table, before: &str, all: &mut Vec<String>) {
     for (name, value) in table {
         let name = format!("{before}{name}");
@@ -72,7 +72,7 @@
     }
 }
 
-/// `/a/b` as a pointer.
+/// Parses `/a/b` into pointer nodes.
 fn pointer(at: &str) -> Vec<PointerNode> {
     at.split('/')
         .filter(|part| !part.is_empty())
@@ -80,37 +80,38 @@
         .collect()
 }
 
-impl Sheet {
-    pub(crate) fn parse(text: &str) -> Result<Self, Fault> {
-        let malformed =
-            |error: &dyn std::fmt::Display| Fault::Malformed { error: error.to_string().trim().to_owned() };
+impl Document {
+    pub(crate) fn parse(text: &str) -> Result<Self, SettingsError> {
+        let malformed = |error: &dyn std::fmt::Display| SettingsError::Malformed {
+            error: error.to_string().trim().to_owned(),
+        };
         let table: toml::Table = text.parse().map_err(|error| malformed(&error))?;
         let json = sonic_rs::to_string(&table).map_err(|error| malformed(&error))?;
         let mut all = Vec::new();
         fields(&table, "", &mut all);
-        Ok(Self { json, fields: all, asked: RefCell::default(), unused: RefCell::default() })
+        Ok(Self { json, fields: all, looked_up: RefCell::default(), unused: RefCell::default() })
     }
 
-    /// Which fields were read and which nobody asked for.
-    pub(crate) fn told(&self) -> Told {
-        let asked = self.asked.borrow();
+    /// Reports which fields were used and which were ignored.
+    pub(crate) fn report(&self) -> FieldReport {
+        let looked_up = self.looked_up.borrow();
         let read = |field: &String| {
-            asked.iter().any(|name| {
+            looked_up.iter().any(|name| {
                 field.strip_prefix(name.as_str()).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
             })
         };
-        let (taken, mut ignored): (Vec<_>, Vec<_>) = self.fields.iter().cloned().partition(read);
+        let (used, mut ignored): (Vec<_>, Vec<_>) = self.fields.iter().cloned().partition(read);
         ignored.extend(self.unused.borrow().iter().cloned());
-        Told { taken, ignored }
+        FieldReport { used, ignored }
     }
 
-    /// A bound that no rule here goes by.
+    /// Records an unknown bound as ignored.
     pub(crate) fn unused(&self, bound: &str) {
         self.unused.borrow_mut().push(format!("bounds.{bound}"));
     }
 
     fn at(&self, at: &str) -> Option<LazyValue<'_>> {
-        self.asked.borrow_mut().insert(at.trim_start_matches('/').replace('/', "."));
+        self.looked_up.borrow_mut().insert(at.trim_start_matches('/').replace('/', "."));
         sonic_rs::get(self.json.as_str(), pointer(at)).ok()
     }
 
@@ -118,46 +119,46 @@
         self.at(at).is_some()
     }
 
-    pub(crate) fn fault(&self, at: &str, help: impl Into<String>) -> Fault {
+    pub(crate) fn error(&self, at: &str, help: impl Into<String>) -> SettingsError {
         let found = self.at(at).map_or("is missing".into(), |value| value.as_raw_str().to_owned());
-        Fault::Field { field: at.trim_start_matches('/').replace('/', "."), found, help: help.into() }
+        SettingsError::Field { field: at.trim_start_matches('/').replace('/', "."), found, help: help.into() }
     }
 
-    pub(crate) fn maybe<T: DeserializeOwned>(&self, at: &str) -> Result<Option<T>, Fault> {
+    pub(crate) fn optional<T: DeserializeOwned>(&self, at: &str) -> Result<Option<T>, SettingsError> {
         let Some(value) = self.at(at) else { return Ok(None) };
         let read = sonic_rs::from_str(value.as_raw_str());
         read.map(Some).map_err(|_| {
             let kind = std::any::type_name::<T>().rsplit("::").next().unwrap_or_default();
-            self.fault(at, format!("write a value that can be read as {kind}"))
+            self.error(at, format!("write a value that can be read as {kind}"))
         })
     }
 
-    pub(crate) fn value<T: DeserializeOwned>(&self, at: &str) -> Result<T, Fault> {
-        self.maybe(at)?.ok_or_else(|| self.fault(at, "add the field: this program cannot do without it"))
+    pub(crate) fn value<T: DeserializeOwned>(&self, at: &str) -> Result<T, SettingsError> {
+        self.optional(at)?.ok_or_else(|| self.error(at, "add the field: this program cannot do without it"))
     }
 
-    pub(crate) fn list<T: DeserializeOwned>(&self, at: &str) -> Result<Vec<T>, Fault> {
+    pub(crate) fn list<T: DeserializeOwned>(&self, at: &str) -> Result<Vec<T>, SettingsError> {
         self.value(at)
     }
 
-    /// A number that is finite and not negative.
-    pub(crate) fn number(&self, at: &str) -> Result<f64, Fault> {
+    /// Reads a finite number that is not negative.
+    pub(crate) fn number(&self, at: &str) -> Result<f64, SettingsError> {
         let number: f64 = self.value(at)?;
         if number.is_finite() && number >= 0.0 {
             Ok(number)
         } else {
-            Err(self.fault(at, "write a number of 0 or more"))
+            Err(self.error(at, "write a number of 0 or more"))
         }
     }
 
-    pub(crate) fn span(&self, at: &str) -> Result<Duration, Fault> {
+    pub(crate) fn duration(&self, at: &str) -> Result<Duration, SettingsError> {
         let text: String = self.value(at)?;
-        span(&text).ok_or_else(|| self.fault(at, "write a number and its unit, like 1500ms or 2.5s"))
+        duration(&text).ok_or_else(|| self.error(at, "write a number and its unit, like 1500ms or 2.5s"))
     }
 }
 
-/// A time as a text: a number and its unit, `ms` or `s`.
-pub(crate) fn span(text: &str) -> Option<Duration> {
+/// Parses a duration: a number and its unit, `ms` or `s`.
+pub(crate) fn duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
         None => (text.strip_suffix('s')?, 1.0),
@@ -168,17 +169,19 @@
     Duration::try_from_secs_f64(number.parse::<f64>().ok()? * unit).ok()
 }
 
-/// The value of a bound, from `bounds`, a list of `name=value` or one line of them with commas.
-pub(crate) fn bounds(sheet: &Sheet) -> Result<Vec<(String, String)>, Fault> {
+/// Reads the names and values in `bounds`, a list of `name=value` or one comma-separated string of them.
+pub(crate) fn bounds(document: &Document) -> Result<Vec<(String, String)>, SettingsError> {
     const AT: &str = "/bounds";
-    let lines: Vec<String> = match sheet.at(AT) {
-        Some(value) if value.is_str() => sheet.value::<String>(AT)?.split(',').map(str::to_owned).collect(),
-        _ => sheet.list(AT)?,
+    let lines: Vec<String> = match document.at(AT) {
+        Some(value) if value.is_str() => {
+            document.value::<String>(AT)?.split(',').map(str::to_owned).collect()
+        }
+        _ => document.list(AT)?,
     };
     let pair = |line: &String| {
         let (name, value) = line.split_once('=')?;
         Some((name.trim().to_owned(), value.trim().to_owned()))
     };
-    let fault = || sheet.fault(AT, "write each bound as name=value");
-    lines.iter().map(|line| pair(line).ok_or_else(fault)).collect()
+    let invalid = || document.error(AT, "write each bound as name=value");
+    lines.iter().map(|line| pair(line).ok_or_else(invalid)).collect()
 }
