--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/caps.rs
@@ -1,18 +1,18 @@
 //! How much each client, or site, has open and how fast it connects; bounded memory.
 //!
-//! Who has something open is always remembered: there are no more of these than descriptors. Of the others the last `most` are
-//! remembered, if their rate has anything to say still. The error of forgetting: one who is pushed out by `most` others may
-//! connect a whole burst anew, so of any client no more than `burst` a round of `most` other clients is let in beyond its rate.
+//! Who has something open is always remembered: there are no more of these than descriptors. Of the others the last `max` are
+//! remembered, if their rate has anything to say still. The error of forgetting: one who is pushed out by `max` others may
+//! connect a whole burst anew, so of any client no more than `burst` a round of `max` other clients is let in beyond its rate.
 
-use crate::gcra::{Due, Rate};
+use crate::gcra::{ArrivalTime, Rate};
 use crate::{Client, Time};
 use ahash::AHashMap;
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// Why a cap refuses.
+/// RejectReason a cap refuses.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Over {
+pub enum CapExceeded {
     /// So many are open already.
     Open,
     /// They come too fast; one would be taken after so many ms.
@@ -22,25 +22,25 @@
 #[derive(Clone, Copy, Default)]
 struct Account {
     open: u32,
-    due: Due,
+    due: ArrivalTime,
 }
 
 /// The accounts of all clients, or of all sites.
-pub struct Ledger {
+pub struct ConnectionCaps {
     live: AHashMap<Client, Account>,
-    past: LruCache<Client, Due>,
+    past: LruCache<Client, ArrivalTime>,
 }
 
 pub(crate) fn ms(now: Time) -> f64 {
     now.as_secs_f64() * 1000.0
 }
 
-impl Ledger {
+impl ConnectionCaps {
     /// Remembers this many with nothing open.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max: usize) -> Self {
         // The table grows as it is needed.
         let mut past = LruCache::unbounded();
-        past.resize(NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN));
+        past.resize(NonZeroUsize::new(max).unwrap_or(NonZeroUsize::MIN));
         Self { live: AHashMap::new(), past }
     }
 
@@ -50,11 +50,11 @@
     }
 
     /// How many are remembered, with something open and without.
-    pub fn remembered(&self) -> (usize, usize) {
+    pub fn tracked_entries(&self) -> (usize, usize) {
         (self.live.len(), self.past.len())
     }
 
-    fn due(&self, client: Client) -> Due {
+    fn due(&self, client: Client) -> ArrivalTime {
         self.live
             .get(&client)
             .map(|account| account.due)
@@ -66,15 +66,15 @@
     ///
     /// # Errors
     /// With the cap that says no.
-    pub fn check(&self, client: Client, now: Time, rate: Option<&Rate>, most: u32) -> Result<(), Over> {
-        if self.open(client) >= most {
-            return Err(Over::Open);
+    pub fn check(&self, client: Client, now: Time, rate: Option<&Rate>, max: u32) -> Result<(), CapExceeded> {
+        if self.open(client) >= max {
+            return Err(CapExceeded::Open);
         }
-        rate.map_or(Ok(()), |rate| rate.check(self.due(client), ms(now)).map_err(Over::Rate))
+        rate.map_or(Ok(()), |rate| rate.check(self.due(client), ms(now)).map_err(CapExceeded::Rate))
     }
 
     /// It has one more open; a rate, where one is given, counts it.
-    pub fn enter(&mut self, client: Client, now: Time, rate: Option<&Rate>) {
+    pub fn on_open(&mut self, client: Client, now: Time, rate: Option<&Rate>) {
         let before = self.past.pop(&client).unwrap_or(0.0);
         let account = self.live.entry(client).or_insert(Account { open: 0, due: before });
         account.open += 1;
@@ -84,7 +84,7 @@
     }
 
     /// It has one less open.
-    pub fn leave(&mut self, client: Client, now: Time) {
+    pub fn on_close(&mut self, client: Client, now: Time) {
         let Some(account) = self.live.get_mut(&client) else { return };
         account.open -= 1;
         if account.open > 0 {
--- a/crates/admission/src/origin.rs
+++ b/crates/admission/src/client_origin.rs
@@ -7,7 +7,7 @@
 use std::net::IpAddr;
 
 /// The longest header that is read: version 1 ends within 107 bytes, version 2 may carry more fields than anyone needs.
-pub const LONGEST: usize = 2048;
+pub const MAX_HEADER_LENGTH: usize = 2048;
 /// A line of version 1, with its end.
 const LONGEST_LINE: usize = 107;
 /// What one begins with.
@@ -17,31 +17,31 @@
 
 /// What a connection begins with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum ProxyHeader {
     /// More bytes are needed.
     Partial,
     /// A whole header.
-    Header {
+    Complete {
         /// Its length in bytes: the client's own begin behind it.
         length: usize,
         /// The client; none where the proxy speaks for itself, as in its health checks.
         client: Option<IpAddr>,
     },
     /// Not a header, or a malformed one.
-    Unusable,
+    Invalid,
 }
 
 /// Reads the first bytes of a connection from a proxy.
-pub fn proxy_header(bytes: &[u8]) -> Start {
+pub fn parse_proxy_header(bytes: &[u8]) -> ProxyHeader {
     // The library takes a line cut behind its third field for a malformed one.
     let open_line =
         (V1.starts_with(bytes) || bytes.starts_with(V1)) && !bytes.windows(2).any(|two| two == b"\r\n");
     if open_line {
-        return if bytes.len() >= LONGEST_LINE { Start::Unusable } else { Start::Partial };
+        return if bytes.len() >= LONGEST_LINE { ProxyHeader::Invalid } else { ProxyHeader::Partial };
     }
     let result = HeaderResult::parse(bytes);
     if result.is_incomplete() {
-        return if bytes.len() >= LONGEST { Start::Unusable } else { Start::Partial };
+        return if bytes.len() >= MAX_HEADER_LENGTH { ProxyHeader::Invalid } else { ProxyHeader::Partial };
     }
     match result {
         HeaderResult::V1(Ok(header)) => {
@@ -50,7 +50,7 @@
                 v1::Addresses::Tcp6(a) => Some(a.source_address.into()),
                 v1::Addresses::Unknown => None,
             };
-            Start::Header { length: header.header.len(), client }
+            ProxyHeader::Complete { length: header.header.len(), client }
         }
         HeaderResult::V2(Ok(header)) => {
             let client = match (header.command, header.addresses) {
@@ -60,25 +60,25 @@
                 (v2::Command::Proxy, v2::Addresses::IPv6(a)) => Some(a.source_address.into()),
                 (v2::Command::Proxy, _) => None,
             };
-            if header.len() > LONGEST {
-                return Start::Unusable;
+            if header.len() > MAX_HEADER_LENGTH {
+                return ProxyHeader::Invalid;
             }
-            Start::Header { length: header.len(), client }
+            ProxyHeader::Complete { length: header.len(), client }
         }
-        _ => Start::Unusable,
+        _ => ProxyHeader::Invalid,
     }
 }
 
 /// What is wrong with a request's word on where it comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed;
+pub struct MalformedOrigin;
 
 fn steps(
     values: &[&str], header: fn(&str) -> Option<ForwardedHeaderValue>,
-) -> Result<Vec<Option<IpAddr>>, Malformed> {
+) -> Result<Vec<Option<IpAddr>>, MalformedOrigin> {
     let mut all = Vec::new();
     for value in values {
-        let parsed = header(value).ok_or(Malformed)?;
+        let parsed = header(value).ok_or(MalformedOrigin)?;
         for step in parsed {
             all.push(match step.forwarded_for {
                 Some(Identifier::SocketAddr(at)) => Some(at.ip()),
@@ -86,7 +86,7 @@
                 _ => None,
             });
             if all.len() > MOST_STEPS {
-                return Err(Malformed);
+                return Err(MalformedOrigin);
             }
         }
     }
@@ -98,23 +98,23 @@
 ///
 /// # Errors
 /// When they cannot be read, or the step before the last proxy is no address.
-pub fn forwarded(values: &[&str], networks: &Networks) -> Result<Option<IpAddr>, Malformed> {
+pub fn from_forwarded(values: &[&str], networks: &Networks) -> Result<Option<IpAddr>, MalformedOrigin> {
     client(steps(values, |v| ForwardedHeaderValue::from_forwarded(v).ok())?, networks)
 }
 
 /// The same for `X-Forwarded-For`.
 ///
 /// # Errors
-/// As for [`forwarded`].
-pub fn x_forwarded_for(values: &[&str], networks: &Networks) -> Result<Option<IpAddr>, Malformed> {
+/// As for [`from_forwarded`].
+pub fn from_x_forwarded_for(values: &[&str], networks: &Networks) -> Result<Option<IpAddr>, MalformedOrigin> {
     client(steps(values, |v| ForwardedHeaderValue::from_x_forwarded_for(v).ok())?, networks)
 }
 
-fn client(steps: Vec<Option<IpAddr>>, networks: &Networks) -> Result<Option<IpAddr>, Malformed> {
+fn client(steps: Vec<Option<IpAddr>>, networks: &Networks) -> Result<Option<IpAddr>, MalformedOrigin> {
     let mut last = None;
     for step in steps.into_iter().rev() {
         // Hidden or unknown: to guess would be to let it choose its name.
-        let address = step.ok_or(Malformed)?.to_canonical();
+        let address = step.ok_or(MalformedOrigin)?.to_canonical();
         last = Some(address);
         if networks.proxy(address).is_none() {
             break;
--- a/crates/admission/src/order.rs
+++ b/crates/admission/src/eviction.rs
@@ -7,7 +7,7 @@
 //! and a client's oldest idle connection only grows younger. Each look at a rank that is out of date mends it, and one
 //! change puts one rank out of date at most, so the cost of looking stays logarithmic in clients over all changes.
 
-use crate::{Class, Client, Id, Time};
+use crate::{Client, ClientClass, ConnectionId, Time};
 use ahash::AHashMap;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
@@ -25,11 +25,11 @@
 
 /// An idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Idle {
+pub struct IdleConnection {
     /// Since its last answer, its start, or the first byte of its next request.
     pub since: Time,
     /// Its number.
-    pub id: Id,
+    pub id: ConnectionId,
     /// Whether an answer was given on it.
     pub answered: bool,
 }
@@ -40,17 +40,17 @@
 /// Idle connections, idle longest in front. Those that are not idle any more stay until they come to the front, or are many.
 #[derive(Default)]
 struct Queue {
-    items: VecDeque<(Idle, bool)>,
+    items: VecDeque<(IdleConnection, bool)>,
     live: usize,
 }
 
 impl Queue {
-    fn first(&self) -> Option<&Idle> {
+    fn first(&self) -> Option<&IdleConnection> {
         self.items.front().map(|(idle, _)| idle)
     }
 
     /// They come in order but for those of one moment.
-    fn insert(&mut self, idle: Idle) {
+    fn insert(&mut self, idle: IdleConnection) {
         self.live += 1;
         if self.items.back().is_none_or(|(last, _)| *last < idle) {
             return self.items.push_back((idle, true));
@@ -61,7 +61,7 @@
         }
     }
 
-    fn remove(&mut self, idle: Idle) {
+    fn remove(&mut self, idle: IdleConnection) {
         let Ok(at) = self.items.binary_search_by(|(other, _)| other.cmp(&idle)) else { return };
         if !std::mem::take(&mut self.items[at].1) {
             return;
@@ -77,7 +77,7 @@
 }
 
 struct Entry {
-    class: Class,
+    class: ClientClass,
     load: Load,
     silent: Queue,
     answered: Queue,
@@ -86,7 +86,7 @@
 }
 
 impl Entry {
-    fn queue(&mut self, idle: Idle) -> &mut Queue {
+    fn queue(&mut self, idle: IdleConnection) -> &mut Queue {
         if idle.answered { &mut self.answered } else { &mut self.silent }
     }
 
@@ -97,8 +97,8 @@
     }
 
     /// Those first who said they would ask and didn't, last those who just came.
-    fn first(&self, now: Time, newcomer: Time) -> Option<(Idle, bool)> {
-        let fresh = |idle: &Idle| now.saturating_sub(idle.since) < newcomer;
+    fn first(&self, now: Time, newcomer: Time) -> Option<(IdleConnection, bool)> {
+        let fresh = |idle: &IdleConnection| now.saturating_sub(idle.since) < newcomer;
         let silent = self.silent.first();
         let chosen = silent.filter(|idle| !fresh(idle)).or(self.answered.first()).or(silent)?;
         Some((*chosen, fresh(chosen)))
@@ -111,7 +111,7 @@
     /// Whose it is.
     pub client: Client,
     /// Which.
-    pub idle: Idle,
+    pub idle: IdleConnection,
     /// What its client holds.
     pub load: Load,
     /// Whether it was idle for less than a newcomer's time.
@@ -120,14 +120,14 @@
 
 /// All idle connections that may be evicted.
 #[derive(Default)]
-pub struct Order {
+pub struct EvictionOrder {
     clients: AHashMap<Client, Entry>,
     ranks: [BTreeSet<Rank>; 2],
 }
 
-impl Order {
+impl EvictionOrder {
     /// A connection is idle.
-    pub fn insert(&mut self, client: Client, class: Class, load: Load, idle: Idle) {
+    pub fn insert(&mut self, client: Client, class: ClientClass, load: Load, idle: IdleConnection) {
         let fresh =
             || Entry { class, load, silent: Queue::default(), answered: Queue::default(), ranked: None };
         let entry = self.clients.entry(client).or_insert_with(fresh);
@@ -140,14 +140,14 @@
     }
 
     /// It is not idle any more, or not to be evicted.
-    pub fn remove(&mut self, client: Client, idle: Idle) {
+    pub fn remove(&mut self, client: Client, idle: IdleConnection) {
         if let Some(entry) = self.clients.get_mut(&client) {
             entry.queue(idle).remove(idle);
         }
     }
 
     /// A client holds more or less than before, or became known.
-    pub fn update(&mut self, client: Client, class: Class, load: Load) {
+    pub fn update(&mut self, client: Client, class: ClientClass, load: Load) {
         let Some(entry) = self.clients.get_mut(&client) else { return };
         if entry.class != class || entry.load < load {
             return self.rerank(client, class, load);
@@ -156,14 +156,14 @@
     }
 
     /// A client has nothing open any more.
-    pub fn forget(&mut self, client: Client) {
+    pub fn remove_client(&mut self, client: Client) {
         if let Some(Entry { class, ranked: Some(rank), .. }) = self.clients.remove(&client) {
             self.ranks[class as usize].remove(&rank);
         }
     }
 
     /// Gives a client its true rank.
-    fn rerank(&mut self, client: Client, class: Class, load: Load) {
+    fn rerank(&mut self, client: Client, class: ClientClass, load: Load) {
         let Some(entry) = self.clients.get_mut(&client) else { return };
         if let Some(old) = entry.ranked.take() {
             self.ranks[entry.class as usize].remove(&old);
@@ -176,7 +176,7 @@
     }
 
     /// The highest true rank of a class.
-    fn top(&mut self, class: Class) -> Option<Rank> {
+    fn top(&mut self, class: ClientClass) -> Option<Rank> {
         loop {
             let top = *self.ranks[class as usize].last()?;
             let client = top.2;
@@ -193,15 +193,15 @@
     }
 
     /// Who of a client's own would go first.
-    pub fn own(&self, client: Client, now: Time, newcomer: Time) -> Option<Victim> {
+    pub fn next_of_client(&self, client: Client, now: Time, newcomer: Time) -> Option<Victim> {
         let entry = self.clients.get(&client)?;
         let (idle, fresh) = entry.first(now, newcomer)?;
         Some(Victim { client, idle, load: entry.load, fresh })
     }
 
     /// Who of some classes would go first.
-    pub fn first(&mut self, classes: &[Class], now: Time, newcomer: Time) -> Option<Victim> {
+    pub fn next_victim(&mut self, classes: &[ClientClass], now: Time, newcomer: Time) -> Option<Victim> {
         let top = classes.iter().filter_map(|class| self.top(*class)).max()?;
-        self.own(top.2, now, newcomer)
+        self.next_of_client(top.2, now, newcomer)
     }
 }
--- a/crates/admission/src/gcra.rs
+++ b/crates/admission/src/gcra.rs
@@ -7,7 +7,7 @@
 //! more than `tolerance + interval` ahead of `now`.
 
 /// When the next one would be due, in ms of the host's clock. 0 is a flow of which nothing was seen.
-pub type Due = f64;
+pub type ArrivalTime = f64;
 
 /// A rate with a burst.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -30,14 +30,14 @@
     ///
     /// # Errors
     /// With the time in ms until one would.
-    pub fn check(&self, due: Due, now: f64) -> Result<(), f64> {
+    pub fn check(&self, due: ArrivalTime, now: f64) -> Result<(), f64> {
         let early = due - now - self.tolerance;
         // Rounding may leave a hair of a nanosecond.
         if early <= 1e-6 { Ok(()) } else { Err(early) }
     }
 
     /// When the next is due after one at a time in ms.
-    pub fn next(&self, due: Due, now: f64) -> Due {
+    pub fn next(&self, due: ArrivalTime, now: f64) -> ArrivalTime {
         due.max(now) + self.interval
     }
 
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// With the time in ms until one would; nothing is taken then.
-    pub fn take(&self, due: &mut Due, now: f64) -> Result<(), f64> {
+    pub fn try_acquire(&self, due: &mut ArrivalTime, now: f64) -> Result<(), f64> {
         self.check(*due, now)?;
         *due = self.next(*due, now);
         Ok(())
--- a/crates/admission/src/standing.rs
+++ b/crates/admission/src/known_clients.rs
@@ -8,34 +8,34 @@
 //! Two tables, each of bounded size, least recently served first out: on the way there, and known. A crowd that gets one
 //! request served each can push out only those on the way.
 
-use crate::{Class, Client, Time};
+use crate::{Client, ClientClass, Time};
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
 /// Standing is counted up to this many times what makes known.
-pub const MOST: f64 = 4.0;
+pub const MAX_CREDIT: f64 = 4.0;
 /// Who is known stays so down to this share of what makes known. Guards against who has just as much as it takes, and would be
 /// none a moment later.
-pub const STAYS: f64 = 0.5;
+pub const RETENTION_SHARE: f64 = 0.5;
 
 #[derive(Clone, Copy)]
-struct Standing {
+struct Credit {
     /// As it was `at`.
     credit: f64,
     at: Time,
 }
 
 /// The standing of all clients.
-pub struct Standings {
+pub struct KnownClients {
     after: f64,
     half_life: Time,
     counts_from: f64,
-    rising: LruCache<Client, Standing>,
-    known: LruCache<Client, Standing>,
+    rising: LruCache<Client, Credit>,
+    known: LruCache<Client, Credit>,
 }
 
-impl Standings {
-    /// Known from a credit of `after` on, for as long as [`STAYS`] says; a request counts from `counts_from` of the greatest worth on.
+impl KnownClients {
+    /// Known from a credit of `after` on, for as long as [`RETENTION_SHARE`] says; a request counts from `counts_from` of the greatest worth on.
     pub fn new(after: f64, half_life: Time, counts_from: f64, clients: usize) -> Self {
         let table = || {
             let mut table = LruCache::unbounded();
@@ -45,7 +45,7 @@
         Self { after, half_life, counts_from, rising: table(), known: table() }
     }
 
-    fn faded(&self, standing: Standing, now: Time) -> f64 {
+    fn faded(&self, standing: Credit, now: Time) -> f64 {
         let ages = now.saturating_sub(standing.at).as_secs_f64() / self.half_life.as_secs_f64();
         standing.credit * (-ages).exp2()
     }
@@ -57,10 +57,12 @@
     }
 
     /// Whether a client is known.
-    pub fn class(&self, client: Client, now: Time) -> Class {
-        let known =
-            self.known.peek(&client).is_some_and(|standing| self.faded(*standing, now) >= self.after * STAYS);
-        if known { Class::Known } else { Class::Stranger }
+    pub fn class(&self, client: Client, now: Time) -> ClientClass {
+        let known = self
+            .known
+            .peek(&client)
+            .is_some_and(|standing| self.faded(*standing, now) >= self.after * RETENTION_SHARE);
+        if known { ClientClass::Known } else { ClientClass::Unknown }
     }
 
     /// A request of a client was served; `share` is its worth as a share of the worthiest class's.
@@ -69,9 +71,9 @@
         if share.is_nan() || share < self.counts_from || share <= 0.0 || self.after.is_infinite() {
             return;
         }
-        let credit = (self.credit(client, now) + share.min(1.0)).min(MOST * self.after);
-        let standing = Standing { credit, at: now };
-        let stays = self.known.contains(&client) && credit >= self.after * STAYS;
+        let credit = (self.credit(client, now) + share.min(1.0)).min(MAX_CREDIT * self.after);
+        let standing = Credit { credit, at: now };
+        let stays = self.known.contains(&client) && credit >= self.after * RETENTION_SHARE;
         let (to, from) = if stays || credit >= self.after {
             (&mut self.known, &mut self.rising)
         } else {
@@ -82,7 +84,7 @@
     }
 
     /// How many are remembered: on the way, and as known.
-    pub fn remembered(&self) -> (usize, usize) {
+    pub fn tracked_entries(&self) -> (usize, usize) {
         (self.rising.len(), self.known.len())
     }
 }
--- a/crates/admission/src/returning.rs
+++ b/crates/admission/src/returning_clients.rs
@@ -12,8 +12,8 @@
 //! Memory is fixed: 8 bytes for each refusal that can be remembered. Two clients may share an entry by chance, one in 2^32
 //! pairs of a set; one of them then comes in as if it had been refused.
 
-use crate::gcra::{Due, Rate};
-use crate::ledger::ms;
+use crate::caps::ms;
+use crate::gcra::{ArrivalTime, Rate};
 use crate::{Client, Time};
 use ahash::RandomState;
 use std::time::Duration;
@@ -32,11 +32,11 @@
 }
 
 /// The refusals of late.
-pub struct Returning {
+pub struct ReturningClients {
     sets: Vec<[Entry; WAYS]>,
     hash: RandomState,
     rate: Rate,
-    due: Due,
+    due: ArrivalTime,
     forget: u32,
 }
 
@@ -45,7 +45,7 @@
     (ms as u64 & u64::from(u32::MAX)) as u32
 }
 
-impl Returning {
+impl ReturningClients {
     /// Remembers so many refusals, each for `forget` after the time that was told; those who come back may be `per_second`.
     pub fn new(per_second: f64, most: usize, forget: Duration) -> Self {
         let sets = if per_second > 0.0 { (most / WAYS).max(1) } else { 0 };
@@ -72,7 +72,7 @@
 
     /// A client was told to come again after `wait` ms. One that is remembered already keeps its first time: who asks
     /// again too soon is not put off by that.
-    pub fn refused(&mut self, now: Time, client: Client, wait: f64) {
+    pub fn record_rejection(&mut self, now: Time, client: Client, wait: f64) {
         let Some((set, tag)) = self.place(client) else { return };
         let (now, due) = (wrapped(ms(now)), wrapped(ms(now) + wait * (1.0 - EARLY)));
         let forget = self.forget;
@@ -102,7 +102,7 @@
 
     /// Lets one in that is due, if no more come back than may; its refusal is used up.
     pub fn admit(&mut self, now: Time, client: Client) -> bool {
-        if !self.is_due(now, client) || self.rate.take(&mut self.due, ms(now)).is_err() {
+        if !self.is_due(now, client) || self.rate.try_acquire(&mut self.due, ms(now)).is_err() {
             return false;
         }
         if let Some((set, tag)) = self.place(client) {
--- a/crates/admission/src/pace.rs
+++ b/crates/admission/src/slow_clients.rs
@@ -6,22 +6,22 @@
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doing {
+pub enum Activity {
     /// Nothing has come of a request.
-    Nothing,
+    Idle,
     /// A head has begun and is not whole.
-    Head,
+    ReadingHead,
     /// A head is whole; this many bytes of a body have come since.
-    Body {
+    ReadingBody {
         /// Since the head was whole.
         since: Time,
         /// Bytes of it.
         bytes: u64,
     },
     /// A request is open: its own time bounds it.
-    Open,
+    Processing,
     /// Its answer is being written; its reader has taken this many bytes.
-    Answer {
+    WritingResponse {
         /// Since the answer was given.
         since: Time,
         /// Bytes of it.
@@ -31,7 +31,7 @@
 
 /// The bounds.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct SlowClientLimits {
     request: Time,
     head: Time,
     body: f64,
@@ -51,7 +51,7 @@
     since.saturating_add(grace).saturating_add(span(bytes as f64 / rate * 1000.0))
 }
 
-impl Pace {
+impl SlowClientLimits {
     /// As the settings say.
     pub fn new(settings: &Settings) -> Self {
         Self {
@@ -65,14 +65,16 @@
 
     /// By when it must have moved on; none while its request is open. `since` is its start, its last answer or the first
     /// byte of its next request: more bytes renew nothing, they only keep up a rate.
-    pub fn due(&self, doing: Doing, since: Time) -> Option<Time> {
+    pub fn deadline(&self, doing: Activity, since: Time) -> Option<Time> {
         let whole = since.saturating_add(self.request);
         match doing {
-            Doing::Open => None,
-            Doing::Nothing => Some(whole),
-            Doing::Head => Some(whole.min(since.saturating_add(self.head))),
-            Doing::Body { since, bytes } => Some(whole.min(at_rate(since, bytes, self.body, self.grace))),
-            Doing::Answer { since: given, bytes } => {
+            Activity::Processing => None,
+            Activity::Idle => Some(whole),
+            Activity::ReadingHead => Some(whole.min(since.saturating_add(self.head))),
+            Activity::ReadingBody { since, bytes } => {
+                Some(whole.min(at_rate(since, bytes, self.body, self.grace)))
+            }
+            Activity::WritingResponse { since: given, bytes } => {
                 Some(whole.min(at_rate(given, bytes, self.answer, self.grace)))
             }
         }
--- a/crates/admission/tests/helper/mod.rs
+++ b/crates/admission/tests/helper/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)]
 
-use fennelscale_admission::admission::{Action, Admission, Room, Tell, Why};
-use fennelscale_admission::{Id, Time};
+use fennelscale_admission::admission::{Action, Admission, Capacity, RejectReason, RejectResponse};
+use fennelscale_admission::{ConnectionId, Time};
 use fennelscale_settings::admission::Admission as Settings;
 use fennelscale_settings::operators::Operators;
 use std::net::IpAddr;
@@ -23,7 +23,7 @@
     text.parse().unwrap_or_else(|_| panic!("{text}"))
 }
 
-pub const ROOM: Room = Room { clients: 10, held: 4, lingering: 2 };
+pub const CAPACITY: Capacity = Capacity { clients: 10, queued: 4, lingering: 2 };
 
 /// The decisions, with what they said last.
 pub struct Door {
@@ -32,41 +32,41 @@
 }
 
 impl Door {
-    pub fn new(text: &str, room: Room) -> Self {
+    pub fn new(text: &str, room: Capacity) -> Self {
         Self { admission: Admission::new(&settings(text), room), out: Vec::new() }
     }
 
-    pub fn connect(&mut self, now: Time, from: &str) -> (Id, Vec<Action>) {
-        let id = self.admission.connected(now, ip(from), &mut self.out);
+    pub fn connect(&mut self, now: Time, from: &str) -> (ConnectionId, Vec<Action>) {
+        let id = self.admission.on_connect(now, ip(from), &mut self.out);
         (id, std::mem::take(&mut self.out))
     }
 
     /// Connects, and is admitted for sure.
-    pub fn admit(&mut self, now: Time, from: &str) -> Id {
+    pub fn admit(&mut self, now: Time, from: &str) -> ConnectionId {
         let (id, out) = self.connect(now, from);
         assert!(out.contains(&Action::Admit(id)), "{from}: {out:?}");
         id
     }
 
     /// Connects, and is refused for sure; why.
-    pub fn refused(&mut self, now: Time, from: &str) -> (Id, Tell, Why) {
+    pub fn refused(&mut self, now: Time, from: &str) -> (ConnectionId, RejectResponse, RejectReason) {
         let (id, out) = self.connect(now, from);
         match out.as_slice() {
-            [Action::Refuse(refused, tell, why)] if *refused == id => (id, *tell, *why),
+            [Action::Reject(refused, tell, why)] if *refused == id => (id, *tell, *why),
             other => panic!("{from}: {other:?}"),
         }
     }
 
-    pub fn close(&mut self, now: Time, id: Id) -> Vec<Action> {
-        self.admission.closed(now, id, &mut self.out);
+    pub fn close(&mut self, now: Time, id: ConnectionId) -> Vec<Action> {
+        self.admission.on_close(now, id, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
     /// One request, served.
-    pub fn serve(&mut self, now: Time, id: Id, share: Option<f64>) {
-        self.admission.began(now, id);
-        self.admission.taken(id);
-        self.admission.answered(now, id, share);
+    pub fn serve(&mut self, now: Time, id: ConnectionId, share: Option<f64>) {
+        self.admission.on_request_begin(now, id);
+        self.admission.on_request(id);
+        self.admission.on_response(now, id, share);
     }
 
     /// A client that was served enough to be known, with nothing open.
--- a/crates/admission/tests/model.rs
+++ b/crates/admission/tests/model.rs
@@ -3,14 +3,14 @@
 
 mod helper;
 
-use fennelscale_admission::admission::{Action, Admission, Room, Why};
-use fennelscale_admission::{Id, Time};
+use fennelscale_admission::admission::{Action, Admission, Capacity, RejectReason};
+use fennelscale_admission::{ConnectionId, Time};
 use helper::{at, ip, settings};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-const ROOM: Room = Room { clients: 9, held: 4, lingering: 2 };
+const CAPACITY: Capacity = Capacity { clients: 9, queued: 4, lingering: 2 };
 const RULES: &str = "
 [admission]
 addresses = 4
@@ -96,14 +96,14 @@
 struct Host {
     admission: Admission,
     now: Time,
-    all: HashMap<Id, (Where, IpAddr)>,
-    ended: HashMap<Id, u32>,
+    all: HashMap<ConnectionId, (Where, IpAddr)>,
+    ended: HashMap<ConnectionId, u32>,
 }
 
 impl Host {
     fn new() -> Self {
         Self {
-            admission: Admission::new(&settings(RULES), ROOM),
+            admission: Admission::new(&settings(RULES), CAPACITY),
             now: at(0),
             all: HashMap::new(),
             ended: HashMap::new(),
@@ -121,7 +121,7 @@
             let open = self.all.values().filter(|(w, a)| *a == of && counts(w)).count();
             return open as u64 * 1_000_000 / 3;
         }
-        u64::from(self.admission.open_of(of)) * 1_000_000 / Self::cap(of)
+        u64::from(self.admission.open_connections(of)) * 1_000_000 / Self::cap(of)
     }
 
     /// Carries actions out as a host would; `comes` is whose connection brought them about.
@@ -134,11 +134,14 @@
                     assert!(matches!(at, Where::Unnamed | Where::Held(_)), "{at:?}");
                     self.all.insert(id, (Where::Idle, from));
                 }
-                Action::Refuse(id, _, why) => {
+                Action::Reject(id, _, why) => {
                     let (at, from) = self.all[&id];
                     assert!(matches!(at, Where::Unnamed | Where::Held(_)), "{at:?}");
                     // A proxy over its own cap is refused before it is counted; who finds no room, after.
-                    self.all.insert(id, (Where::Refused { counted: why != Why::Proxy }, from));
+                    self.all.insert(
+                        id,
+                        (Where::Refused { counted: why != RejectReason::ProxyConnections }, from),
+                    );
                 }
                 Action::Evict(id) => {
                     let (at, from) = self.all[&id];
@@ -161,32 +164,33 @@
     fn check(&self) {
         let count = |what: fn(&Where) -> bool| self.all.values().filter(|(w, _)| what(w)).count();
         let admitted = count(|w| matches!(w, Where::Idle | Where::Busy | Where::Leaving));
-        assert!(admitted <= ROOM.clients, "{admitted} admitted");
+        assert!(admitted <= CAPACITY.clients, "{admitted} admitted");
         assert_eq!(admitted, self.admission.admitted().iter().sum::<usize>());
         let waiting = count(|w| matches!(w, Where::Unnamed | Where::Held(_)));
-        assert!(waiting <= ROOM.held, "{waiting} wait");
+        assert!(waiting <= CAPACITY.queued, "{waiting} wait");
         let (held, lingering) = self.admission.waiting();
         assert_eq!(held, waiting);
-        assert!(lingering <= ROOM.lingering, "{lingering} linger");
+        assert!(lingering <= CAPACITY.lingering, "{lingering} linger");
         for (at, _) in self.all.values() {
             if let Where::Held(since) = at {
                 assert!(self.now <= *since + at_most(), "held since {since:?}, now {:?}", self.now);
             }
         }
         for address in ADDRESSES.iter().map(|a| ip(a)).filter(|a| !a.to_string().starts_with("10.")) {
-            assert!(u64::from(self.admission.open_of(address)) <= Self::cap(address), "{address}");
+            assert!(u64::from(self.admission.open_connections(address)) <= Self::cap(address), "{address}");
         }
     }
 
-    fn pick(&self, n: usize, fits: impl Fn(&Where) -> bool) -> Option<Id> {
-        let mut ids: Vec<Id> = self.all.iter().filter(|(_, (w, _))| fits(w)).map(|(id, _)| *id).collect();
+    fn pick(&self, n: usize, fits: impl Fn(&Where) -> bool) -> Option<ConnectionId> {
+        let mut ids: Vec<ConnectionId> =
+            self.all.iter().filter(|(_, (w, _))| fits(w)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
         (!ids.is_empty()).then(|| ids[n % ids.len()])
     }
 
     /// Whether a stranger or a known client was admitted beyond its part.
     fn admitted_within_parts(&self, before: [usize; 2], out: &[Action]) {
-        let parts = self.admission.parts(self.admission.clients_now(self.now));
+        let parts = self.admission.class_limits(self.admission.current_capacity(self.now));
         let after = self.admission.admitted();
         if out.iter().any(|a| matches!(a, Action::Admit(_))) {
             for class in 0..2 {
@@ -201,7 +205,7 @@
         match *step {
             Step::Connect(n) => {
                 let from = ip(ADDRESSES[n]);
-                let id = self.admission.connected(self.now, from, &mut out);
+                let id = self.admission.on_connect(self.now, from, &mut out);
                 self.all.insert(id, (Where::Unnamed, from));
                 self.settle(id, &out);
                 self.admitted_within_parts(before, &out);
@@ -210,34 +214,35 @@
             Step::Identify(n, address) => {
                 let Some(id) = self.pick(n, |w| *w == Where::Unnamed) else { return };
                 let from = ip(ADDRESSES[address]);
-                self.admission.identified(self.now, id, from, &mut out);
+                self.admission.on_client_identified(self.now, id, from, &mut out);
                 self.all.insert(id, (Where::Unnamed, from));
                 self.settle(id, &out);
                 self.admitted_within_parts(before, &out);
                 return self.carry_out(out, Some(from), false);
             }
             Step::Ride(n, address) => {
-                if let Some(id) =
-                    self.pick(n, |w| *w == Where::Idle).filter(|id| self.admission.shared(*id).is_some())
+                if let Some(id) = self
+                    .pick(n, |w| *w == Where::Idle)
+                    .filter(|id| self.admission.shared_header(*id).is_some())
                 {
-                    let _ = self.admission.rides(self.now, id, ip(ADDRESSES[address]));
+                    let _ = self.admission.assign_request(self.now, id, ip(ADDRESSES[address]));
                 }
             }
             Step::Begin(n) => {
                 if let Some(id) = self.pick(n, |w| *w == Where::Idle) {
-                    self.admission.began(self.now, id);
+                    self.admission.on_request_begin(self.now, id);
                 }
             }
             Step::Take(n) => {
                 if let Some(id) = self.pick(n, |w| *w == Where::Idle) {
-                    self.admission.taken(id);
+                    self.admission.on_request(id);
                     let from = self.all[&id].1;
                     self.all.insert(id, (Where::Busy, from));
                 }
             }
             Step::Answer(n, served) => {
                 if let Some(id) = self.pick(n, |w| *w == Where::Busy) {
-                    self.admission.answered(self.now, id, served.then_some(1.0));
+                    self.admission.on_response(self.now, id, served.then_some(1.0));
                     let from = self.all[&id].1;
                     self.all.insert(id, (Where::Idle, from));
                 }
@@ -246,35 +251,35 @@
                 let Some(id) = self.pick(n, |_| true) else { return };
                 self.all.remove(&id);
                 *self.ended.entry(id).or_default() += 1;
-                self.admission.closed(self.now, id, &mut out);
+                self.admission.on_close(self.now, id, &mut out);
                 self.admitted_within_parts(before, &out);
             }
             Step::Exhaust => {
-                self.admission.exhausted(self.now, &mut out);
+                self.admission.on_descriptor_shortage(self.now, &mut out);
                 return self.carry_out(out, None, true);
             }
             Step::Pass(ms) => {
                 let until = self.now + at(ms);
                 // As the host owes it: woken no later than it asked for.
-                while let Some(due) = self.admission.next_wake().filter(|due| *due <= until) {
+                while let Some(due) = self.admission.next_deadline().filter(|due| *due <= until) {
                     self.now = self.now.max(due);
                     let before = self.admission.admitted();
                     let mut out = Vec::new();
-                    self.admission.wake(self.now, &mut out);
+                    self.admission.on_timer(self.now, &mut out);
                     self.admitted_within_parts(before, &out);
                     self.carry_out(out, None, false);
                 }
                 self.now = until;
-                self.admission.wake(self.now, &mut out);
+                self.admission.on_timer(self.now, &mut out);
             }
         }
         self.carry_out(out, None, false);
     }
 
     /// Nothing said of it: it is held.
-    fn settle(&mut self, id: Id, out: &[Action]) {
+    fn settle(&mut self, id: ConnectionId, out: &[Action]) {
         let said = out.iter().any(|a| match a {
-            Action::Identify(n) | Action::Admit(n) | Action::Refuse(n, ..) => *n == id,
+            Action::Identify(n) | Action::Admit(n) | Action::Reject(n, ..) => *n == id,
             Action::Evict(_) => false,
         });
         if !said {
@@ -303,12 +308,12 @@
             host.run(&Step::Close(n));
         }
         prop_assert!(host.ended.values().all(|n| *n == 1));
-        prop_assert_eq!(host.admission.live(), 0);
+        prop_assert_eq!(host.admission.active_entries(), 0);
         prop_assert_eq!(host.admission.admitted(), [0, 0]);
         prop_assert_eq!(host.admission.waiting(), (0, 0));
-        prop_assert!(host.admission.remembered() <= 4 + 4 + 3 + 3);
+        prop_assert!(host.admission.tracked_entries() <= 4 + 4 + 3 + 3);
         let counts = host.admission.counts();
-        prop_assert!(counts.admitted + counts.refusals() <= counts.connected);
+        prop_assert!(counts.admitted + counts.rejections() <= counts.connected);
     }
 }
 
--- a/crates/admission/tests/parts.rs
+++ b/crates/admission/tests/parts.rs
@@ -2,11 +2,11 @@
 
 mod helper;
 
-use fennelscale_admission::budget::{Budget, Limit, OTHERS};
+use fennelscale_admission::budget::{Budget, DescriptorLimit, OTHER_DESCRIPTORS};
+use fennelscale_admission::client_origin::{self, MAX_HEADER_LENGTH, MalformedOrigin, ProxyHeader};
 use fennelscale_admission::gcra::Rate;
 use fennelscale_admission::networks::Networks;
-use fennelscale_admission::origin::{self, LONGEST, Malformed, Start};
-use fennelscale_admission::pace::{Doing, Pace};
+use fennelscale_admission::slow_clients::{Activity, SlowClientLimits};
 use fennelscale_settings::admission::Admission;
 use fennelscale_settings::operators::Operators;
 use helper::{at, ip, settings};
@@ -21,7 +21,7 @@
         let mut taken: Vec<f64> = Vec::new();
         for gap in gaps {
             now += gap;
-            match flow.take(&mut due, now) {
+            match flow.try_acquire(&mut due, now) {
                 Ok(()) => taken.push(now),
                 // What it says to wait is enough, and no less would be.
                 Err(wait) => {
@@ -47,12 +47,12 @@
         near[flip % V2.len()] ^= with;
         near.truncate(cut);
         for text in [bytes, near, [b"PROXY TCP4 ", &V1[11..cut.clamp(11, V1.len())]].concat()] {
-            if let Start::Header { length, .. } = origin::proxy_header(&text) {
+            if let ProxyHeader::Complete { length, .. } = client_origin::parse_proxy_header(&text) {
                 prop_assert!(length <= text.len());
             }
             if let Ok(text) = std::str::from_utf8(&text) {
-                let _ = origin::forwarded(&[text], &networks());
-                let _ = origin::x_forwarded_for(&[text], &networks());
+                let _ = client_origin::from_forwarded(&[text], &networks());
+                let _ = client_origin::from_x_forwarded_for(&[text], &networks());
             }
         }
     }
@@ -63,7 +63,7 @@
         prop_assert!(budget.total() <= limit, "{budget:?}");
         prop_assert!(budget.clients >= 1 && budget.backends >= 1);
         // Whatever is held and lingers, clients and backends keep three quarters of what is theirs.
-        prop_assert!(budget.held + budget.lingering <= (limit - OTHERS - more) / 4);
+        prop_assert!(budget.queued + budget.lingering <= (limit - OTHER_DESCRIPTORS - more) / 4);
     }
 }
 
@@ -73,11 +73,14 @@
         let budget = Budget::divide(limit, 24, 8, 0);
         assert!(budget.clients >= 1 && budget.backends >= 1, "{limit}");
     }
-    let limit = Limit::of(1024, Some(100));
-    assert!(limit.is_short() && limit.usable == 100);
+    let limit = DescriptorLimit::new(1024, Some(100));
+    assert!(limit.is_insufficient() && limit.usable == 100);
     assert!(limit.to_string().contains("allows 100, the configuration says 1024"), "{limit}");
-    assert!(Limit::of(20, None).is_short());
-    assert!(!Limit::of(1024, None).is_short() && !Limit::of(256, Some(1024)).is_short());
+    assert!(DescriptorLimit::new(20, None).is_insufficient());
+    assert!(
+        !DescriptorLimit::new(1024, None).is_insufficient()
+            && !DescriptorLimit::new(256, Some(1024)).is_insufficient()
+    );
 }
 
 fn networks() -> Networks {
@@ -112,23 +115,29 @@
 fn both_versions_of_the_proxy_protocol_are_read_whole_and_in_pieces() {
     for (text, client) in [(V1, "192.168.0.1"), (V2, "192.0.2.1")] {
         for cut in 0..text.len() {
-            assert_eq!(origin::proxy_header(&text[..cut]), Start::Partial, "{cut}");
+            assert_eq!(client_origin::parse_proxy_header(&text[..cut]), ProxyHeader::Partial, "{cut}");
         }
-        let header = Start::Header { length: text.len(), client: Some(ip(client)) };
-        assert_eq!(origin::proxy_header(text), header);
-        assert_eq!(origin::proxy_header(&[text, b"GET / HTTP/1.1\r\n\r\n"].concat()), header);
+        let header = ProxyHeader::Complete { length: text.len(), client: Some(ip(client)) };
+        assert_eq!(client_origin::parse_proxy_header(text), header);
+        assert_eq!(client_origin::parse_proxy_header(&[text, b"GET / HTTP/1.1\r\n\r\n"].concat()), header);
     }
     let six = b"PROXY TCP6 2001:db8::1 2001:db8::2 1 2\r\n";
     assert_eq!(
-        origin::proxy_header(six),
-        Start::Header { length: six.len(), client: Some(ip("2001:db8::1")) }
+        client_origin::parse_proxy_header(six),
+        ProxyHeader::Complete { length: six.len(), client: Some(ip("2001:db8::1")) }
     );
     let unknown = b"PROXY UNKNOWN ffff::1 what ever\r\n";
-    assert_eq!(origin::proxy_header(unknown), Start::Header { length: unknown.len(), client: None });
+    assert_eq!(
+        client_origin::parse_proxy_header(unknown),
+        ProxyHeader::Complete { length: unknown.len(), client: None }
+    );
     // LOCAL: the proxy's own health check.
     let mut local = V2.to_vec();
     local[12] = 0x20;
-    assert_eq!(origin::proxy_header(&local), Start::Header { length: local.len(), client: None });
+    assert_eq!(
+        client_origin::parse_proxy_header(&local),
+        ProxyHeader::Complete { length: local.len(), client: None }
+    );
 }
 
 #[test]
@@ -137,7 +146,7 @@
     version[12] = 0x31;
     let long = [b"PROXY TCP4 ".as_slice(), &[b'1'; 200]].concat();
     // Said to be longer than anything that is read.
-    let endless = [&V2[..14], &[0xff, 0xff], &[0; LONGEST]].concat();
+    let endless = [&V2[..14], &[0xff, 0xff], &[0; MAX_HEADER_LENGTH]].concat();
     for text in [
         b"GET / HTTP/1.1\r\n\r\n".as_slice(),
         b"PROXY TCP4 192.168.0.1 192.168.0.11 56324\r\n",
@@ -148,14 +157,19 @@
         &long,
         &endless,
     ] {
-        assert_eq!(origin::proxy_header(text), Start::Unusable, "{:?}", String::from_utf8_lossy(text));
+        assert_eq!(
+            client_origin::parse_proxy_header(text),
+            ProxyHeader::Invalid,
+            "{:?}",
+            String::from_utf8_lossy(text)
+        );
     }
 }
 
 #[test]
 fn of_forwarded_steps_the_last_that_is_no_proxy_is_the_client() {
     let networks = networks();
-    let forwarded = |values: &[&str]| origin::forwarded(values, &networks);
+    let forwarded = |values: &[&str]| client_origin::from_forwarded(values, &networks);
     assert_eq!(forwarded(&["for=192.0.2.1"]), Ok(Some(ip("192.0.2.1"))));
     assert_eq!(
         forwarded(&["for=203.0.113.9, for=192.0.2.1, for=10.1.1.1"]),
@@ -175,34 +189,43 @@
         "for=\"[2001:db8::1\"",
         "by=10.0.0.1",
     ] {
-        assert_eq!(forwarded(&[bad]), Err(Malformed), "{bad}");
+        assert_eq!(forwarded(&[bad]), Err(MalformedOrigin), "{bad}");
     }
     let many = vec!["for=10.0.0.1"; 40].join(", ");
-    assert_eq!(forwarded(&[&many]), Err(Malformed), "longer than any real way here");
-    let x = |values: &[&str]| origin::x_forwarded_for(values, &networks);
+    assert_eq!(forwarded(&[&many]), Err(MalformedOrigin), "longer than any real way here");
+    let x = |values: &[&str]| client_origin::from_x_forwarded_for(values, &networks);
     assert_eq!(x(&["203.0.113.9, 192.0.2.1, 10.2.3.4"]), Ok(Some(ip("192.0.2.1"))));
     assert_eq!(x(&["203.0.113.9", "192.0.2.7"]), Ok(Some(ip("192.0.2.7"))));
     assert_eq!(x(&["10.0.0.7"]), Ok(Some(ip("10.0.0.7"))), "a proxy that asks for itself");
-    assert_eq!(x(&["nobody"]), Err(Malformed));
+    assert_eq!(x(&["nobody"]), Err(MalformedOrigin));
 }
 
 #[test]
 fn slow_clients_have_a_time_for_each_thing_they_do() {
-    let pace = Pace::new(&Admission::default().pace);
+    let pace = SlowClientLimits::new(&Admission::default().pace);
     let since = at(1000);
-    assert_eq!(pace.due(Doing::Open, since), None);
-    assert_eq!(pace.due(Doing::Nothing, since), Some(at(3500)));
-    assert_eq!(pace.due(Doing::Head, since), Some(at(2500)));
+    assert_eq!(pace.deadline(Activity::Processing, since), None);
+    assert_eq!(pace.deadline(Activity::Idle, since), Some(at(3500)));
+    assert_eq!(pace.deadline(Activity::ReadingHead, since), Some(at(2500)));
     // Half a second of grace, then 16 kB a second; more bytes don't renew the time for the whole.
-    assert_eq!(pace.due(Doing::Body { since: at(1100), bytes: 0 }, since), Some(at(1600)));
-    assert_eq!(pace.due(Doing::Body { since: at(1100), bytes: 16_384 }, since), Some(at(2600)));
-    assert_eq!(pace.due(Doing::Body { since: at(1100), bytes: 1 << 30 }, since), Some(at(3500)));
-    assert_eq!(pace.due(Doing::Answer { since, bytes: 8192 }, since), Some(at(2000)));
-    let neutral = Pace::new(&Admission::neutral().pace);
-    for doing in
-        [Doing::Nothing, Doing::Head, Doing::Body { since, bytes: 0 }, Doing::Answer { since, bytes: 0 }]
-    {
-        assert_eq!(neutral.due(doing, since), Some(at(3500)), "{doing:?}");
+    assert_eq!(pace.deadline(Activity::ReadingBody { since: at(1100), bytes: 0 }, since), Some(at(1600)));
+    assert_eq!(
+        pace.deadline(Activity::ReadingBody { since: at(1100), bytes: 16_384 }, since),
+        Some(at(2600))
+    );
+    assert_eq!(
+        pace.deadline(Activity::ReadingBody { since: at(1100), bytes: 1 << 30 }, since),
+        Some(at(3500))
+    );
+    assert_eq!(pace.deadline(Activity::WritingResponse { since, bytes: 8192 }, since), Some(at(2000)));
+    let neutral = SlowClientLimits::new(&Admission::neutral().pace);
+    for doing in [
+        Activity::Idle,
+        Activity::ReadingHead,
+        Activity::ReadingBody { since, bytes: 0 },
+        Activity::WritingResponse { since, bytes: 0 },
+    ] {
+        assert_eq!(neutral.deadline(doing, since), Some(at(3500)), "{doing:?}");
     }
 }
 
--- a/crates/dataplane/src/back/backends.rs
+++ b/crates/dataplane/src/back/backends.rs
@@ -6,7 +6,7 @@
 use doorcourse::{BackendState, LoadReport, LoadReportSource, Name, Outcome};
 use fennelscale_settings::list::List;
 use fennelscale_settings::load;
-use fennelscale_wire::reuse::{Fault, Reuse};
+use fennelscale_wire::reuse::{ResponseFault, ReusePolicy};
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::request::Builder;
@@ -268,7 +268,7 @@
     connect_timeout: Duration,
     longest_idle: Duration,
     reports: LoadReportSource,
-    reuse: Reuse,
+    reuse: ReusePolicy,
     speech: Rc<dyn Speech>,
     bounds: Bounds,
     busy: Rc<Cell<usize>>,
@@ -281,7 +281,7 @@
 impl Backends {
     /// No backends yet; connections to them are used again by the rules of `reuse`.
     pub fn new(
-        connect_timeout: Duration, backend_idle: Duration, reports: LoadReportSource, reuse: Reuse,
+        connect_timeout: Duration, backend_idle: Duration, reports: LoadReportSource, reuse: ReusePolicy,
         speech: Rc<dyn Speech>, bounds: Bounds,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -310,7 +310,7 @@
     async fn connect(&self, dial: SocketAddr) -> std::io::Result<Option<Link>> {
         let begun = Instant::now();
         loop {
-            match Link::connect(dial, self.connect_timeout, self.reuse.times_answers()).await {
+            match Link::connect(dial, self.connect_timeout, self.reuse.measures_response_time()).await {
                 Err(error) if is_descriptor_shortage(&error) => {
                     self.known.borrow_mut().values_mut().for_each(|backend| backend.idle.clear());
                     if let Some(call) = self.shortage.borrow().as_ref() {
@@ -393,7 +393,7 @@
             (self.speech.request(&message, name, dial, left), message.body.clone())
         };
         let repeatable = message.repeatable;
-        let own = self.reuse.needs_own(repeatable, message.target.path());
+        let own = self.reuse.needs_new_connection(repeatable, message.target.path());
         let wants = Wants { repeatable, own, id: Some(&message.id), write_by };
         let begun = Instant::now();
         let mut at_work = AtWork::new(&self.working, name, until);
@@ -557,7 +557,7 @@
         }
         // Those that still rest are at the end.
         while let Some(at) =
-            backend.idle.iter().rposition(|(_, since)| self.reuse.has_rested(since.elapsed()))
+            backend.idle.iter().rposition(|(_, since)| self.reuse.is_idle_long_enough(since.elapsed()))
         {
             let (link, since) = backend.idle.remove(at);
             // Guards unsafe requests: one written to a connection that is closed or about to be is lost in
@@ -601,19 +601,21 @@
         if let Some(backend) = known.get_mut(name).filter(|b| b.dial == dial) {
             backend.heard = Instant::now();
             backend.keeps = keeps.or(backend.keeps);
-            let keep = backend.is_open() && self.reuse.may_keep(backend.fault.map(|at| at.elapsed()));
+            let keep = backend.is_open() && self.reuse.may_reuse(backend.fault.map(|at| at.elapsed()));
             backend.idle.extend(link.filter(|_| keep).map(|link| (link, backend.heard)));
         }
     }
 
     /// Why a whole answer is not this request's, if that shows.
-    fn foreign(&self, link: &Link, head: &response::Parts, id: Option<&HeaderValue>) -> Option<Fault> {
+    fn foreign(
+        &self, link: &Link, head: &response::Parts, id: Option<&HeaderValue>,
+    ) -> Option<ResponseFault> {
         if link.first_byte_after().is_some_and(|after| self.reuse.is_too_fast(after)) {
-            return Some(Fault::TooFast);
+            return Some(ResponseFault::TooFast);
         }
         let (id, header) = (id?, self.reuse.identity_header()?);
         let named = head.headers.get(header).map(HeaderValue::as_bytes);
-        self.reuse.is_foreign(named, id.as_bytes()).then_some(Fault::Misnamed)
+        self.reuse.is_for_other_request(named, id.as_bytes()).then_some(ResponseFault::WrongRequest)
     }
 
     /// Notes that bytes for nobody came from a backend. Where connections to it may not be kept then, none is.
@@ -621,7 +623,7 @@
         let mut known = self.known.borrow_mut();
         if let Some(backend) = known.get_mut(name).filter(|b| b.dial == dial) {
             backend.fault = Some(Instant::now());
-            if !self.reuse.may_keep(Some(Duration::ZERO)) {
+            if !self.reuse.may_reuse(Some(Duration::ZERO)) {
                 backend.idle.clear();
             }
         }
--- a/crates/dataplane/src/back/link.rs
+++ b/crates/dataplane/src/back/link.rs
@@ -3,7 +3,7 @@
 
 use crate::observe::Life;
 use bytes::Bytes;
-use fennelscale_wire::reuse::Fault;
+use fennelscale_wire::reuse::ResponseFault;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
 use hyper::client::conn::http1;
@@ -42,7 +42,7 @@
     life: Life<Connection>,
     begins: Notify,
     /// Bytes came that were no answer to what was out then, and why so.
-    fault: Cell<Option<Fault>>,
+    fault: Cell<Option<ResponseFault>>,
     /// When the request's last byte was written and how long after it the first of an answer came, where answers are timed.
     written: Cell<Option<Instant>>,
     heard: Cell<Option<Duration>>,
@@ -61,8 +61,8 @@
             self.life.step(Event::Heard);
             let fault = match before {
                 Connection::Busy { written: Written::Whole, .. } | Connection::Ended => None,
-                Connection::Busy { written: Written::Part, .. } => Some(Fault::Early),
-                _ => Some(Fault::Unasked),
+                Connection::Busy { written: Written::Part, .. } => Some(ResponseFault::Early),
+                _ => Some(ResponseFault::Unsolicited),
             };
             if let Some(fault) = fault {
                 self.blame(fault);
@@ -75,7 +75,7 @@
     }
 
     /// Notes the first fault of this connection; it carries nothing more.
-    fn blame(&self, fault: Fault) {
+    fn blame(&self, fault: ResponseFault) {
         if self.fault.get().is_none() {
             self.fault.set(Some(fault));
         }
@@ -90,7 +90,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Ok(1..) => {
                     self.life.step(Event::Heard);
-                    self.blame(Fault::Unasked);
+                    self.blame(ResponseFault::Unsolicited);
                 }
                 Ok(0) | Err(_) => self.life.step(Event::Ended),
             },
@@ -220,13 +220,13 @@
     pub fn stands(&self) -> bool {
         let peeked = peek(&self.stream);
         if matches!(peeked, Ok(1..)) {
-            self.trace.blame(Fault::Unasked);
+            self.trace.blame(ResponseFault::Unsolicited);
         }
         self.is_up() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Why bytes that came on it were nobody's, if any were.
-    pub fn fault(&self) -> Option<Fault> {
+    pub fn fault(&self) -> Option<ResponseFault> {
         self.trace.fault.get()
     }
 
--- a/crates/dataplane/src/front/door.rs
+++ b/crates/dataplane/src/front/door.rs
@@ -3,11 +3,11 @@
 use crate::back::link::is_descriptor_shortage;
 use crate::front::guest::{Desk, Guest};
 use crate::task::spawn;
-use fennelscale_admission::Id;
-use fennelscale_admission::admission::{Action, Admission, Room, Tell, Why};
+use fennelscale_admission::ConnectionId;
+use fennelscale_admission::admission::{Action, Admission, Capacity, RejectReason, RejectResponse};
 use fennelscale_admission::budget::Budget;
-use fennelscale_admission::origin::{self, Start};
-use fennelscale_admission::pace::Pace;
+use fennelscale_admission::client_origin::{self, ProxyHeader};
+use fennelscale_admission::slow_clients::SlowClientLimits;
 use fennelscale_settings::admission::Admission as Settings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -60,8 +60,8 @@
     pub left: Notify,
     settings: Settings,
     serve: RefCell<Option<Rc<Serve>>>,
-    waiting: RefCell<HashMap<Id, Waiting>>,
-    guests: RefCell<HashMap<Id, Rc<Guest>>>,
+    waiting: RefCell<HashMap<ConnectionId, Waiting>>,
+    guests: RefCell<HashMap<ConnectionId, Rc<Guest>>>,
     spare: Spare,
     rearm: Notify,
     told: Cell<u64>,
@@ -70,8 +70,8 @@
 impl Door {
     /// A door by the operators' settings, with its part of the descriptors.
     pub fn new(settings: Settings, budget: Budget) -> Rc<Self> {
-        let room = Room { clients: budget.clients, held: budget.held, lingering: budget.lingering };
-        let desk = Desk::new(Admission::new(&settings, room), Pace::new(&settings.pace));
+        let room = Capacity { clients: budget.clients, queued: budget.queued, lingering: budget.lingering };
+        let desk = Desk::new(Admission::new(&settings, room), SlowClientLimits::new(&settings.pace));
         Rc::new(Self {
             desk,
             left: Notify::new(),
@@ -106,7 +106,7 @@
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         self.spare.keep(listener);
         // Without a line of our own who finds no room waits in the machine's.
-        while !self.desk.ask(|admission, _| admission.holds())
+        while !self.desk.ask(|admission, _| admission.has_queue())
             && !self.tell(|a, now, out| a.may_accept(now, out))
         {
             self.left.notified().await;
@@ -136,14 +136,14 @@
     fn take(self: &Rc<Self>, stream: TcpStream, peer: IpAddr) {
         // The decisions may ask for it before they have told its number.
         let mut out = Vec::new();
-        let id = self.desk.ask(|admission, now| admission.connected(now, peer, &mut out));
+        let id = self.desk.ask(|admission, now| admission.on_connect(now, peer, &mut out));
         self.waiting.borrow_mut().insert(id, (stream, Vec::new()));
         self.carry_out(out);
     }
 
     /// Lets go of the spare descriptor, so that one connection can be accepted and refused.
     async fn refuse_without_descriptor(self: &Rc<Self>, listener: &TcpListener) {
-        self.tell(|admission, now, out| admission.exhausted(now, out));
+        self.tell(|admission, now, out| admission.on_descriptor_shortage(now, out));
         let had = self.spare.let_go();
         if let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
             say_no(&stream, self.settings.retry_after.0);
@@ -159,7 +159,7 @@
     /// kept again with the next accept.
     pub fn short_of_descriptors(self: &Rc<Self>) {
         self.spare.let_go();
-        self.tell(|admission, now, out| admission.exhausted(now, out));
+        self.tell(|admission, now, out| admission.on_descriptor_shortage(now, out));
     }
 
     /// Tells the decisions something, and carries out what they say.
@@ -178,18 +178,20 @@
             match action {
                 Action::Identify(id) => spawn(self.clone().identify(id)),
                 Action::Admit(id) => self.admit(id),
-                Action::Refuse(id, Tell::Answer(wait), _) => spawn(self.clone().refuse(id, wait)),
-                Action::Refuse(id, Tell::Brief(wait), _) => self.refuse_briefly(id, wait),
-                Action::Refuse(id, Tell::Reset, _) => self.reset(id),
+                Action::Reject(id, RejectResponse::RespondAndLinger(wait), _) => {
+                    spawn(self.clone().refuse(id, wait))
+                }
+                Action::Reject(id, RejectResponse::RespondAndClose(wait), _) => self.refuse_briefly(id, wait),
+                Action::Reject(id, RejectResponse::Reset, _) => self.reset(id),
                 Action::Evict(id) => self.evict(id),
             }
         }
-        if self.desk.ask(|admission, _| admission.next_wake().is_some()) {
+        if self.desk.ask(|admission, _| admission.next_deadline().is_some()) {
             self.rearm.notify_one();
         }
     }
 
-    fn admit(&self, id: Id) {
+    fn admit(&self, id: ConnectionId) {
         let Some((stream, ahead)) = self.waiting.borrow_mut().remove(&id) else { return };
         let guest = Guest::new(id, &self.desk);
         self.guests.borrow_mut().insert(id, guest.clone());
@@ -204,19 +206,19 @@
         self.closed(guest.id);
     }
 
-    fn closed(self: &Rc<Self>, id: Id) {
-        self.tell(|admission, now, out| admission.closed(now, id, out));
+    fn closed(self: &Rc<Self>, id: ConnectionId) {
+        self.tell(|admission, now, out| admission.on_close(now, id, out));
         self.left.notify_one();
     }
 
-    fn evict(&self, id: Id) {
+    fn evict(&self, id: ConnectionId) {
         if let Some(guest) = self.guests.borrow().get(&id) {
             guest.leave.notify_one();
         }
     }
 
     /// Closes so that the client hears of it at once, and nothing is kept for it.
-    fn reset(self: &Rc<Self>, id: Id) {
+    fn reset(self: &Rc<Self>, id: ConnectionId) {
         if let Some((stream, _)) = self.waiting.borrow_mut().remove(&id) {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
@@ -224,7 +226,7 @@
     }
 
     /// Answers 503 and closes at once.
-    fn refuse_briefly(self: &Rc<Self>, id: Id, wait: f64) {
+    fn refuse_briefly(self: &Rc<Self>, id: ConnectionId, wait: f64) {
         if let Some((stream, _)) = self.waiting.borrow_mut().remove(&id) {
             // Of a connection that was accepted just now the event loop has heard nothing yet: the socket itself is asked.
             say_no(&stream, wait);
@@ -233,7 +235,7 @@
     }
 
     /// Answers 503 and closes once that was read, or its time is over.
-    async fn refuse(self: Rc<Self>, id: Id, wait: f64) {
+    async fn refuse(self: Rc<Self>, id: ConnectionId, wait: f64) {
         let waiting = self.waiting.borrow_mut().remove(&id);
         if let Some((mut stream, _)) = waiting {
             let linger =
@@ -257,16 +259,16 @@
     }
 
     /// Reads a proxy's header.
-    async fn identify(self: Rc<Self>, id: Id) {
+    async fn identify(self: Rc<Self>, id: ConnectionId) {
         let waiting = self.waiting.borrow_mut().remove(&id);
         let Some((mut stream, mut ahead)) = waiting else { return };
         let limit = Duration::try_from_secs_f64(self.settings.pace.head.0 / 1000.0).unwrap_or_default();
         let read = async {
             loop {
-                match origin::proxy_header(&ahead) {
-                    Start::Header { length, client } => return Some((length, client)),
-                    Start::Unusable => return None,
-                    Start::Partial => {}
+                match client_origin::parse_proxy_header(&ahead) {
+                    ProxyHeader::Complete { length, client } => return Some((length, client)),
+                    ProxyHeader::Invalid => return None,
+                    ProxyHeader::Partial => {}
                 }
                 stream.read_buf(&mut ahead).await.ok().filter(|read| *read > 0)?;
             }
@@ -280,17 +282,17 @@
         };
         ahead.drain(..length);
         self.waiting.borrow_mut().insert(id, (stream, ahead));
-        self.tell(|admission, now, out| admission.identified(now, id, client.unwrap_or(peer), out));
+        self.tell(|admission, now, out| admission.on_client_identified(now, id, client.unwrap_or(peer), out));
     }
 
     /// Refuses those who have waited long enough, in time.
     async fn keep_time(self: Rc<Self>) {
         loop {
-            match self.desk.ask(|admission, _| admission.next_wake()) {
+            match self.desk.ask(|admission, _| admission.next_deadline()) {
                 None => self.rearm.notified().await,
                 Some(at) => {
                     tokio::select! {
-                        () = sleep_until(self.desk.instant(at)) => self.tell(|a, now, out| a.wake(now, out)),
+                        () = sleep_until(self.desk.instant(at)) => self.tell(|a, now, out| a.on_timer(now, out)),
                         () = self.rearm.notified() => {}
                     }
                 }
@@ -303,12 +305,13 @@
         loop {
             sleep(TELL).await;
             let counts = self.desk.ask(|admission, _| admission.counts());
-            let all = counts.refusals() + counts.exhausted;
+            let all = counts.rejections() + counts.exhausted;
             if self.told.replace(all) == all {
                 continue;
             }
             let mut reasons = String::new();
-            for (why, count) in Why::ALL.iter().zip(counts.refused).filter(|(_, count)| *count > 0) {
+            for (why, count) in RejectReason::ALL.iter().zip(counts.rejected).filter(|(_, count)| *count > 0)
+            {
                 let _ = write!(reasons, ", {} {count}", why.name());
             }
             eprintln!(
@@ -316,8 +319,8 @@
                  reset; {} asked to leave; descriptors ran out {} times",
                 counts.connected,
                 counts.admitted,
-                counts.held,
-                counts.refusals(),
+                counts.queued,
+                counts.rejections(),
                 counts.reset,
                 counts.evicted,
                 counts.exhausted
--- a/crates/dataplane/src/front/guest.rs
+++ b/crates/dataplane/src/front/guest.rs
@@ -3,8 +3,8 @@
 use crate::faults;
 use crate::observe::Life;
 use fennelscale_admission::admission::Admission;
-use fennelscale_admission::pace::{Doing, Pace};
-use fennelscale_admission::{Id, Time};
+use fennelscale_admission::slow_clients::{Activity, SlowClientLimits};
+use fennelscale_admission::{ConnectionId, Time};
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -31,12 +31,12 @@
 pub struct Desk {
     admission: RefCell<Admission>,
     start: Instant,
-    pace: Pace,
+    pace: SlowClientLimits,
 }
 
 impl Desk {
     /// A desk whose clock starts now.
-    pub fn new(admission: Admission, pace: Pace) -> Rc<Self> {
+    pub fn new(admission: Admission, pace: SlowClientLimits) -> Rc<Self> {
         Rc::new(Self { admission: RefCell::new(admission), start: Instant::now(), pace })
     }
 
@@ -59,7 +59,7 @@
 /// One client's connection.
 pub struct Guest {
     /// Its number.
-    pub id: Id,
+    pub id: ConnectionId,
     /// Where it is.
     pub life: Life<Inbound>,
     /// Woken when it is asked to leave.
@@ -80,7 +80,7 @@
 
 impl Guest {
     /// One that was admitted now.
-    pub fn new(id: Id, desk: &Rc<Desk>) -> Rc<Self> {
+    pub fn new(id: ConnectionId, desk: &Rc<Desk>) -> Rc<Self> {
         Rc::new(Self {
             id,
             life: Life::new(Inbound::accepted()),
@@ -100,18 +100,18 @@
         self.life.now() == Inbound::Open
     }
 
-    fn doing(&self) -> Doing {
+    fn doing(&self) -> Activity {
         match (self.life.now(), self.answer.get(), self.body.get()) {
-            (Inbound::Open, _, _) => Doing::Open,
-            (Inbound::Reading { .. }, _, Some((since, bytes))) => Doing::Body { since, bytes },
-            (Inbound::Reading { .. }, _, None) => Doing::Head,
-            (_, Some((since, bytes)), _) => Doing::Answer { since, bytes },
-            _ => Doing::Nothing,
+            (Inbound::Open, _, _) => Activity::Processing,
+            (Inbound::Reading { .. }, _, Some((since, bytes))) => Activity::ReadingBody { since, bytes },
+            (Inbound::Reading { .. }, _, None) => Activity::ReadingHead,
+            (_, Some((since, bytes)), _) => Activity::WritingResponse { since, bytes },
+            _ => Activity::Idle,
         }
     }
 
     fn due(&self) -> Time {
-        self.desk.pace.due(self.doing(), self.since.get()).unwrap_or_else(|| self.desk.now() + LOOK)
+        self.desk.pace.deadline(self.doing(), self.since.get()).unwrap_or_else(|| self.desk.now() + LOOK)
     }
 
     /// Resolves when its time to move on is over.
@@ -145,7 +145,7 @@
         if self.life.now() == (Inbound::Quiet { answered: true }) {
             self.desk.ask(|admission, now| {
                 self.since.set(now);
-                admission.began(now, self.id);
+                admission.on_request_begin(now, self.id);
             });
         }
         self.life.step(Event::Bytes);
@@ -173,7 +173,7 @@
     /// A request was taken whole.
     pub fn taken(&self) {
         self.life.step(Event::Taken);
-        self.desk.ask(|admission, _| admission.taken(self.id));
+        self.desk.ask(|admission, _| admission.on_request(self.id));
     }
 
     /// Notes an answer. `share` is what a served request is worth, as a share of what the worthiest is.
@@ -184,7 +184,7 @@
         self.desk.ask(|admission, now| {
             self.since.set(now);
             self.answer.set(Some((now, 0)));
-            admission.answered(now, self.id, share);
+            admission.on_response(now, self.id, share);
         });
         self.rearm();
     }
--- a/crates/wire/src/reuse.rs
+++ b/crates/wire/src/reuse.rs
@@ -1,12 +1,12 @@
 //! Which connections to backends may carry a request, and whose an answer is.
 //!
-//! Guarantee: with [`Reuse`] asked at the places its methods name, a request never has bytes for its answer that had
+//! Guarantee: with [`ReusePolicy`] asked at the places its methods name, a request never has bytes for its answer that had
 //! reached the gateway's machine when it last looked, just before the request's first byte was written, and none that
 //! came before the request's last byte was. The machine of `life::connection` holds the second half.
 //!
 //! What remains can come only after that look, and only from a backend that writes what nobody asked for: a whole
-//! answer, well formed, between the look and the true answer. [`Reuse::needs_own`] closes it for the requests that an
-//! operator names, [`Reuse::may_keep`] for a while after any fault that was seen, [`Reuse::is_foreign`] altogether
+//! answer, well formed, between the look and the true answer. [`ReusePolicy::needs_new_connection`] closes it for the requests that an
+//! operator names, [`ReusePolicy::may_reuse`] for a while after any fault that was seen, [`ReusePolicy::is_for_other_request`] altogether
 //! where backends name the request that they answer.
 
 use fennelscale_settings::upstream::{IdentityRule, Upstream};
@@ -14,20 +14,20 @@
 
 /// Why bytes are taken for nobody's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fault {
+pub enum ResponseFault {
     /// They came when no request was out, or before the first byte of one was written.
-    Unasked,
+    Unsolicited,
     /// They began before the request's last byte was written.
     Early,
     /// They began sooner after that than any backend answers.
     TooFast,
     /// They name another request, or none where one must be named.
-    Misnamed,
+    WrongRequest,
 }
 
 /// The rules in force.
 #[derive(Clone, Debug)]
-pub struct Reuse {
+pub struct ReusePolicy {
     rest: Duration,
     own_unsafe: bool,
     own_classes: Vec<String>,
@@ -40,7 +40,7 @@
     Duration::from_secs_f64(ms / 1000.0)
 }
 
-impl Reuse {
+impl ReusePolicy {
     /// The rules that operators' settings give.
     pub fn new(settings: &Upstream) -> Self {
         Self {
@@ -55,7 +55,7 @@
 
     /// Whether a request goes out only on a connection that has carried nothing yet. `path` is that of its target; its
     /// first part is the class.
-    pub fn needs_own(&self, repeatable: bool, path: &str) -> bool {
+    pub fn needs_new_connection(&self, repeatable: bool, path: &str) -> bool {
         if self.own_unsafe && !repeatable {
             return true;
         }
@@ -67,13 +67,13 @@
     }
 
     /// Whether a connection that became free so long ago may carry the next request.
-    pub fn has_rested(&self, free_for: Duration) -> bool {
+    pub fn is_idle_long_enough(&self, free_for: Duration) -> bool {
         free_for >= self.rest
     }
 
     /// Whether connections to a backend may be kept and used again; `since_fault` is how long ago bytes for nobody were
     /// last seen from it, none for never.
-    pub fn may_keep(&self, since_fault: Option<Duration>) -> bool {
+    pub fn may_reuse(&self, since_fault: Option<Duration>) -> bool {
         since_fault.is_none_or(|since| since >= self.after_fault)
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Whether the time from a request's last byte to its answer's first is looked at.
-    pub fn times_answers(&self) -> bool {
+    pub fn measures_response_time(&self) -> bool {
         !self.fastest_answer.is_zero()
     }
 
@@ -94,7 +94,7 @@
 
     /// Whether a whole answer is another request's, by what it says: `named` is the value of [`Self::identity_header`],
     /// `asked` the id of the request that waits for it.
-    pub fn is_foreign(&self, named: Option<&[u8]>, asked: &[u8]) -> bool {
+    pub fn is_for_other_request(&self, named: Option<&[u8]>, asked: &[u8]) -> bool {
         match (&self.identity, named) {
             (None, _) => false,
             (Some(_), Some(named)) => named != asked,
--- a/crates/wire/tests/reuse.rs
+++ b/crates/wire/tests/reuse.rs
@@ -1,12 +1,12 @@
 //! Which connections may carry what, as operators say it.
 
 use fennelscale_settings::operators::Operators;
-use fennelscale_wire::reuse::Reuse;
+use fennelscale_wire::reuse::ReusePolicy;
 use std::time::Duration;
 
-fn rules(text: &str) -> Reuse {
+fn rules(text: &str) -> ReusePolicy {
     let operators = Operators::parse("s.toml", text).expect("settings");
-    Reuse::new(&operators.upstream.unwrap_or_default())
+    ReusePolicy::new(&operators.upstream.unwrap_or_default())
 }
 
 const MS: Duration = Duration::from_millis(1);
@@ -14,11 +14,11 @@
 #[test]
 fn without_settings_connections_are_shared_after_a_short_rest_and_answers_name_nothing() {
     let rules = rules("");
-    assert!(!rules.needs_own(false, "/order/x"));
-    assert!(rules.has_rested(5 * MS) && !rules.has_rested(4 * MS));
-    assert!(rules.may_keep(None) && rules.may_keep(Some(Duration::ZERO)));
-    assert!(!rules.times_answers() && !rules.is_too_fast(Duration::ZERO));
-    assert!(rules.identity_header().is_none() && !rules.is_foreign(None, b"id-1"));
+    assert!(!rules.needs_new_connection(false, "/order/x"));
+    assert!(rules.is_idle_long_enough(5 * MS) && !rules.is_idle_long_enough(4 * MS));
+    assert!(rules.may_reuse(None) && rules.may_reuse(Some(Duration::ZERO)));
+    assert!(!rules.measures_response_time() && !rules.is_too_fast(Duration::ZERO));
+    assert!(rules.identity_header().is_none() && !rules.is_for_other_request(None, b"id-1"));
 }
 
 #[test]
@@ -26,33 +26,41 @@
     let named = rules("[upstream.own-connection]\nclasses = [\"order\"]");
     for (path, own) in [("/order/7", true), ("/order", true), ("/orders/7", false), ("/", false), ("", false)]
     {
-        assert_eq!(named.needs_own(true, path), own, "{path}");
+        assert_eq!(named.needs_new_connection(true, path), own, "{path}");
     }
     let unsafe_ones = rules("[upstream.own-connection]\nunsafe = true");
-    assert!(unsafe_ones.needs_own(false, "/look") && !unsafe_ones.needs_own(true, "/order"));
+    assert!(
+        unsafe_ones.needs_new_connection(false, "/look") && !unsafe_ones.needs_new_connection(true, "/order")
+    );
 }
 
 #[test]
 fn after_a_fault_nothing_is_kept_until_the_time_is_over() {
     let rules = rules("[upstream]\nafter-fault = \"10s\"");
-    assert!(rules.may_keep(None) && rules.may_keep(Some(10_000 * MS)));
-    assert!(!rules.may_keep(Some(9_999 * MS)));
+    assert!(rules.may_reuse(None) && rules.may_reuse(Some(10_000 * MS)));
+    assert!(!rules.may_reuse(Some(9_999 * MS)));
 }
 
 #[test]
 fn an_answer_that_names_another_request_is_not_taken_and_one_that_names_none_where_it_must() {
     let optional = rules("[upstream]\nidentity = { header = \"Req-Id\" }");
     assert_eq!(optional.identity_header(), Some("req-id"));
-    assert!(optional.is_foreign(Some(b"id-2"), b"id-1") && optional.is_foreign(Some(b""), b"id-1"));
-    assert!(!optional.is_foreign(Some(b"id-1"), b"id-1") && !optional.is_foreign(None, b"id-1"));
+    assert!(
+        optional.is_for_other_request(Some(b"id-2"), b"id-1")
+            && optional.is_for_other_request(Some(b""), b"id-1")
+    );
+    assert!(
+        !optional.is_for_other_request(Some(b"id-1"), b"id-1")
+            && !optional.is_for_other_request(None, b"id-1")
+    );
     let required = rules("[upstream]\nidentity = { header = \"Req-Id\", required = true }");
-    assert!(required.is_foreign(None, b"id-1"));
+    assert!(required.is_for_other_request(None, b"id-1"));
 }
 
 #[test]
 fn an_answer_sooner_than_any_backend_gives_one_is_told() {
     let rules = rules("[upstream]\nfastest-answer = \"2ms\"");
-    assert!(rules.times_answers() && rules.is_too_fast(MS) && !rules.is_too_fast(2 * MS));
+    assert!(rules.measures_response_time() && rules.is_too_fast(MS) && !rules.is_too_fast(2 * MS));
 }
 
 #[test]
--- a/gateway/src/front/clients.rs
+++ b/gateway/src/front/clients.rs
@@ -8,7 +8,7 @@
 use crate::front::guest::{BUFFER, Guest, Tap};
 use bytes::Bytes;
 use doorcourse::{Arrival, Name, RequestId, RetrySafety, Settings};
-use fennelscale_admission::origin;
+use fennelscale_admission::client_origin;
 use fennelscale_settings::admission::{Forged, Header};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -249,7 +249,7 @@
 
     /// Whose a request is, where its connection is a proxy's that many share; a proxy's header from who is none is a fault.
     fn place(&self, headers: &HeaderMap, guest: &Guest) -> Result<(), Fault> {
-        let header = match self.door.desk.ask(|admission, _| admission.shared(guest.id)) {
+        let header = match self.door.desk.ask(|admission, _| admission.shared_header(guest.id)) {
             Some(header) => header,
             None if self.door.settings().forged == Forged::Ignore => return Ok(()),
             None if headers.contains_key(FORWARDED) => {
@@ -262,18 +262,21 @@
         };
         let values = |name| {
             let values = headers.get_all(name).iter().map(|v| v.to_str());
-            values.collect::<Result<Vec<_>, _>>().map_err(|_| origin::Malformed)
+            values.collect::<Result<Vec<_>, _>>().map_err(|_| client_origin::MalformedOrigin)
         };
         self.door.desk.ask(|admission, now| {
             let client = match header {
                 Header::Forwarded => {
-                    values(FORWARDED).and_then(|v| origin::forwarded(&v, admission.networks()))
+                    values(FORWARDED).and_then(|v| client_origin::from_forwarded(&v, admission.networks()))
                 }
-                _ => values(X_FORWARDED_FOR).and_then(|v| origin::x_forwarded_for(&v, admission.networks())),
+                _ => values(X_FORWARDED_FOR)
+                    .and_then(|v| client_origin::from_x_forwarded_for(&v, admission.networks())),
             };
-            match client.map_err(|origin::Malformed| Fault::Bad("Forwarded or X-Forwarded-For"))? {
+            match client
+                .map_err(|client_origin::MalformedOrigin| Fault::Bad("Forwarded or X-Forwarded-For"))?
+            {
                 None => Ok(()),
-                Some(client) => admission.rides(now, guest.id, client).map_err(Fault::TooMany),
+                Some(client) => admission.assign_request(now, guest.id, client).map_err(Fault::TooMany),
             }
         })
     }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -17,12 +17,12 @@
 use fennelscale::front::clients::Front;
 use fennelscale::front::door::Door;
 use fennelscale::task::spawn;
-use fennelscale_admission::budget::{Budget, Limit};
+use fennelscale_admission::budget::{Budget, DescriptorLimit};
 use fennelscale_quota::Partition;
 use fennelscale_settings::admission::Admission;
 use fennelscale_settings::gateway::Config;
 use fennelscale_settings::operators::Operators;
-use fennelscale_wire::reuse::Reuse;
+use fennelscale_wire::reuse::ReusePolicy;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::cell::OnceCell;
 use std::fmt::Display;
@@ -79,8 +79,8 @@
         Ok(listener) => listener,
         Err(error) => return unusable(&format!("cannot listen at {}: {error}", config.listen)),
     };
-    let limit = Limit::of(config.sockets, descriptors_allowed(config.sockets));
-    if limit.is_short() {
+    let limit = DescriptorLimit::new(config.sockets, descriptors_allowed(config.sockets));
+    if limit.is_insufficient() {
         eprintln!("{limit}");
     }
     let admission = operators.admission.unwrap_or_else(Admission::neutral);
@@ -97,7 +97,7 @@
     let budget = Budget::divide(limit.usable, admission.hold.most, admission.refusals.lingering, more);
     let mut settings = faults::settings(config.settings);
     settings.loss = quota.losses;
-    let reuse = Reuse::new(&operators.upstream.unwrap_or_default());
+    let reuse = ReusePolicy::new(&operators.upstream.unwrap_or_default());
     let reports = settings.load_reports;
     let (speech, bounds) = (Rc::new(Metered { reports }), Bounds::small(budget.backends));
     let backends = Backends::new(config.connect_timeout, config.backend_idle, reports, reuse, speech, bounds);
--- a/gateway/tests/backends.rs
+++ b/gateway/tests/backends.rs
@@ -3,7 +3,7 @@
 mod helper;
 
 use fennelscale::back::link::{Link, Progress};
-use fennelscale_wire::reuse::Fault;
+use fennelscale_wire::reuse::ResponseFault;
 use helper::{Backend, Do, Gateway, Mood, Setup, World, list, ok, pause, request, row};
 use http_body_util::Full;
 use std::net::SocketAddr;
@@ -319,7 +319,7 @@
         };
         let (end, ()) = tokio::join!(link.exchange(request, 100, helper::LONG, None), speak);
         assert_eq!(end.expect_err("no answer"), Progress::Partly);
-        assert_eq!(link.fault(), Some(Fault::Early));
+        assert_eq!(link.fault(), Some(ResponseFault::Early));
         // There is room for the rest from now on, and the connection is still moved.
         let mut part = vec![0; 1 << 20];
         let mut room = 0;
@@ -353,7 +353,7 @@
         assert!(link.is_up(), "the event loop has heard nothing");
         let end = link.exchange(request(), 100, helper::LONG, None).await;
         assert_eq!(end.expect_err("no exchange"), Progress::Unsent);
-        assert_eq!(link.fault(), Some(Fault::Unasked));
+        assert_eq!(link.fault(), Some(ResponseFault::Unsolicited));
         drop(link);
         let left = if asked_before { b"GET /x HTTP/1.1\r\n\r\n".len() - 10 } else { 0 };
         assert_eq!(rest_of(&mut peer).await, left, "something was written behind the stray bytes");
--- a/system/proxy/src/service_engines.rs
+++ b/system/proxy/src/service_engines.rs
@@ -12,7 +12,7 @@
 use fennelscale_dataplane::task::spawn;
 use fennelscale_settings::list::List;
 use fennelscale_settings::upstream::{IdentityRule, Upstream};
-use fennelscale_wire::reuse::Reuse;
+use fennelscale_wire::reuse::ReusePolicy;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::rc::Rc;
@@ -113,7 +113,7 @@
 
     fn start(&self, health_path: String, service_count: usize) -> Option<Rc<ServiceEngine>> {
         let identity = IdentityRule { header: REQUEST_ID.as_str().to_owned(), required: true };
-        let reuse = Reuse::new(&Upstream { identity: Some(identity), ..Upstream::default() });
+        let reuse = ReusePolicy::new(&Upstream { identity: Some(identity), ..Upstream::default() });
         let most_open = (self.connections / service_count).max(16);
         let protocol =
             BackendProtocol { health_path, trace: self.trace.clone(), started_at: self.started_at };
