--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -13,7 +13,7 @@
 //! for it; each end, whoever made it, once by [`Admission::on_close`]. It carries out the actions, and calls [`Admission::on_timer`]
 //! no later than [`Admission::next_deadline`].
 
-use crate::caps::{CapExceeded, ConnectionCaps, ms};
+use crate::caps::{CapExceeded, ConnectionCaps, to_millis};
 use crate::eviction::{self, EvictionOrder, IdleConnection, Load, Victim};
 use crate::gcra::{ArrivalTime, Rate};
 use crate::known_clients::KnownClients;
@@ -415,7 +415,7 @@
         let returns = verdict.is_ok() && class == ClientClass::Unknown && self.returning.admit(now, client);
         let verdict = verdict.and_then(|()| match class {
             ClientClass::Unknown if !returns => {
-                self.strangers.check(self.strangers_due, ms(now)).map_err(|wait| {
+                self.strangers.check(self.strangers_due, to_millis(now)).map_err(|wait| {
                     (
                         RejectReason::UnknownClients,
                         if self.returning.is_on() { self.retry_after } else { wait },
@@ -431,7 +431,7 @@
             return self.refuse(now, id, why, wait, out);
         }
         if class == ClientClass::Unknown && !returns {
-            self.strangers_due = self.strangers.next(self.strangers_due, ms(now));
+            self.strangers_due = self.strangers.next(self.strangers_due, to_millis(now));
         }
         self.entered(now, client, true);
         if let Some(connection) = self.connections.get_mut(&id) {
@@ -578,7 +578,7 @@
                 // What the one that comes holds is counted with it already.
                 let holds = self.load(client);
                 first
-                    .filter(|v| v.load > holds || v.load == holds && !v.fresh || v.client == client)
+                    .filter(|v| v.load > holds || v.load == holds && !v.is_new || v.client == client)
                     .or_else(|| self.order.next_of_client(client, now, self.newcomer))
             }
         };
@@ -610,7 +610,7 @@
         {
             self.returning.record_rejection(now, client, wait);
         }
-        let answered = known || self.answers.try_acquire(&mut self.answers_due, ms(now)).is_ok();
+        let answered = known || self.answers.try_acquire(&mut self.answers_due, to_millis(now)).is_ok();
         let places = if known { self.room.lingering } else { self.room.lingering / STRANGERS_PART };
         let lingers = answered && self.lingering < places;
         self.counts.reset += u64::from(!answered);
--- a/crates/admission/src/caps.rs
+++ b/crates/admission/src/caps.rs
@@ -1,8 +1,9 @@
-//! How much each client, or site, has open and how fast it connects; bounded memory.
+//! Caps on the open connections and the connection rate of each client or site, in bounded memory.
 //!
-//! Who has something open is always remembered: there are no more of these than descriptors. Of the others the last `max` are
-//! remembered, if their rate has anything to say still. The error of forgetting: one who is pushed out by `max` others may
-//! connect a whole burst anew, so of any client no more than `burst` a round of `max` other clients is let in beyond its rate.
+//! Clients with open connections are always tracked: there are no more of them than descriptors. Of the
+//! others the last `max_idle` are remembered while their rate state still matters. Cost of the bound: a
+//! client that is evicted by `max_idle` others regains its full burst, so each round of `max_idle` other
+//! clients lets any client exceed its rate by at most `burst`.
 
 use crate::gcra::{ArrivalTime, Rate};
 use crate::{Client, Time};
@@ -10,90 +11,92 @@
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// RejectReason a cap refuses.
+/// Why a cap rejects a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CapExceeded {
-    /// So many are open already.
+    /// Too many connections are open.
     Open,
-    /// They come too fast; one would be taken after so many ms.
+    /// Connections arrive too fast; the next would be accepted after this many ms.
     Rate(f64),
 }
 
 #[derive(Clone, Copy, Default)]
-struct Account {
+struct ClientUsage {
     open: u32,
-    due: ArrivalTime,
+    next_arrival: ArrivalTime,
 }
 
-/// The accounts of all clients, or of all sites.
+/// Open connections and rates of all clients, or of all sites.
 pub struct ConnectionCaps {
-    live: AHashMap<Client, Account>,
-    past: LruCache<Client, ArrivalTime>,
+    active: AHashMap<Client, ClientUsage>,
+    idle: LruCache<Client, ArrivalTime>,
 }
 
-pub(crate) fn ms(now: Time) -> f64 {
+pub(crate) fn to_millis(now: Time) -> f64 {
     now.as_secs_f64() * 1000.0
 }
 
 impl ConnectionCaps {
-    /// Remembers this many with nothing open.
-    pub fn new(max: usize) -> Self {
-        // The table grows as it is needed.
-        let mut past = LruCache::unbounded();
-        past.resize(NonZeroUsize::new(max).unwrap_or(NonZeroUsize::MIN));
-        Self { live: AHashMap::new(), past }
+    /// Remembers up to `max_idle` clients without open connections.
+    pub fn new(max_idle: usize) -> Self {
+        // The table grows on demand.
+        let mut idle = LruCache::unbounded();
+        idle.resize(NonZeroUsize::new(max_idle).unwrap_or(NonZeroUsize::MIN));
+        Self { active: AHashMap::new(), idle }
     }
 
-    /// What a client has open.
+    /// The number of a client's open connections.
     pub fn open(&self, client: Client) -> u32 {
-        self.live.get(&client).map_or(0, |account| account.open)
+        self.active.get(&client).map_or(0, |usage| usage.open)
     }
 
-    /// How many are remembered, with something open and without.
+    /// The number of tracked clients with and without open connections.
     pub fn tracked_entries(&self) -> (usize, usize) {
-        (self.live.len(), self.past.len())
+        (self.active.len(), self.idle.len())
     }
 
-    fn due(&self, client: Client) -> ArrivalTime {
-        self.live
+    fn next_arrival(&self, client: Client) -> ArrivalTime {
+        self.active
             .get(&client)
-            .map(|account| account.due)
-            .or_else(|| self.past.peek(&client).copied())
+            .map(|usage| usage.next_arrival)
+            .or_else(|| self.idle.peek(&client).copied())
             .unwrap_or(0.0)
     }
 
-    /// Whether a client may have one more open.
+    /// Checks whether a client may open one more connection.
     ///
     /// # Errors
-    /// With the cap that says no.
+    /// The cap that is exceeded.
     pub fn check(&self, client: Client, now: Time, rate: Option<&Rate>, max: u32) -> Result<(), CapExceeded> {
         if self.open(client) >= max {
             return Err(CapExceeded::Open);
         }
-        rate.map_or(Ok(()), |rate| rate.check(self.due(client), ms(now)).map_err(CapExceeded::Rate))
+        rate.map_or(Ok(()), |rate| {
+            rate.check(self.next_arrival(client), to_millis(now)).map_err(CapExceeded::Rate)
+        })
     }
 
-    /// It has one more open; a rate, where one is given, counts it.
+    /// Records that a client opened a connection, which counts towards `rate` if given.
     pub fn on_open(&mut self, client: Client, now: Time, rate: Option<&Rate>) {
-        let before = self.past.pop(&client).unwrap_or(0.0);
-        let account = self.live.entry(client).or_insert(Account { open: 0, due: before });
-        account.open += 1;
+        let arrival = self.idle.pop(&client).unwrap_or(0.0);
+        let usage = self.active.entry(client).or_insert(ClientUsage { open: 0, next_arrival: arrival });
+        usage.open += 1;
         if let Some(rate) = rate {
-            account.due = rate.next(account.due, ms(now));
+            usage.next_arrival = rate.next(usage.next_arrival, to_millis(now));
         }
     }
 
-    /// It has one less open.
+    /// Records that a client closed a connection.
     pub fn on_close(&mut self, client: Client, now: Time) {
-        let Some(account) = self.live.get_mut(&client) else { return };
-        account.open -= 1;
-        if account.open > 0 {
+        let Some(usage) = self.active.get_mut(&client) else { return };
+        usage.open -= 1;
+        if usage.open > 0 {
             return;
         }
-        let due = account.due;
-        self.live.remove(&client);
-        if due > ms(now) {
-            self.past.put(client, due);
+        let next_arrival = usage.next_arrival;
+        self.active.remove(&client);
+        if next_arrival > to_millis(now) {
+            self.idle.put(client, next_arrival);
         }
     }
 }
--- a/crates/admission/src/client_origin.rs
+++ b/crates/admission/src/client_origin.rs
@@ -1,43 +1,44 @@
-//! Whose a connection or a request is, by the word of a proxy that is believed: the PROXY protocol, versions 1 and 2
-//! (HAProxy's specification, 2020/03/05), `Forwarded` (RFC 7239) and `X-Forwarded-For`.
+//! The client address of a connection or request as a trusted proxy reports it: PROXY protocol versions 1 and
+//! 2 (HAProxy's specification, 2020/03/05), `Forwarded` (RFC 7239) and `X-Forwarded-For`.
 
 use crate::networks::Networks;
 use forwarded_header_value::{ForwardedHeaderValue, Identifier};
 use ppp::{HeaderResult, PartialResult, v1, v2};
 use std::net::IpAddr;
 
-/// The longest header that is read: version 1 ends within 107 bytes, version 2 may carry more fields than anyone needs.
+/// The longest accepted PROXY header. Version 1 ends within 107 bytes; version 2 could carry any number of
+/// fields.
 pub const MAX_HEADER_LENGTH: usize = 2048;
-/// A line of version 1, with its end.
-const LONGEST_LINE: usize = 107;
-/// What one begins with.
-const V1: &[u8] = b"PROXY ";
-/// More steps than this are nobody's real way here.
-const MOST_STEPS: usize = 32;
+/// The longest line of version 1, including its line end.
+const MAX_LINE_LENGTH: usize = 107;
+/// The prefix of a version 1 header.
+const V1_PREFIX: &[u8] = b"PROXY ";
+/// Longer forwarding chains are rejected: no real request passes more proxies.
+const MAX_STEPS: usize = 32;
 
-/// What a connection begins with.
+/// The result of parsing the first bytes of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyHeader {
     /// More bytes are needed.
     Partial,
-    /// A whole header.
+    /// A complete header.
     Complete {
-        /// Its length in bytes: the client's own begin behind it.
+        /// Its length in bytes; the client's data follow it.
         length: usize,
-        /// The client; none where the proxy speaks for itself, as in its health checks.
+        /// The client; none if the proxy connects for itself, as in its health checks.
         client: Option<IpAddr>,
     },
-    /// Not a header, or a malformed one.
+    /// No header, or a malformed one.
     Invalid,
 }
 
-/// Reads the first bytes of a connection from a proxy.
+/// Parses the first bytes of a connection from a proxy.
 pub fn parse_proxy_header(bytes: &[u8]) -> ProxyHeader {
-    // The library takes a line cut behind its third field for a malformed one.
-    let open_line =
-        (V1.starts_with(bytes) || bytes.starts_with(V1)) && !bytes.windows(2).any(|two| two == b"\r\n");
-    if open_line {
-        return if bytes.len() >= LONGEST_LINE { ProxyHeader::Invalid } else { ProxyHeader::Partial };
+    // The library treats a line that is cut after its third field as malformed.
+    let incomplete_line = (V1_PREFIX.starts_with(bytes) || bytes.starts_with(V1_PREFIX))
+        && !bytes.windows(2).any(|two| two == b"\r\n");
+    if incomplete_line {
+        return if bytes.len() >= MAX_LINE_LENGTH { ProxyHeader::Invalid } else { ProxyHeader::Partial };
     }
     let result = HeaderResult::parse(bytes);
     if result.is_incomplete() {
@@ -54,7 +55,7 @@
         }
         HeaderResult::V2(Ok(header)) => {
             let client = match (header.command, header.addresses) {
-                // What the proxy does for itself is to be taken by the connection's own address.
+                // A proxy's own connection counts for the connection's own address.
                 (v2::Command::Local, _) => None,
                 (v2::Command::Proxy, v2::Addresses::IPv4(a)) => Some(a.source_address.into()),
                 (v2::Command::Proxy, v2::Addresses::IPv6(a)) => Some(a.source_address.into()),
@@ -69,7 +70,7 @@
     }
 }
 
-/// What is wrong with a request's word on where it comes from.
+/// A forwarding header that cannot be parsed or names no usable address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedOrigin;
 
@@ -85,7 +86,7 @@
                 Some(Identifier::IpAddr(at)) => Some(at),
                 _ => None,
             });
-            if all.len() > MOST_STEPS {
+            if all.len() > MAX_STEPS {
                 return Err(MalformedOrigin);
             }
         }
@@ -93,11 +94,11 @@
     Ok(all)
 }
 
-/// The client that the values of `Forwarded`, in the order in which they came, name: from the last step back, those that are
-/// proxies themselves are passed over. None where they name nobody: then the proxy speaks for itself.
+/// The client according to the `Forwarded` values, in the order received: the last step that is not itself a
+/// trusted proxy. None if there is no step: the proxy then sends the request for itself.
 ///
 /// # Errors
-/// When they cannot be read, or the step before the last proxy is no address.
+/// If the values cannot be parsed, or the step before the last proxy is not an address.
 pub fn from_forwarded(values: &[&str], networks: &Networks) -> Result<Option<IpAddr>, MalformedOrigin> {
     client(steps(values, |v| ForwardedHeaderValue::from_forwarded(v).ok())?, networks)
 }
@@ -113,7 +114,7 @@
 fn client(steps: Vec<Option<IpAddr>>, networks: &Networks) -> Result<Option<IpAddr>, MalformedOrigin> {
     let mut last = None;
     for step in steps.into_iter().rev() {
-        // Hidden or unknown: to guess would be to let it choose its name.
+        // Hidden or unknown: a guess would let the sender choose its identity.
         let address = step.ok_or(MalformedOrigin)?.to_canonical();
         last = Some(address);
         if networks.proxy(address).is_none() {
--- a/crates/admission/src/eviction.rs
+++ b/crates/admission/src/eviction.rs
@@ -1,24 +1,26 @@
-//! Who goes first when room is short: of the clients the one that holds most beyond its share, of its idle connections those
-//! that never asked before those that were answered, and of each the one that is idle longest.
+//! The order in which idle connections are evicted: first the client that holds the most relative to its cap;
+//! of its idle connections those that never sent a request before those that did; of each the one that is
+//! idle longest.
 //!
-//! A connection goes idle and busy again with each request, and somebody goes only when room is short: so what a request
-//! costs is kept least. Ranks are not mended when a connection is busy or idle again, but when the highest is looked at. That is
-//! right because a rank that is out of date is never too low: what makes one rise (more held, another class) mends it at once,
-//! and a client's oldest idle connection only grows younger. Each look at a rank that is out of date mends it, and one
-//! change puts one rank out of date at most, so the cost of looking stays logarithmic in clients over all changes.
+//! Connections become idle and busy with each request, and evictions are rare, so the cost per request is
+//! kept minimal: ranks are not updated when a connection becomes busy or idle again, but when the highest is
+//! looked up. That is correct because an outdated rank is never too low: what raises one (a higher load,
+//! another class) updates it at once, and a client's oldest idle connection only gets younger. Each lookup of
+//! an outdated rank updates it, and one change outdates at most one rank, so over all changes the cost of
+//! lookups stays logarithmic in the number of clients.
 
 use crate::{Client, ClientClass, ConnectionId, Time};
 use ahash::AHashMap;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Those that are not idle any more are taken out once they are more than this and more than those that are.
-const STALE_MOST: usize = 16;
+/// Entries that are no longer idle are removed once they outnumber this and the idle ones.
+const MAX_STALE: usize = 16;
 
-/// How much a client holds of what it may: millionths of its cap.
+/// A client's usage of its cap, in millionths.
 pub type Load = u64;
 
-/// The load of so many connections under a cap.
+/// The load of `open` connections under a cap.
 pub fn load(open: u32, cap: u32) -> Load {
     u64::from(open) * 1_000_000 / u64::from(cap.max(1))
 }
@@ -26,18 +28,19 @@
 /// An idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleConnection {
-    /// Since its last answer, its start, or the first byte of its next request.
+    /// Its last response, its start, or the first byte of its next request.
     pub since: Time,
-    /// Its number.
+    /// Its identifier.
     pub id: ConnectionId,
-    /// Whether an answer was given on it.
+    /// Whether a response was sent on it.
     pub answered: bool,
 }
 
-/// By load, then by who is idle longest.
+/// Ordered by load, then by the longest idle time.
 type Rank = (Load, Reverse<Time>, Client);
 
-/// Idle connections, idle longest in front. Those that are not idle any more stay until they come to the front, or are many.
+/// Idle connections, longest idle first. Entries that are no longer idle stay until they reach the front or
+/// are many.
 #[derive(Default)]
 struct Queue {
     items: VecDeque<(IdleConnection, bool)>,
@@ -49,7 +52,7 @@
         self.items.front().map(|(idle, _)| idle)
     }
 
-    /// They come in order but for those of one moment.
+    /// Entries arrive in order, except those with the same time.
     fn insert(&mut self, idle: IdleConnection) {
         self.live += 1;
         if self.items.back().is_none_or(|(last, _)| *last < idle) {
@@ -67,7 +70,7 @@
             return;
         }
         self.live -= 1;
-        if self.items.len() - self.live > self.live.max(STALE_MOST) {
+        if self.items.len() - self.live > self.live.max(MAX_STALE) {
             self.items.retain(|(_, live)| *live);
         }
         while self.items.front().is_some_and(|(_, live)| !live) {
@@ -79,43 +82,43 @@
 struct Entry {
     class: ClientClass,
     load: Load,
-    silent: Queue,
+    unused: Queue,
     answered: Queue,
-    /// Its rank as it stands in the table, never below its true one; none while it has none there.
+    /// Its rank in the table, never below its true rank; none if it is not in the table.
     ranked: Option<Rank>,
 }
 
 impl Entry {
     fn queue(&mut self, idle: IdleConnection) -> &mut Queue {
-        if idle.answered { &mut self.answered } else { &mut self.silent }
+        if idle.answered { &mut self.answered } else { &mut self.unused }
     }
 
     fn rank(&self, client: Client) -> Option<Rank> {
         let oldest =
-            [self.silent.first(), self.answered.first()].into_iter().flatten().map(|i| i.since).min();
+            [self.unused.first(), self.answered.first()].into_iter().flatten().map(|i| i.since).min();
         oldest.map(|since| (self.load, Reverse(since), client))
     }
 
-    /// Those first who said they would ask and didn't, last those who just came.
+    /// Connections that never sent a request come first, new ones last.
     fn first(&self, now: Time, newcomer: Time) -> Option<(IdleConnection, bool)> {
-        let fresh = |idle: &IdleConnection| now.saturating_sub(idle.since) < newcomer;
-        let silent = self.silent.first();
-        let chosen = silent.filter(|idle| !fresh(idle)).or(self.answered.first()).or(silent)?;
-        Some((*chosen, fresh(chosen)))
+        let is_new = |idle: &IdleConnection| now.saturating_sub(idle.since) < newcomer;
+        let unused = self.unused.first();
+        let chosen = unused.filter(|idle| !is_new(idle)).or(self.answered.first()).or(unused)?;
+        Some((*chosen, is_new(chosen)))
     }
 }
 
-/// Who would go.
+/// The connection to evict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Victim {
-    /// Whose it is.
+    /// Its client.
     pub client: Client,
-    /// Which.
+    /// The connection.
     pub idle: IdleConnection,
-    /// What its client holds.
+    /// Its client's load.
     pub load: Load,
-    /// Whether it was idle for less than a newcomer's time.
-    pub fresh: bool,
+    /// Whether it was idle for less than the newcomer time.
+    pub is_new: bool,
 }
 
 /// All idle connections that may be evicted.
@@ -126,11 +129,11 @@
 }
 
 impl EvictionOrder {
-    /// A connection is idle.
+    /// Adds a connection that became idle.
     pub fn insert(&mut self, client: Client, class: ClientClass, load: Load, idle: IdleConnection) {
-        let fresh =
-            || Entry { class, load, silent: Queue::default(), answered: Queue::default(), ranked: None };
-        let entry = self.clients.entry(client).or_insert_with(fresh);
+        let new_entry =
+            || Entry { class, load, unused: Queue::default(), answered: Queue::default(), ranked: None };
+        let entry = self.clients.entry(client).or_insert_with(new_entry);
         entry.queue(idle).insert(idle);
         if entry.ranked.is_none() || entry.class != class || entry.load < load {
             self.rerank(client, class, load);
@@ -139,14 +142,14 @@
         }
     }
 
-    /// It is not idle any more, or not to be evicted.
+    /// Removes a connection that is no longer idle or must not be evicted.
     pub fn remove(&mut self, client: Client, idle: IdleConnection) {
         if let Some(entry) = self.clients.get_mut(&client) {
             entry.queue(idle).remove(idle);
         }
     }
 
-    /// A client holds more or less than before, or became known.
+    /// Updates the load and class of a client.
     pub fn update(&mut self, client: Client, class: ClientClass, load: Load) {
         let Some(entry) = self.clients.get_mut(&client) else { return };
         if entry.class != class || entry.load < load {
@@ -155,14 +158,14 @@
         entry.load = load;
     }
 
-    /// A client has nothing open any more.
+    /// Removes a client without open connections.
     pub fn remove_client(&mut self, client: Client) {
         if let Some(Entry { class, ranked: Some(rank), .. }) = self.clients.remove(&client) {
             self.ranks[class as usize].remove(&rank);
         }
     }
 
-    /// Gives a client its true rank.
+    /// Sets a client's rank to its true value.
     fn rerank(&mut self, client: Client, class: ClientClass, load: Load) {
         let Some(entry) = self.clients.get_mut(&client) else { return };
         if let Some(old) = entry.ranked.take() {
@@ -192,14 +195,14 @@
         }
     }
 
-    /// Who of a client's own would go first.
+    /// The connection of a client that would be evicted first.
     pub fn next_of_client(&self, client: Client, now: Time, newcomer: Time) -> Option<Victim> {
         let entry = self.clients.get(&client)?;
-        let (idle, fresh) = entry.first(now, newcomer)?;
-        Some(Victim { client, idle, load: entry.load, fresh })
+        let (idle, is_new) = entry.first(now, newcomer)?;
+        Some(Victim { client, idle, load: entry.load, is_new })
     }
 
-    /// Who of some classes would go first.
+    /// The connection of the given classes that would be evicted first.
     pub fn next_victim(&mut self, classes: &[ClientClass], now: Time, newcomer: Time) -> Option<Victim> {
         let top = classes.iter().filter_map(|class| self.top(*class)).max()?;
         self.next_of_client(top.2, now, newcomer)
--- a/crates/admission/src/known_clients.rs
+++ b/crates/admission/src/known_clients.rs
@@ -1,89 +1,92 @@
-//! Who is known: whose requests were served lately, weighed by worth and by age, with no list to maintain.
+//! Known clients: those whose requests were served recently, weighted by worth and age, without a list to
+//! maintain.
 //!
-//! A served request counts its worth as a share of the worthiest class's, if that share is large enough; what was counted halves
-//! with each half-life. Who has `after` of it becomes known, and stays so until half of that is left: with `credit`, for
-//! `half_life * log2(2 * credit / after)` without asking. Cheap, refused and failed requests count nothing, and what counts was
-//! paid for out of an account's quota.
+//! A served request counts its worth as a share of the worthiest class's, if that share is large enough;
+//! credit halves with each half-life. A client becomes known with a credit of `threshold` and stays known
+//! until half of that is left: with `credit`, for `half_life * log2(2 * credit / threshold)` without further
+//! requests. Cheap, rejected and failed requests count nothing, and what counts was paid for out of an
+//! account's quota.
 //!
-//! Two tables, each of bounded size, least recently served first out: on the way there, and known. A crowd that gets one
-//! request served each can push out only those on the way.
+//! There are two tables of bounded size, evicted in least recently served order: rising and known clients. A
+//! crowd of clients with one served request each can evict rising clients only.
 
 use crate::{Client, ClientClass, Time};
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// Standing is counted up to this many times what makes known.
+/// Credit is capped at this multiple of the threshold.
 pub const MAX_CREDIT: f64 = 4.0;
-/// Who is known stays so down to this share of what makes known. Guards against who has just as much as it takes, and would be
-/// none a moment later.
+/// A known client stays known down to this share of the threshold. Without it, a client that just reached the
+/// threshold would be unknown again a moment later.
 pub const RETENTION_SHARE: f64 = 0.5;
 
 #[derive(Clone, Copy)]
 struct Credit {
-    /// As it was `at`.
+    /// The credit at the time `at`.
     credit: f64,
     at: Time,
 }
 
-/// The standing of all clients.
+/// The credit of all clients.
 pub struct KnownClients {
-    after: f64,
+    threshold: f64,
     half_life: Time,
-    counts_from: f64,
+    min_share: f64,
     rising: LruCache<Client, Credit>,
     known: LruCache<Client, Credit>,
 }
 
 impl KnownClients {
-    /// Known from a credit of `after` on, for as long as [`RETENTION_SHARE`] says; a request counts from `counts_from` of the greatest worth on.
-    pub fn new(after: f64, half_life: Time, counts_from: f64, clients: usize) -> Self {
+    /// Clients are known from a credit of `threshold` on, down to its [`RETENTION_SHARE`]; a request counts
+    /// if its worth is at least the share `min_share` of the greatest.
+    pub fn new(threshold: f64, half_life: Time, min_share: f64, clients: usize) -> Self {
         let table = || {
             let mut table = LruCache::unbounded();
             table.resize(NonZeroUsize::new(clients).unwrap_or(NonZeroUsize::MIN));
             table
         };
-        Self { after, half_life, counts_from, rising: table(), known: table() }
+        Self { threshold, half_life, min_share, rising: table(), known: table() }
     }
 
-    fn faded(&self, standing: Credit, now: Time) -> f64 {
-        let ages = now.saturating_sub(standing.at).as_secs_f64() / self.half_life.as_secs_f64();
-        standing.credit * (-ages).exp2()
+    fn decayed(&self, entry: Credit, now: Time) -> f64 {
+        let half_lives = now.saturating_sub(entry.at).as_secs_f64() / self.half_life.as_secs_f64();
+        entry.credit * (-half_lives).exp2()
     }
 
-    /// What a client has, in requests of the worthiest class.
+    /// The credit of a client, in requests of the worthiest class.
     pub fn credit(&self, client: Client, now: Time) -> f64 {
-        let standing = self.known.peek(&client).or_else(|| self.rising.peek(&client));
-        standing.map_or(0.0, |standing| self.faded(*standing, now))
+        let entry = self.known.peek(&client).or_else(|| self.rising.peek(&client));
+        entry.map_or(0.0, |entry| self.decayed(*entry, now))
     }
 
-    /// Whether a client is known.
+    /// The class of a client.
     pub fn class(&self, client: Client, now: Time) -> ClientClass {
         let known = self
             .known
             .peek(&client)
-            .is_some_and(|standing| self.faded(*standing, now) >= self.after * RETENTION_SHARE);
+            .is_some_and(|entry| self.decayed(*entry, now) >= self.threshold * RETENTION_SHARE);
         if known { ClientClass::Known } else { ClientClass::Unknown }
     }
 
-    /// A request of a client was served; `share` is its worth as a share of the worthiest class's.
+    /// Records a served request of a client; `share` is its worth as a share of the worthiest class's.
     pub fn served(&mut self, client: Client, share: f64, now: Time) {
-        // What is no number counts nothing either.
-        if share.is_nan() || share < self.counts_from || share <= 0.0 || self.after.is_infinite() {
+        // NaN counts nothing either.
+        if share.is_nan() || share < self.min_share || share <= 0.0 || self.threshold.is_infinite() {
             return;
         }
-        let credit = (self.credit(client, now) + share.min(1.0)).min(MAX_CREDIT * self.after);
-        let standing = Credit { credit, at: now };
-        let stays = self.known.contains(&client) && credit >= self.after * RETENTION_SHARE;
-        let (to, from) = if stays || credit >= self.after {
+        let credit = (self.credit(client, now) + share.min(1.0)).min(MAX_CREDIT * self.threshold);
+        let entry = Credit { credit, at: now };
+        let stays_known = self.known.contains(&client) && credit >= self.threshold * RETENTION_SHARE;
+        let (to, from) = if stays_known || credit >= self.threshold {
             (&mut self.known, &mut self.rising)
         } else {
             (&mut self.rising, &mut self.known)
         };
         from.pop(&client);
-        to.put(client, standing);
+        to.put(client, entry);
     }
 
-    /// How many are remembered: on the way, and as known.
+    /// The numbers of rising and known clients.
     pub fn tracked_entries(&self) -> (usize, usize) {
         (self.rising.len(), self.known.len())
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,15 +1,18 @@
-//! Which connections are admitted, held, refused or evicted, and whose they are.
+//! Admission control: which connections are admitted, queued, rejected or evicted, and which client they
+//! belong to.
 //!
-//! Nothing here does I/O or has a clock: the host tells of connections, requests and answers with the time, and carries
-//! out the actions that come back. What is said of it by operators is `fennelscale_settings::admission`.
+//! This package does no I/O and has no clock: the host reports connections, requests and responses with their
+//! time and carries out the returned actions. The operators' settings are in
+//! `fennelscale_settings::admission`.
 //!
-//! - [`admission`]: the decisions on connections, over [`caps`] (caps), [`known_clients`] (who is known),
-//!   [`returning_clients`] (who was told to come again) and [`eviction`] (who goes first).
-//! - [`budget`]: how the process's descriptors are divided.
-//! - [`networks`]: which addresses are one client, its tier, its proxy.
-//! - [`client_origin`]: what proxies say of a connection or a request.
-//! - [`slow_clients`]: bounds on slow clients.
-//! - [`gcra`][]: rates.
+//! - [`admission`]: the decisions on connections, based on [`caps`] (limits per client), [`known_clients`]
+//!   (recently served clients), [`returning_clients`] (rejected clients that retry) and [`eviction`] (the
+//!   eviction order).
+//! - [`budget`]: the division of the process's file descriptors.
+//! - [`networks`]: which addresses form a client, and its tier and proxy.
+//! - [`client_origin`]: the client address that a proxy reports for a connection or a request.
+//! - [`slow_clients`]: limits on slow clients.
+//! - [`gcra`][]: rate limits.
 
 #![forbid(unsafe_code)]
 
@@ -26,18 +29,18 @@
 
 use std::time::Duration;
 
-/// A point on the host's steady clock, as the time since a start of its choice.
+/// A point on the host's monotonic clock, as the time since an arbitrary start.
 pub type Time = Duration;
-/// A connection's number; never used twice.
+/// Identifies a connection; never reused.
 pub type ConnectionId = u64;
-/// A client, or a site: the addresses that share some first bits, written as that network.
+/// A client or a site: the network of all addresses that share a prefix.
 pub type Client = ipnet::IpNet;
 
-/// Whether a client is known: its requests were served lately.
+/// Whether a client is known, that is, had requests served recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ClientClass {
-    /// Not known.
+    /// Had no or too few requests served recently.
     Unknown = 0,
-    /// Known.
+    /// Had requests served recently.
     Known = 1,
 }
--- a/crates/admission/src/returning_clients.rs
+++ b/crates/admission/src/returning_clients.rs
@@ -1,37 +1,39 @@
-//! Who was refused lately and told when to come again: the way in for a new client while a flood comes from ever new addresses.
+//! Recently rejected clients that were told when to retry: the way in for a new client during a flood from
+//! ever new addresses.
 //!
-//! A flood and a new client look alike when they first come. They differ in that the client comes back when it was told to. Each
-//! stranger that is refused for the rate of strangers, or for want of room, is remembered with that time; who comes back at
-//! it or later has a rate of its own beside that of strangers, once for each refusal.
+//! A flood and a new client look alike at first; they differ in that the client retries when it was told to.
+//! Each unknown client that is rejected because of the rate of unknown clients or for lack of capacity is
+//! remembered with its retry time. A client that returns at that time or later uses a separate rate, once for
+//! each rejection.
 //!
-//! Bound: while those who come back are fewer a second than that rate, each is past it at its first return. A refusal is
-//! forgotten early only if four more fall on its set meanwhile: with `n` sets and `f` refusals a second between, after `t`
-//! seconds with the chance that a Poisson count of mean `f * t / n` is 4 or more. With 16,384 sets, 7,500 a second and 1 s
-//! that is 0.0013.
+//! Bound: while fewer clients return per second than that rate, each is admitted at its first return. A
+//! rejection is forgotten early only if four more fall into its set meanwhile: with `n` sets and `f`
+//! rejections per second, after `t` seconds with the probability that a Poisson variable of mean `f * t / n`
+//! is 4 or more. With 16,384 sets, 7,500 per second and 1 s that is 0.0013.
 //!
-//! Memory is fixed: 8 bytes for each refusal that can be remembered. Two clients may share an entry by chance, one in 2^32
-//! pairs of a set; one of them then comes in as if it had been refused.
+//! Memory is fixed: 8 bytes for each remembered rejection. Two clients of a set share an entry with a
+//! probability of 1 in 2^32; one of them is then admitted as if it had been rejected.
 
-use crate::caps::ms;
+use crate::caps::to_millis;
 use crate::gcra::{ArrivalTime, Rate};
 use crate::{Client, Time};
 use ahash::RandomState;
 use std::time::Duration;
 
-/// Refusals that share a set.
+/// Rejections per set.
 const WAYS: usize = 4;
-/// Who comes this much of its wait early is not sent away again: clocks and timers of clients are not exact.
-const EARLY: f64 = 0.1;
+/// A client may return early by this share of its wait: client clocks and timers are not exact.
+const EARLY_SHARE: f64 = 0.1;
 
 #[derive(Clone, Copy, Default)]
 struct Entry {
-    /// Who, by a hash; 0 is nobody.
+    /// A hash of the client; 0 if the entry is empty.
     tag: u32,
-    /// When it may come again, in ms of the host's clock, counted round.
+    /// When it may return, in ms of the host's clock, wrapping around.
     due: u32,
 }
 
-/// The refusals of late.
+/// The recent rejections.
 pub struct ReturningClients {
     sets: Vec<[Entry; WAYS]>,
     hash: RandomState,
@@ -40,43 +42,45 @@
     forget: u32,
 }
 
-fn wrapped(ms: f64) -> u32 {
-    // Counted round: 49 days are a round, and no wait is as long as half of one.
+fn wrapping_millis(ms: f64) -> u32 {
+    // Wraps around after 49 days; no wait is as long as half of that.
     (ms as u64 & u64::from(u32::MAX)) as u32
 }
 
 impl ReturningClients {
-    /// Remembers so many refusals, each for `forget` after the time that was told; those who come back may be `per_second`.
-    pub fn new(per_second: f64, most: usize, forget: Duration) -> Self {
-        let sets = if per_second > 0.0 { (most / WAYS).max(1) } else { 0 };
+    /// Remembers `max_rejections`, each for `forget` after its retry time; `per_second` clients may return.
+    pub fn new(per_second: f64, max_rejections: usize, forget: Duration) -> Self {
+        let sets = if per_second > 0.0 { (max_rejections / WAYS).max(1) } else { 0 };
         Self {
             sets: vec![[Entry::default(); WAYS]; sets],
             hash: RandomState::new(),
             rate: Rate::new(per_second.max(f64::MIN_POSITIVE), per_second.max(1.0)),
             due: 0.0,
-            forget: wrapped(forget.as_secs_f64() * 1000.0),
+            forget: wrapping_millis(forget.as_secs_f64() * 1000.0),
         }
     }
 
-    /// Whether anybody is remembered: then all are told one wait, whatever the rate of strangers says.
+    /// Whether rejections are remembered. All clients are then given the same wait, whatever the rate of
+    /// unknown clients yields.
     pub fn is_on(&self) -> bool {
         !self.sets.is_empty()
     }
 
-    /// The set and the tag of a client; none where nothing is remembered.
-    fn place(&self, client: Client) -> Option<(usize, u32)> {
+    /// The set and tag of a client; none if nothing is remembered.
+    fn set_and_tag(&self, client: Client) -> Option<(usize, u32)> {
         let hash = self.hash.hash_one(client);
         let set = (hash >> 32).checked_rem(self.sets.len() as u64)?;
         Some((set as usize, (hash as u32).max(1)))
     }
 
-    /// A client was told to come again after `wait` ms. One that is remembered already keeps its first time: who asks
-    /// again too soon is not put off by that.
+    /// Records that a client was told to retry after `wait` ms. A client that is remembered already keeps its
+    /// first retry time, so retrying too early does not delay it further.
     pub fn record_rejection(&mut self, now: Time, client: Client, wait: f64) {
-        let Some((set, tag)) = self.place(client) else { return };
-        let (now, due) = (wrapped(ms(now)), wrapped(ms(now) + wait * (1.0 - EARLY)));
+        let Some((set, tag)) = self.set_and_tag(client) else { return };
+        let (now, due) =
+            (wrapping_millis(to_millis(now)), wrapping_millis(to_millis(now) + wait * (1.0 - EARLY_SHARE)));
         let forget = self.forget;
-        // Round the clock, what is past is at most half a round behind.
+        // With wrap-around, times in the past are less than half the range behind.
         let age = |entry: &Entry| {
             if entry.tag == 0 { i64::MAX } else { i64::from(now.wrapping_sub(entry.due) as i32) }
         };
@@ -92,20 +96,20 @@
         }
     }
 
-    /// Whether a client comes back as it was told to, and its refusal is not forgotten.
+    /// Whether a client returns as it was told to and its rejection is still remembered.
     pub fn is_due(&self, now: Time, client: Client) -> bool {
-        let Some((set, tag)) = self.place(client) else { return false };
-        let now = wrapped(ms(now));
+        let Some((set, tag)) = self.set_and_tag(client) else { return false };
+        let now = wrapping_millis(to_millis(now));
         let due = |entry: &Entry| entry.tag == tag && now.wrapping_sub(entry.due) <= self.forget;
         self.sets[set].iter().any(due)
     }
 
-    /// Lets one in that is due, if no more come back than may; its refusal is used up.
+    /// Admits a client that is due, within the rate of returning clients; its rejection is used up.
     pub fn admit(&mut self, now: Time, client: Client) -> bool {
-        if !self.is_due(now, client) || self.rate.try_acquire(&mut self.due, ms(now)).is_err() {
+        if !self.is_due(now, client) || self.rate.try_acquire(&mut self.due, to_millis(now)).is_err() {
             return false;
         }
-        if let Some((set, tag)) = self.place(client) {
+        if let Some((set, tag)) = self.set_and_tag(client) {
             self.sets[set].iter_mut().filter(|entry| entry.tag == tag).for_each(|e| *e = Entry::default());
         }
         true
--- a/crates/admission/src/slow_clients.rs
+++ b/crates/admission/src/slow_clients.rs
@@ -1,81 +1,82 @@
-//! Bounds on slow clients: by when a connection must have moved on, from what it is doing and how many bytes went by.
+//! Limits on slow clients: the deadline of a connection, from its activity and the bytes transferred so far.
 
 use crate::Time;
 use fennelscale_settings::admission::Pace as Settings;
 use std::time::Duration;
 
-/// What a connection is doing.
+/// The activity of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
-    /// Nothing has come of a request.
+    /// No byte of a request has arrived.
     Idle,
-    /// A head has begun and is not whole.
+    /// A request head is incomplete.
     ReadingHead,
-    /// A head is whole; this many bytes of a body have come since.
+    /// The head is complete and the body is being received.
     ReadingBody {
-        /// Since the head was whole.
+        /// When the head was complete.
         since: Time,
-        /// Bytes of it.
+        /// Bytes received of the body.
         bytes: u64,
     },
-    /// A request is open: its own time bounds it.
+    /// A request is in progress, bounded by its own deadline.
     Processing,
-    /// Its answer is being written; its reader has taken this many bytes.
+    /// The response is being written.
     WritingResponse {
-        /// Since the answer was given.
+        /// When the response was ready.
         since: Time,
-        /// Bytes of it.
+        /// Bytes that the client has read.
         bytes: u64,
     },
 }
 
-/// The bounds.
+/// The time limits for slow clients.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowClientLimits {
-    request: Time,
-    head: Time,
-    body: f64,
-    answer: f64,
+    request_timeout: Time,
+    head_timeout: Time,
+    min_body_rate: f64,
+    min_response_rate: f64,
     grace: Time,
 }
 
-fn span(ms: f64) -> Duration {
+fn to_duration(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms / 1000.0).unwrap_or(Duration::MAX)
 }
 
-/// By when the next byte must have come at a rate; never, without one.
-fn at_rate(since: Time, bytes: u64, rate: f64, grace: Time) -> Time {
+/// The deadline for the next byte at a minimum rate; never without one.
+fn rate_deadline(since: Time, bytes: u64, rate: f64, grace: Time) -> Time {
     if rate <= 0.0 {
         return Time::MAX;
     }
-    since.saturating_add(grace).saturating_add(span(bytes as f64 / rate * 1000.0))
+    since.saturating_add(grace).saturating_add(to_duration(bytes as f64 / rate * 1000.0))
 }
 
 impl SlowClientLimits {
-    /// As the settings say.
+    /// Creates the limits from the settings.
     pub fn new(settings: &Settings) -> Self {
         Self {
-            request: span(settings.request.0),
-            head: span(settings.head.0),
-            body: settings.body.0,
-            answer: settings.answer.0,
-            grace: span(settings.grace.0),
+            request_timeout: to_duration(settings.request.0),
+            head_timeout: to_duration(settings.head.0),
+            min_body_rate: settings.body.0,
+            min_response_rate: settings.answer.0,
+            grace: to_duration(settings.grace.0),
         }
     }
 
-    /// By when it must have moved on; none while its request is open. `since` is its start, its last answer or the first
-    /// byte of its next request: more bytes renew nothing, they only keep up a rate.
-    pub fn deadline(&self, doing: Activity, since: Time) -> Option<Time> {
-        let whole = since.saturating_add(self.request);
-        match doing {
+    /// The deadline of a connection; none while its request is in progress. `since` is its start, its last
+    /// response or the first byte of its next request: further bytes do not extend the deadline, they only
+    /// sustain a rate.
+    pub fn deadline(&self, activity: Activity, since: Time) -> Option<Time> {
+        let request_deadline = since.saturating_add(self.request_timeout);
+        match activity {
             Activity::Processing => None,
-            Activity::Idle => Some(whole),
-            Activity::ReadingHead => Some(whole.min(since.saturating_add(self.head))),
+            Activity::Idle => Some(request_deadline),
+            Activity::ReadingHead => Some(request_deadline.min(since.saturating_add(self.head_timeout))),
             Activity::ReadingBody { since, bytes } => {
-                Some(whole.min(at_rate(since, bytes, self.body, self.grace)))
+                Some(request_deadline.min(rate_deadline(since, bytes, self.min_body_rate, self.grace)))
             }
-            Activity::WritingResponse { since: given, bytes } => {
-                Some(whole.min(at_rate(given, bytes, self.answer, self.grace)))
+            Activity::WritingResponse { since: ready_at, bytes } => {
+                Some(request_deadline.min(rate_deadline(ready_at, bytes, self.min_response_rate, self.grace)))
             }
         }
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a connection can and cannot tell of whose bytes it brings.
+//! Matching the bytes of a backend connection to the requests that they answer.
 //!
-//! HTTP/1.1 names no request in an answer: an answer belongs to a request by its place alone. A backend that writes one
-//! byte too many moves every later answer of that connection by one. [`reuse`] says which of this can be seen, and
-//! keeps connections from carrying a request where the rest is not to be borne.
+//! HTTP/1.1 responses do not name their request: a response belongs to a request by its position alone. A
+//! backend that writes one byte too many shifts every later response of that connection. [`reuse`] detects
+//! what can be detected, and restricts the reuse of connections where the remaining risk is not acceptable.
 
 pub mod reuse;
--- a/crates/wire/tests/reuse.rs
+++ b/crates/wire/tests/reuse.rs
@@ -1,4 +1,4 @@
-//! Which connections may carry what, as operators say it.
+//! The reuse policy under the operators' settings.
 
 use fennelscale_settings::operators::Operators;
 use fennelscale_wire::reuse::ReusePolicy;
@@ -12,7 +12,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn without_settings_connections_are_shared_after_a_short_rest_and_answers_name_nothing() {
+fn by_default_connections_are_reused_after_a_short_idle_time_and_responses_name_no_request() {
     let rules = rules("");
     assert!(!rules.needs_new_connection(false, "/order/x"));
     assert!(rules.is_idle_long_enough(5 * MS) && !rules.is_idle_long_enough(4 * MS));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn requests_of_named_classes_and_unsafe_ones_have_connections_of_their_own() {
+fn configured_classes_and_unsafe_requests_need_new_connections() {
     let named = rules("[upstream.own-connection]\nclasses = [\"order\"]");
     for (path, own) in [("/order/7", true), ("/order", true), ("/orders/7", false), ("/", false), ("", false)]
     {
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn after_a_fault_nothing_is_kept_until_the_time_is_over() {
+fn after_a_fault_no_connection_is_reused_until_the_time_is_over() {
     let rules = rules("[upstream]\nafter-fault = \"10s\"");
     assert!(rules.may_reuse(None) && rules.may_reuse(Some(10_000 * MS)));
     assert!(!rules.may_reuse(Some(9_999 * MS)));
 }
 
 #[test]
-fn an_answer_that_names_another_request_is_not_taken_and_one_that_names_none_where_it_must() {
+fn a_response_that_names_another_request_or_lacks_a_required_name_is_rejected() {
     let optional = rules("[upstream]\nidentity = { header = \"Req-Id\" }");
     assert_eq!(optional.identity_header(), Some("req-id"));
     assert!(
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn an_answer_sooner_than_any_backend_gives_one_is_told() {
+fn a_response_faster_than_any_backend_responds_is_detected() {
     let rules = rules("[upstream]\nfastest-answer = \"2ms\"");
     assert!(rules.measures_response_time() && rules.is_too_fast(MS) && !rules.is_too_fast(2 * MS));
 }
 
 #[test]
-fn settings_that_cannot_be_meant_are_refused_with_their_line() {
+fn invalid_settings_are_rejected_with_their_line() {
     for (text, line, key) in [
         ("[upstream]\nrest = \"20s\"", 2, "upstream.rest"),
         ("[upstream]\nafter-fault = \"2s\"\nfastest-answer = \"2s\"", 3, "upstream.fastest-answer"),
