--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,17 +1,19 @@
-//! The decisions on connections: admit, hold, refuse now, or evict whom.
+//! The decisions on connections: admit, queue, reject, or evict one.
 //!
 //! # Capacity
-//! Of `room` connections, `reserve` are for known clients alone and `newcomers` for strangers alone:
-//! a stranger is admitted while strangers hold less than `room - reserve`, a known client while known ones hold less than
-//! `room - newcomers`, and both while all together hold less than `room`. Where that says no, an idle connection is asked to leave
-//! ([`crate::eviction`]): a stranger's for anybody, a known client's for strangers only while known clients hold more than
-//! their reserve, and never one of a client that holds less than the one that comes would. Who comes is held meanwhile, for a
-//! bounded time in a bounded line, and refused when that is over.
+//! Of the capacity, `known_reserve` is reserved for known clients and `unknown_reserve` for unknown ones: an
+//! unknown client is admitted while unknown clients hold less than `capacity - known_reserve`, a known client
+//! while known clients hold less than `capacity - unknown_reserve`, and both while all together hold less
+//! than `capacity`. Otherwise an idle connection is evicted ([`crate::eviction`]): an unknown client's for
+//! anybody, a known client's for unknown clients only while known clients hold more than their reserve, and
+//! never one of a client that holds less than the arriving client would. Meanwhile the new connection waits
+//! in a bounded queue, and is rejected after a bounded time.
 //!
-//! # What the host owes
-//! Each connection that it accepts is told by [`Admission::on_connect`], or [`Admission::on_descriptor_shortage`] where there was no descriptor
-//! for it; each end, whoever made it, once by [`Admission::on_close`]. It carries out the actions, and calls [`Admission::on_timer`]
-//! no later than [`Admission::next_deadline`].
+//! # Duties of the host
+//! The host reports each accepted connection by [`Admission::on_connect`], or by
+//! [`Admission::on_descriptor_shortage`] if there was no descriptor for it, and each closed connection,
+//! whoever closed it, once by [`Admission::on_close`]. It carries out the actions, and calls
+//! [`Admission::on_timer`] no later than [`Admission::next_deadline`].
 
 use crate::caps::{CapExceeded, ConnectionCaps, to_millis};
 use crate::eviction::{self, EvictionOrder, IdleConnection, Load, Victim};
@@ -26,39 +28,40 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// After descriptors ran out, the room comes back by one for each such span. Guards against running out again at once; what took
-/// them is outside the budget, so nobody tells when they are back.
-const RECOVERS: Duration = Duration::from_millis(100);
-/// When they run out, the room shrinks to this much less than what is open.
-const PINCH: usize = 8;
-/// Strangers together have this part of the line of those who wait, and of the places of those who linger ...
-const STRANGERS_PART: usize = 2;
-/// ... and each of them this part of the line.
-const LINE_PART: usize = 4;
-
-/// RejectReason a connection is refused.
+/// After a descriptor shortage the capacity grows back by one per interval, so that the shortage does not
+/// recur at once. What took the descriptors is outside the budget, so nothing reports when they are free
+/// again.
+const RECOVERY_INTERVAL: Duration = Duration::from_millis(100);
+/// On a descriptor shortage the capacity shrinks to the open connections less one part in this many.
+const SHORTAGE_DIVISOR: usize = 8;
+/// Unknown clients together may use one part in this many of the queue and of the lingering connections ...
+const UNKNOWN_CLIENTS_PART: usize = 2;
+/// ... and each of them one part in this many of the queue.
+const CLIENT_QUEUE_PART: usize = 4;
+
+/// Why a connection is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectReason {
-    /// Its client has as many open as it may.
+    /// Its client has too many open connections.
     ClientConnections,
     /// Its client connects too fast.
     ClientRate,
-    /// Its site has as many open as it may.
+    /// Its site has too many open connections.
     SiteConnections,
     /// Its site connects too fast.
     SiteRate,
-    /// Clients that are not known connect too fast, all together.
+    /// All unknown clients together connect too fast.
     UnknownClients,
-    /// Its proxy has as many open as it may.
+    /// Its proxy has too many open connections.
     ProxyConnections,
-    /// There is no room, and nobody to make any.
+    /// There is no capacity and no place in the queue.
     NoCapacity,
-    /// It waited for room in vain.
+    /// It waited in the queue for too long.
     QueueTimeout,
 }
 
 impl RejectReason {
-    /// All of them.
+    /// All reasons.
     pub const ALL: [Self; 8] = [
         Self::ClientConnections,
         Self::ClientRate,
@@ -70,7 +73,7 @@
         Self::QueueTimeout,
     ];
 
-    /// Its name, in logs.
+    /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::ClientConnections => "client-open",
@@ -85,337 +88,348 @@
     }
 }
 
-/// How a refusal is told. Known clients always get an answer; strangers while refusals are fewer a second than the settings
-/// say, and a reset beyond that. An answer lingers while there is a place for that, of which known clients have half for
-/// themselves.
+/// How a rejection is sent. Known clients always get a response; unknown clients up to a configured rate of
+/// rejections, and a reset beyond it. The connection lingers after the response if there is a place for that;
+/// half of the places are reserved for known clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RejectResponse {
-    /// 503, with this `Retry-After` in ms; the connection is kept until that was read, for a bounded time.
+    /// 503 with this `Retry-After` in ms; the connection stays open, for a bounded time, until the response
+    /// was read.
     RespondAndLinger(f64),
-    /// The same, and a close at once: what the client sends behind it meets a reset, but it can read the answer.
+    /// The same, but closed at once: data that the client sends later meets a reset, but it can read the
+    /// response.
     RespondAndClose(f64),
-    /// A reset.
+    /// A TCP reset.
     Reset,
 }
 
-/// What the host is to do.
+/// What the host must do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Read the proxy's header, and tell what it says by [`Admission::on_client_identified`].
+    /// Read the proxy's header and report the client by [`Admission::on_client_identified`].
     Identify(ConnectionId),
-    /// Serve it.
+    /// Serve the connection.
     Admit(ConnectionId),
-    /// Refuse it, and tell when it is closed.
+    /// Reject the connection, and report when it is closed.
     Reject(ConnectionId, RejectResponse, RejectReason),
-    /// Ask it to leave. A request that crosses that is answered still.
+    /// Close the idle connection. A request that arrives meanwhile is still answered.
     Evict(ConnectionId),
 }
 
-/// What happened so far.
+/// The totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Connections told of.
+    /// Connections reported.
     pub connected: u64,
     /// Connections admitted.
     pub admitted: u64,
-    /// Of these, those that were held before.
+    /// Admitted connections that were queued before.
     pub queued: u64,
-    /// Connections refused, by reason, in the order of [`RejectReason::ALL`].
+    /// Connections rejected, by reason, in the order of [`RejectReason::ALL`].
     pub rejected: [u64; RejectReason::ALL.len()],
-    /// Of these, by a reset.
+    /// Connections rejected by a reset.
     pub reset: u64,
-    /// Connections asked to leave.
+    /// Connections evicted.
     pub evicted: u64,
-    /// Times that descriptors ran out.
+    /// Number of descriptor shortages.
     pub exhausted: u64,
 }
 
 impl AdmissionCounts {
-    /// All that were refused.
+    /// The number of rejections for any reason.
     pub fn rejections(&self) -> u64 {
         self.rejected.iter().sum()
     }
 }
 
-/// How much there is of what.
+/// The maximum numbers of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
     /// Admitted connections.
     pub clients: usize,
-    /// Those that wait for room or for their proxy's header.
+    /// Connections that wait for capacity or for their proxy's header.
     pub queued: usize,
-    /// Refused ones whose answer is being read.
+    /// Rejected connections whose response is being read.
     pub lingering: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Its proxy's header is awaited.
-    Unnamed,
-    /// It waits for room.
-    Held { until: Time },
-    /// It is served. IdleConnection, if it may be evicted.
+    /// Waits for its proxy's header.
+    Unidentified,
+    /// Waits for capacity.
+    Queued { until: Time },
+    /// Is served; `idle` is set while it may be evicted.
     Admitted { idle: Option<IdleConnection> },
-    /// It was asked to leave.
-    Leaving,
-    /// It was refused; true if it lingers.
-    Refused { lingers: bool },
+    /// Was evicted and is not closed yet.
+    Evicted,
+    /// Was rejected; `lingers` while its response is being read.
+    Rejected { lingers: bool },
 }
 
 struct Connection {
     state: State,
-    /// The client, once that is clear.
+    /// The client, once it is known.
     client: Option<Client>,
-    /// The proxy through which it came.
-    carrier: Option<(Client, Proxy)>,
-    /// The client whose request is open on a connection that many share.
-    rider: Option<Client>,
-    /// Whether it is among what its client has open.
+    /// The proxy that the connection came from.
+    proxy_client: Option<(Client, Proxy)>,
+    /// The client of the open request on a connection that clients share.
+    request_client: Option<Client>,
+    /// Whether it counts towards its client's open connections.
     counted: bool,
     answered: bool,
 }
 
-/// What is kept of a client that has something admitted.
+/// The state of a client with admitted connections.
 #[derive(Clone, Copy)]
-struct Person {
+struct ActiveClient {
     class: ClientClass,
     admitted: u32,
 }
 
-/// The decisions.
+/// The admission control.
 pub struct Admission {
     networks: Networks,
-    room: Capacity,
-    reserve: f64,
-    newcomers: f64,
-    turns: f64,
+    capacity: Capacity,
+    known_reserve: f64,
+    unknown_reserve: f64,
+    known_share: f64,
     retry_after: f64,
-    hold: Time,
-    crowd: f64,
-    newcomer: Time,
-    strangers: Rate,
-    strangers_due: ArrivalTime,
+    queue_timeout: Time,
+    crowded_from: f64,
+    newcomer_time: Time,
+    unknown_rate: Rate,
+    unknown_arrival: ArrivalTime,
     returning: ReturningClients,
-    answers: Rate,
-    answers_due: ArrivalTime,
+    response_rate: Rate,
+    response_arrival: ArrivalTime,
     clients: ConnectionCaps,
     sites: ConnectionCaps,
-    carriers: ConnectionCaps,
-    standings: KnownClients,
-    order: EvictionOrder,
-    people: AHashMap<Client, Person>,
+    proxies: ConnectionCaps,
+    known_clients: KnownClients,
+    eviction_order: EvictionOrder,
+    active_clients: AHashMap<Client, ActiveClient>,
     connections: AHashMap<ConnectionId, Connection>,
-    next: ConnectionId,
-    /// Admitted ones by class, those that leave included.
+    next_id: ConnectionId,
+    /// Admitted connections by class, including evicted ones that are not closed yet.
     open: [usize; 2],
-    leaving: usize,
-    unnamed: usize,
+    evicted: usize,
+    unidentified: usize,
     lingering: usize,
-    /// Those that wait, by class, who came first in front.
-    lines: [VecDeque<ConnectionId>; 2],
-    /// How much of a turn known clients have saved up.
-    turn: f64,
-    pinched: Option<(usize, Time)>,
+    /// Queued connections by class, oldest first.
+    queues: [VecDeque<ConnectionId>; 2],
+    /// The accumulated share of known clients in admissions from the queues; they are next at 1.
+    known_turn: f64,
+    reduced_capacity: Option<(usize, Time)>,
     counts: AdmissionCounts,
 }
 
-fn span(ms: f64) -> Time {
+fn to_duration(ms: f64) -> Time {
     Duration::try_from_secs_f64(ms / 1000.0).unwrap_or(Duration::MAX)
 }
 
 impl Admission {
-    /// As the settings say, in so much room.
-    pub fn new(settings: &Settings, room: Capacity) -> Self {
-        let known = &settings.known;
+    /// Creates the admission control from the settings, with the given capacity.
+    pub fn new(settings: &Settings, capacity: Capacity) -> Self {
+        let known_settings = &settings.known;
         Self {
             networks: Networks::new(settings),
-            room,
-            reserve: known.reserve.0,
-            newcomers: known.newcomers.0,
-            turns: known.turns.0,
+            capacity,
+            known_reserve: known_settings.reserve.0,
+            unknown_reserve: known_settings.newcomers.0,
+            known_share: known_settings.turns.0,
             retry_after: settings.retry_after.0,
-            hold: span(settings.hold.lasts.0),
-            crowd: settings.crowd.from.0,
-            newcomer: span(settings.crowd.newcomer.0),
-            strangers: Rate::new(settings.strangers.0, settings.strangers_burst),
-            strangers_due: 0.0,
+            queue_timeout: to_duration(settings.hold.lasts.0),
+            crowded_from: settings.crowd.from.0,
+            newcomer_time: to_duration(settings.crowd.newcomer.0),
+            unknown_rate: Rate::new(settings.strangers.0, settings.strangers_burst),
+            unknown_arrival: 0.0,
             returning: ReturningClients::new(
                 settings.returning.rate.0,
                 settings.returning.remember,
-                span(settings.returning.forget.0),
+                to_duration(settings.returning.forget.0),
             ),
-            answers: Rate::new(settings.refusals.answered.0, settings.refusals.answered.0),
-            answers_due: 0.0,
+            response_rate: Rate::new(settings.refusals.answered.0, settings.refusals.answered.0),
+            response_arrival: 0.0,
             clients: ConnectionCaps::new(settings.addresses),
             sites: ConnectionCaps::new(settings.addresses),
-            carriers: ConnectionCaps::new(1),
-            standings: KnownClients::new(
-                known.after,
-                span(known.half_life.0),
-                known.counts_from.0,
-                known.clients,
+            proxies: ConnectionCaps::new(1),
+            known_clients: KnownClients::new(
+                known_settings.after,
+                to_duration(known_settings.half_life.0),
+                known_settings.counts_from.0,
+                known_settings.clients,
             ),
-            order: EvictionOrder::default(),
-            people: AHashMap::new(),
+            eviction_order: EvictionOrder::default(),
+            active_clients: AHashMap::new(),
             connections: AHashMap::new(),
-            next: 0,
+            next_id: 0,
             open: [0, 0],
-            leaving: 0,
-            unnamed: 0,
+            evicted: 0,
+            unidentified: 0,
             lingering: 0,
-            lines: Default::default(),
-            turn: 0.0,
-            pinched: None,
+            queues: Default::default(),
+            known_turn: 0.0,
+            reduced_capacity: None,
             counts: AdmissionCounts::default(),
         }
     }
 
-    /// What happened so far.
+    /// The totals since the start.
     pub fn counts(&self) -> AdmissionCounts {
         self.counts
     }
 
-    /// How many are admitted: strangers' and known clients'.
+    /// The admitted connections of unknown and known clients.
     pub fn admitted(&self) -> [usize; 2] {
         self.open
     }
 
-    /// How many wait for room or their proxy's header, and how many linger.
+    /// The number of connections that wait for capacity or their proxy's header, and of those that linger.
     pub fn waiting(&self) -> (usize, usize) {
-        (self.unnamed + self.held(), self.lingering)
+        (self.unidentified + self.queue_length(), self.lingering)
     }
 
-    /// What is said of networks.
+    /// The settings for networks.
     pub fn networks(&self) -> &Networks {
         &self.networks
     }
 
-    /// How many connections, and requests behind proxies, the client at an address has open.
+    /// The open connections, and requests behind proxies, of the client at an address.
     pub fn open_connections(&self, address: IpAddr) -> u32 {
         self.clients.open(self.networks.client(address))
     }
 
     /// The class of the client at an address.
     pub fn class_of(&self, now: Time, address: IpAddr) -> ClientClass {
-        self.standings.class(self.networks.client(address), now)
+        self.known_clients.class(self.networks.client(address), now)
     }
 
-    /// How many clients and sites have something open, as the caps count it.
+    /// The number of clients and sites with open connections, as the caps count them.
     pub fn active_entries(&self) -> usize {
         self.clients.tracked_entries().0
             + self.sites.tracked_entries().0
-            + self.carriers.tracked_entries().0
-            + self.people.len()
+            + self.proxies.tracked_entries().0
+            + self.active_clients.len()
     }
 
-    /// What is remembered of clients, sites and standings, with something open and without.
+    /// The number of tracked clients, sites and credits, with open connections and without.
     pub fn tracked_entries(&self) -> usize {
-        let (live, past) = self.clients.tracked_entries();
-        let (rising, known) = self.standings.tracked_entries();
-        live + past + self.sites.tracked_entries().1 + rising + known
+        let (active, idle) = self.clients.tracked_entries();
+        let (rising, known) = self.known_clients.tracked_entries();
+        active + idle + self.sites.tracked_entries().1 + rising + known
     }
 
-    /// The room that there is now: less for a while after descriptors ran out.
+    /// The current capacity: reduced for a while after a descriptor shortage.
     pub fn current_capacity(&self, now: Time) -> usize {
-        let pinched = self.pinched.map_or(usize::MAX, |(room, since)| {
-            let back = now.saturating_sub(since).as_millis() / RECOVERS.as_millis();
-            room.saturating_add(usize::try_from(back).unwrap_or(usize::MAX))
+        let reduced = self.reduced_capacity.map_or(usize::MAX, |(capacity, since)| {
+            let regained = now.saturating_sub(since).as_millis() / RECOVERY_INTERVAL.as_millis();
+            capacity.saturating_add(usize::try_from(regained).unwrap_or(usize::MAX))
         });
-        self.room.clients.min(pinched)
+        self.capacity.clients.min(reduced)
     }
 
-    /// What strangers and known clients may hold, in so much room.
-    pub fn class_limits(&self, room: usize) -> [usize; 2] {
-        let reserve = ((room as f64 * self.reserve) as usize).min(room.saturating_sub(1));
-        let newcomers = ((room as f64 * self.newcomers).ceil() as usize).min(room.saturating_sub(1));
-        [room - reserve, room - newcomers]
+    /// The limits for unknown and known clients within a capacity.
+    pub fn class_limits(&self, capacity: usize) -> [usize; 2] {
+        let known_reserve = ((capacity as f64 * self.known_reserve) as usize).min(capacity.saturating_sub(1));
+        let unknown_reserve =
+            ((capacity as f64 * self.unknown_reserve).ceil() as usize).min(capacity.saturating_sub(1));
+        [capacity - known_reserve, capacity - unknown_reserve]
     }
 
-    fn held(&self) -> usize {
-        self.lines.iter().map(VecDeque::len).sum()
+    fn queue_length(&self) -> usize {
+        self.queues.iter().map(VecDeque::len).sum()
     }
 
-    /// Whether there is no place in the line for the one that came just now and is counted already.
-    fn line_is_full(&self) -> bool {
-        self.unnamed + self.held() > self.room.queued
+    /// Whether the queue has no place for the connection that just arrived and is counted already.
+    fn queue_is_full(&self) -> bool {
+        self.unidentified + self.queue_length() > self.capacity.queued
     }
 
     fn total(&self) -> usize {
         self.open[0] + self.open[1]
     }
 
-    fn has_room(&self, class: ClientClass, now: Time) -> bool {
-        let room = self.current_capacity(now);
-        self.total() < room && self.open[class as usize] < self.class_limits(room)[class as usize]
+    fn has_capacity(&self, class: ClientClass, now: Time) -> bool {
+        let capacity = self.current_capacity(now);
+        self.total() < capacity && self.open[class as usize] < self.class_limits(capacity)[class as usize]
     }
 
-    /// Where those who find no room wait in the machine's line: whether one may be accepted now. If it is crowded, one idle
-    /// connection is asked to leave.
+    /// Without a queue, connections wait in the kernel's backlog: whether one may be accepted now. If the
+    /// capacity is nearly used up, one idle connection is evicted.
     pub fn may_accept(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
         if self.is_crowded(now) {
-            self.make_room(None, None, now, out);
+            self.evict_one(None, None, now, out);
         }
         self.total() < self.current_capacity(now)
     }
 
     fn is_crowded(&self, now: Time) -> bool {
-        self.total() as f64 >= (self.current_capacity(now) as f64 * self.crowd).floor()
+        self.total() as f64 >= (self.current_capacity(now) as f64 * self.crowded_from).floor()
     }
 
-    /// Whether those who find no room wait here, and not in the machine's line.
+    /// Whether connections are queued here rather than in the kernel's backlog.
     pub fn has_queue(&self) -> bool {
-        self.room.queued > 0
+        self.capacity.queued > 0
     }
 
-    /// A connection came from an address.
+    /// A connection arrived from an address.
     pub fn on_connect(&mut self, now: Time, peer: IpAddr, out: &mut Vec<Action>) -> ConnectionId {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.counts.connected += 1;
-        let state = State::Unnamed;
-        let connection =
-            Connection { state, client: None, carrier: None, rider: None, counted: false, answered: false };
+        let state = State::Unidentified;
+        let connection = Connection {
+            state,
+            client: None,
+            proxy_client: None,
+            request_client: None,
+            counted: false,
+            answered: false,
+        };
         self.connections.insert(id, connection);
-        self.unnamed += 1;
+        self.unidentified += 1;
         match self.networks.proxy(peer) {
-            Some(proxy) => self.carried(now, id, peer, proxy, out),
+            Some(proxy) => self.on_proxy_connect(now, id, peer, proxy, out),
             None => self.on_client_identified(now, id, peer, out),
         }
         id
     }
 
-    /// A connection came from a proxy that is believed.
-    fn carried(&mut self, now: Time, id: ConnectionId, peer: IpAddr, proxy: Proxy, out: &mut Vec<Action>) {
-        let carrier = Client::from(peer.to_canonical());
-        if self.carriers.check(carrier, now, None, proxy.open).is_err() {
-            return self.refuse(now, id, RejectReason::ProxyConnections, self.retry_after, out);
+    /// A connection arrived from a trusted proxy.
+    fn on_proxy_connect(
+        &mut self, now: Time, id: ConnectionId, peer: IpAddr, proxy: Proxy, out: &mut Vec<Action>,
+    ) {
+        let proxy_client = Client::from(peer.to_canonical());
+        if self.proxies.check(proxy_client, now, None, proxy.open).is_err() {
+            return self.reject(now, id, RejectReason::ProxyConnections, self.retry_after, out);
         }
-        self.carriers.on_open(carrier, now, None);
+        self.proxies.on_open(proxy_client, now, None);
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.carrier = Some((carrier, proxy));
+            connection.proxy_client = Some((proxy_client, proxy));
         }
         if proxy.header != Header::ProxyProtocol {
-            // Whose requests it carries is told by each: of the connection itself the operators have said enough.
-            return self.seek_room(now, id, carrier, ClientClass::Known, false, out);
+            // Each request names its client; the connection itself is covered by the operators' settings.
+            return self.admit_or_queue(now, id, proxy_client, ClientClass::Known, false, out);
         }
-        if self.line_is_full() {
-            return self.refuse(now, id, RejectReason::NoCapacity, self.retry_after, out);
+        if self.queue_is_full() {
+            return self.reject(now, id, RejectReason::NoCapacity, self.retry_after, out);
         }
         out.push(Action::Identify(id));
     }
 
-    /// Whose a connection is: its peer's, or by its proxy's header.
+    /// The client of a connection is known: its peer, or the one in its proxy's header.
     pub fn on_client_identified(
         &mut self, now: Time, id: ConnectionId, address: IpAddr, out: &mut Vec<Action>,
     ) {
         let client = self.networks.client(address);
-        let class = self.standings.class(client, now);
-        let verdict = self.within_caps(now, client, true);
-        // Who comes back as it was told to passes beside the rate of all strangers; within its own caps like anybody.
-        let returns = verdict.is_ok() && class == ClientClass::Unknown && self.returning.admit(now, client);
-        let verdict = verdict.and_then(|()| match class {
+        let class = self.known_clients.class(client, now);
+        let decision = self.within_caps(now, client, true);
+        // A client that returns as it was told to bypasses the rate of unknown clients, but not its own caps.
+        let returns = decision.is_ok() && class == ClientClass::Unknown && self.returning.admit(now, client);
+        let decision = decision.and_then(|()| match class {
             ClientClass::Unknown if !returns => {
-                self.strangers.check(self.strangers_due, to_millis(now)).map_err(|wait| {
+                self.unknown_rate.check(self.unknown_arrival, to_millis(now)).map_err(|wait| {
                     (
                         RejectReason::UnknownClients,
                         if self.returning.is_on() { self.retry_after } else { wait },
@@ -427,23 +441,23 @@
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.client = Some(client);
         }
-        if let Err((why, wait)) = verdict {
-            return self.refuse(now, id, why, wait, out);
+        if let Err((reason, wait)) = decision {
+            return self.reject(now, id, reason, wait, out);
         }
         if class == ClientClass::Unknown && !returns {
-            self.strangers_due = self.strangers.next(self.strangers_due, to_millis(now));
+            self.unknown_arrival = self.unknown_rate.next(self.unknown_arrival, to_millis(now));
         }
-        self.entered(now, client, true);
+        self.record_open(now, client, true);
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.counted = true;
         }
-        self.seek_room(now, id, client, class, returns, out);
+        self.admit_or_queue(now, id, client, class, returns, out);
     }
 
-    /// Whether a client, and its site, may have one more open; `rated` if it connects for that.
+    /// Checks the caps of a client and its site; `rated` if it opens a connection.
     fn within_caps(&self, now: Time, client: Client, rated: bool) -> Result<(), (RejectReason, f64)> {
         let tier = self.networks.tier(client);
-        let told = |open, rate| {
+        let reject_with = |open, rate| {
             move |over| match over {
                 CapExceeded::Open => (open, self.retry_after),
                 CapExceeded::Rate(wait) => (rate, wait),
@@ -452,16 +466,16 @@
         let rate = rated.then_some(&tier.rate);
         self.clients
             .check(client, now, rate, tier.open)
-            .map_err(told(RejectReason::ClientConnections, RejectReason::ClientRate))?;
+            .map_err(reject_with(RejectReason::ClientConnections, RejectReason::ClientRate))?;
         let Some(site) = self.networks.site(client) else { return Ok(()) };
         let rate = rated.then_some(&tier.site_rate);
         self.sites
             .check(site, now, rate, tier.site_open)
-            .map_err(told(RejectReason::SiteConnections, RejectReason::SiteRate))
+            .map_err(reject_with(RejectReason::SiteConnections, RejectReason::SiteRate))
     }
 
-    /// A client has one more open; `rated` if it connected for that.
-    fn entered(&mut self, now: Time, client: Client, rated: bool) {
+    /// Records one more open connection or request of a client; `rated` if it opened a connection.
+    fn record_open(&mut self, now: Time, client: Client, rated: bool) {
         let tier = self.networks.tier(client);
         self.clients.on_open(client, now, rated.then_some(&tier.rate));
         if let Some(site) = self.networks.site(client) {
@@ -469,117 +483,119 @@
         }
     }
 
-    /// Admits it, holds it, or refuses it for want of room.
-    /// One that `returns` may wait in all of the line.
-    fn seek_room(
+    /// Admits, queues or rejects a connection by the capacity. A client that `returns` may use the whole
+    /// queue.
+    fn admit_or_queue(
         &mut self, now: Time, id: ConnectionId, client: Client, class: ClientClass, returns: bool,
         out: &mut Vec<Action>,
     ) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.client = Some(client);
         }
-        // All connections of a client are of one class: that of the newest.
-        self.reclass(client, class);
-        if self.has_room(class, now) {
+        // All connections of a client have the class of the newest.
+        self.set_class(client, class);
+        if self.has_capacity(class, now) {
             return self.admit(now, id, class, out);
         }
-        let line = &self.lines[class as usize];
-        let waits = |id: &&ConnectionId| self.connections.get(id).is_some_and(|c| c.client == Some(client));
-        let crowds = class == ClientClass::Unknown
+        let queue = &self.queues[class as usize];
+        let is_own = |id: &&ConnectionId| self.connections.get(id).is_some_and(|c| c.client == Some(client));
+        let exceeds_queue_share = class == ClientClass::Unknown
             && !returns
-            && (line.len() >= (self.room.queued / STRANGERS_PART).max(1)
-                || line.iter().filter(waits).count() >= (self.room.queued / LINE_PART).max(1));
-        if self.line_is_full() || crowds {
-            return self.refuse(now, id, RejectReason::NoCapacity, self.retry_after, out);
+            && (queue.len() >= (self.capacity.queued / UNKNOWN_CLIENTS_PART).max(1)
+                || queue.iter().filter(is_own).count() >= (self.capacity.queued / CLIENT_QUEUE_PART).max(1));
+        if self.queue_is_full() || exceeds_queue_share {
+            return self.reject(now, id, RejectReason::NoCapacity, self.retry_after, out);
         }
-        let until = now + self.hold;
-        self.set(id, State::Held { until });
-        self.lines[class as usize].push_back(id);
-        // One leaves for each that waits.
-        if self.leaving < self.held() {
-            self.make_room(Some(class), Some(client), now, out);
+        let until = now + self.queue_timeout;
+        self.set_state(id, State::Queued { until });
+        self.queues[class as usize].push_back(id);
+        // One connection is evicted for each that waits.
+        if self.evicted < self.queue_length() {
+            self.evict_one(Some(class), Some(client), now, out);
         }
     }
 
-    /// How many are in a state, where that is counted.
-    fn tally(&mut self, state: State) -> Option<&mut usize> {
+    /// The counter of a state, if it has one.
+    fn state_count(&mut self, state: State) -> Option<&mut usize> {
         match state {
-            State::Unnamed => Some(&mut self.unnamed),
-            State::Leaving => Some(&mut self.leaving),
-            State::Refused { lingers: true } => Some(&mut self.lingering),
+            State::Unidentified => Some(&mut self.unidentified),
+            State::Evicted => Some(&mut self.evicted),
+            State::Rejected { lingers: true } => Some(&mut self.lingering),
             _ => None,
         }
     }
 
-    fn set(&mut self, id: ConnectionId, state: State) {
+    fn set_state(&mut self, id: ConnectionId, state: State) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let old = std::mem::replace(&mut connection.state, state);
-        self.tally(old).into_iter().for_each(|count| *count -= 1);
-        self.tally(state).into_iter().for_each(|count| *count += 1);
+        self.state_count(old).into_iter().for_each(|count| *count -= 1);
+        self.state_count(state).into_iter().for_each(|count| *count += 1);
     }
 
-    /// What a client holds of what it may.
+    /// The usage of a client's or proxy's cap.
     fn load(&self, client: Client) -> Load {
         if let Some(proxy) =
-            self.carriers.open(client).checked_sub(1).and_then(|_| self.networks.proxy(client.addr()))
+            self.proxies.open(client).checked_sub(1).and_then(|_| self.networks.proxy(client.addr()))
         {
-            return eviction::load(self.carriers.open(client), proxy.open);
+            return eviction::load(self.proxies.open(client), proxy.open);
         }
         eviction::load(self.clients.open(client), self.networks.tier(client).open)
     }
 
-    /// Serves a connection.
+    /// Admits a connection.
     fn admit(&mut self, now: Time, id: ConnectionId, class: ClientClass, out: &mut Vec<Action>) {
         let Some(client) = self.connections.get(&id).and_then(|c| c.client) else { return };
         self.open[class as usize] += 1;
-        self.people.entry(client).or_insert(Person { class, admitted: 0 }).admitted += 1;
+        self.active_clients.entry(client).or_insert(ActiveClient { class, admitted: 0 }).admitted += 1;
         self.counts.admitted += 1;
         out.push(Action::Admit(id));
-        // Where they wait in the machine's line, room is made before the next is accepted. The one that came is not idle yet, so
-        // that it does not make room for itself.
-        if self.has_queue() && self.is_crowded(now) && self.leaving == 0 {
-            self.make_room(Some(class), Some(client), now, out);
+        // Without a queue, capacity is freed before the next connection is accepted instead. The new
+        // connection is not idle yet, so that it is not evicted for itself.
+        if self.has_queue() && self.is_crowded(now) && self.evicted == 0 {
+            self.evict_one(Some(class), Some(client), now, out);
         }
         let idle = IdleConnection { since: now, id, answered: false };
-        self.set(id, State::Admitted { idle: Some(idle) });
+        self.set_state(id, State::Admitted { idle: Some(idle) });
         let load = self.load(client);
-        self.order.insert(client, class, load, idle);
+        self.eviction_order.insert(client, class, load, idle);
     }
 
-    /// A client is known now, or not any more.
-    fn reclass(&mut self, client: Client, class: ClientClass) {
-        let Some(person) = self.people.get_mut(&client).filter(|p| p.class != class) else { return };
-        self.open[person.class as usize] -= person.admitted as usize;
-        self.open[class as usize] += person.admitted as usize;
-        person.class = class;
-        self.order.update(client, class, self.load(client));
+    /// Changes the class of a client.
+    fn set_class(&mut self, client: Client, class: ClientClass) {
+        let Some(active) = self.active_clients.get_mut(&client).filter(|active| active.class != class) else {
+            return;
+        };
+        self.open[active.class as usize] -= active.admitted as usize;
+        self.open[class as usize] += active.admitted as usize;
+        active.class = class;
+        self.eviction_order.update(client, class, self.load(client));
     }
 
-    /// Asks one idle connection to leave, for one of a class that comes or, without one, for anybody.
-    fn make_room(
+    /// Evicts one idle connection in favour of an arriving class and client, or of any if none are given.
+    fn evict_one(
         &mut self, class: Option<ClientClass>, client: Option<Client>, now: Time, out: &mut Vec<Action>,
     ) {
-        let room = self.current_capacity(now);
-        let [strangers, known] = self.class_limits(room);
-        let beyond_reserve = self.open[1] > room - strangers;
-        let beyond_newcomers = self.open[0] > room - known;
+        let capacity = self.current_capacity(now);
+        let [unknown_limit, known_limit] = self.class_limits(capacity);
+        let known_above_reserve = self.open[1] > capacity - unknown_limit;
+        let unknown_above_reserve = self.open[0] > capacity - known_limit;
         let both = [ClientClass::Unknown, ClientClass::Known];
         let classes: &[ClientClass] = match class {
-            Some(ClientClass::Unknown) if self.open[0] >= strangers => &both[..1],
-            Some(ClientClass::Known) if self.open[1] >= known => &both[1..],
-            Some(ClientClass::Known) if !beyond_newcomers => &both[1..],
-            _ if beyond_reserve => &both,
+            Some(ClientClass::Unknown) if self.open[0] >= unknown_limit => &both[..1],
+            Some(ClientClass::Known) if self.open[1] >= known_limit => &both[1..],
+            Some(ClientClass::Known) if !unknown_above_reserve => &both[1..],
+            _ if known_above_reserve => &both,
             _ => &both[..1],
         };
-        let first = self.order.next_victim(classes, now, self.newcomer);
+        let first = self.eviction_order.next_victim(classes, now, self.newcomer_time);
         let victim = match client {
             None => first,
             Some(client) => {
-                // What the one that comes holds is counted with it already.
-                let holds = self.load(client);
+                // The load already includes the arriving connection.
+                let load = self.load(client);
                 first
-                    .filter(|v| v.load > holds || v.load == holds && !v.is_new || v.client == client)
-                    .or_else(|| self.order.next_of_client(client, now, self.newcomer))
+                    .filter(|v| v.load > load || v.load == load && !v.is_new || v.client == client)
+                    .or_else(|| self.eviction_order.next_of_client(client, now, self.newcomer_time))
             }
         };
         if let Some(victim) = victim {
@@ -588,241 +604,252 @@
     }
 
     fn evict(&mut self, Victim { client, idle, .. }: Victim, out: &mut Vec<Action>) {
-        self.order.remove(client, idle);
-        self.set(idle.id, State::Leaving);
+        self.eviction_order.remove(client, idle);
+        self.set_state(idle.id, State::Evicted);
         self.counts.evicted += 1;
         out.push(Action::Evict(idle.id));
     }
 
-    fn refuse(&mut self, now: Time, id: ConnectionId, why: RejectReason, wait: f64, out: &mut Vec<Action>) {
-        let place = RejectReason::ALL.iter().position(|w| *w == why).unwrap_or(0);
-        self.counts.rejected[place] += 1;
+    fn reject(
+        &mut self, now: Time, id: ConnectionId, reason: RejectReason, wait: f64, out: &mut Vec<Action>,
+    ) {
+        let index = RejectReason::ALL.iter().position(|other| *other == reason).unwrap_or(0);
+        self.counts.rejected[index] += 1;
         let known = self.connections.get(&id).is_some_and(|c| {
-            c.carrier.is_some()
-                || c.client.is_some_and(|c| self.standings.class(c, now) == ClientClass::Known)
+            c.proxy_client.is_some()
+                || c.client.is_some_and(|c| self.known_clients.class(c, now) == ClientClass::Known)
         });
         if let Some(client) = self.connections.get(&id).and_then(|c| c.client)
             && !known
             && matches!(
-                why,
+                reason,
                 RejectReason::UnknownClients | RejectReason::NoCapacity | RejectReason::QueueTimeout
             )
         {
             self.returning.record_rejection(now, client, wait);
         }
-        let answered = known || self.answers.try_acquire(&mut self.answers_due, to_millis(now)).is_ok();
-        let places = if known { self.room.lingering } else { self.room.lingering / STRANGERS_PART };
+        let answered =
+            known || self.response_rate.try_acquire(&mut self.response_arrival, to_millis(now)).is_ok();
+        let places =
+            if known { self.capacity.lingering } else { self.capacity.lingering / UNKNOWN_CLIENTS_PART };
         let lingers = answered && self.lingering < places;
         self.counts.reset += u64::from(!answered);
-        self.set(id, State::Refused { lingers });
-        let tell = match (answered, lingers) {
+        self.set_state(id, State::Rejected { lingers });
+        let response = match (answered, lingers) {
             (true, true) => RejectResponse::RespondAndLinger(wait),
             (true, false) => RejectResponse::RespondAndClose(wait),
             (false, _) => RejectResponse::Reset,
         };
-        out.push(Action::Reject(id, tell, why));
+        out.push(Action::Reject(id, response, reason));
     }
 
-    /// The first byte of a request came.
+    /// The first byte of a request arrived.
     pub fn on_request_begin(&mut self, now: Time, id: ConnectionId) {
-        self.idle(now, id, false);
+        self.mark_idle(now, id, false);
     }
 
-    /// A request was taken whole: the connection stays until its answer is given.
+    /// A request was received completely: its connection is not evicted until the response is sent.
     pub fn on_request(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if let (State::Admitted { idle: Some(idle) }, Some(client)) = (connection.state, connection.client) {
             connection.state = State::Admitted { idle: None };
-            self.order.remove(client, idle);
+            self.eviction_order.remove(client, idle);
         }
     }
 
-    /// Whether there would be no room for one more of a connection's class.
+    /// Whether the capacity for a connection's class is used up.
     pub fn is_full(&self, now: Time, id: ConnectionId) -> bool {
         let client = self.connections.get(&id).and_then(|c| c.client);
-        let class =
-            client.and_then(|c| self.people.get(&c)).map_or(ClientClass::Unknown, |person| person.class);
-        !self.has_room(class, now)
+        let class = client
+            .and_then(|c| self.active_clients.get(&c))
+            .map_or(ClientClass::Unknown, |active| active.class);
+        !self.has_capacity(class, now)
     }
 
-    /// Whether requests on a connection are those of many clients, and how they say whose.
+    /// The header that names the client of each request, if clients share the connection.
     pub fn shared_header(&self, id: ConnectionId) -> Option<Header> {
-        let carrier = self.connections.get(&id)?.carrier?;
-        Some(carrier.1.header).filter(|header| *header != Header::ProxyProtocol)
+        let proxy_client = self.connections.get(&id)?.proxy_client?;
+        Some(proxy_client.1.header).filter(|header| *header != Header::ProxyProtocol)
     }
 
-    /// A request on a connection that many share is a client's: it counts as one that this has open, until its answer.
+    /// Assigns a request on a shared connection to a client; it counts as an open connection until its
+    /// response.
     ///
     /// # Errors
-    /// When the client, or its site, has as many open as it may; with the time to wait in ms.
+    /// The time to wait in ms, if the client or its site has too many open connections.
     pub fn assign_request(&mut self, now: Time, id: ConnectionId, address: IpAddr) -> Result<(), f64> {
         let client = self.networks.client(address);
         self.within_caps(now, client, false).map_err(|(_, wait)| wait)?;
-        self.alight(now, id);
+        self.end_request(now, id);
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.rider = Some(client);
-            self.entered(now, client, false);
+            connection.request_client = Some(client);
+            self.record_open(now, client, false);
         }
         Ok(())
     }
 
-    fn alight(&mut self, now: Time, id: ConnectionId) {
-        if let Some(client) = self.connections.get_mut(&id).and_then(|c| c.rider.take()) {
-            self.left(now, client);
+    fn end_request(&mut self, now: Time, id: ConnectionId) {
+        if let Some(client) = self.connections.get_mut(&id).and_then(|c| c.request_client.take()) {
+            self.record_close(now, client);
         }
     }
 
-    /// A client has one less open.
-    fn left(&mut self, now: Time, client: Client) {
+    /// Records one less open connection or request of a client.
+    fn record_close(&mut self, now: Time, client: Client) {
         self.clients.on_close(client, now);
         if let Some(site) = self.networks.site(client) {
             self.sites.on_close(site, now);
         }
-        self.holds_less(client);
+        self.update_load(client);
     }
 
-    /// Its rank among those who would make room follows what it holds.
-    fn holds_less(&mut self, client: Client) {
-        if let Some(person) = self.people.get(&client) {
-            self.order.update(client, person.class, self.load(client));
+    /// Updates a client's eviction rank after its load decreased.
+    fn update_load(&mut self, client: Client) {
+        if let Some(active) = self.active_clients.get(&client) {
+            self.eviction_order.update(client, active.class, self.load(client));
         }
     }
 
-    /// An answer was given. `share` is what a served request is worth, as a share of the worthiest class's; none for all
-    /// that was not served.
+    /// A response was sent. `share` is the worth of a served request, as a share of the worthiest class's;
+    /// none if the request was not served.
     pub fn on_response(&mut self, now: Time, id: ConnectionId, share: Option<f64>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.answered = true;
-        let whose = connection.rider.or(connection
-            .client
-            .filter(|_| connection.carrier.is_none_or(|(_, proxy)| proxy.header == Header::ProxyProtocol)));
-        if let (Some(client), Some(share)) = (whose, share) {
-            self.standings.served(client, share, now);
-            self.reclass(client, self.standings.class(client, now));
+        let client = connection.request_client.or(connection.client.filter(|_| {
+            connection.proxy_client.is_none_or(|(_, proxy)| proxy.header == Header::ProxyProtocol)
+        }));
+        if let (Some(client), Some(share)) = (client, share) {
+            self.known_clients.served(client, share, now);
+            self.set_class(client, self.known_clients.class(client, now));
         }
-        self.alight(now, id);
-        self.idle(now, id, true);
+        self.end_request(now, id);
+        self.mark_idle(now, id, true);
     }
 
-    /// It is idle from now on; if only a request began, one that was never answered has been so all the time.
-    fn idle(&mut self, now: Time, id: ConnectionId, after_answer: bool) {
+    /// Marks a connection as idle from now on. The first byte of a request does not restart the idle time of
+    /// a connection without any response so far.
+    fn mark_idle(&mut self, now: Time, id: ConnectionId, after_response: bool) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let (State::Admitted { idle }, Some(client)) = (connection.state, connection.client) else { return };
-        if !after_answer && !connection.answered {
+        if !after_response && !connection.answered {
             return;
         }
         let new = IdleConnection { since: now, id, answered: true };
         connection.state = State::Admitted { idle: Some(new) };
         if let Some(old) = idle {
-            self.order.remove(client, old);
+            self.eviction_order.remove(client, old);
         }
-        let class = self.people.get(&client).map_or(ClientClass::Unknown, |p| p.class);
+        let class = self.active_clients.get(&client).map_or(ClientClass::Unknown, |active| active.class);
         let load = self.load(client);
-        self.order.insert(client, class, load, new);
+        self.eviction_order.insert(client, class, load, new);
     }
 
     /// A connection is closed, whoever closed it.
     pub fn on_close(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Action>) {
-        self.alight(now, id);
+        self.end_request(now, id);
         let Some(connection) = self.connections.remove(&id) else { return };
-        let Connection { state, client, carrier, counted, .. } = connection;
-        self.tally(state).into_iter().for_each(|count| *count -= 1);
+        let Connection { state, client, proxy_client, counted, .. } = connection;
+        self.state_count(state).into_iter().for_each(|count| *count -= 1);
         match state {
-            State::Unnamed | State::Refused { .. } => {}
-            State::Held { .. } => self.lines.iter_mut().for_each(|line| line.retain(|held| *held != id)),
-            State::Admitted { .. } | State::Leaving => {
+            State::Unidentified | State::Rejected { .. } => {}
+            State::Queued { .. } => {
+                self.queues.iter_mut().for_each(|queue| queue.retain(|queued| *queued != id))
+            }
+            State::Admitted { .. } | State::Evicted => {
                 if let (State::Admitted { idle: Some(idle) }, Some(client)) = (state, client) {
-                    self.order.remove(client, idle);
+                    self.eviction_order.remove(client, idle);
                 }
-                if let Some(person) = client.and_then(|c| self.people.get_mut(&c)) {
-                    self.open[person.class as usize] -= 1;
-                    person.admitted -= 1;
-                    if person.admitted == 0
+                if let Some(active) = client.and_then(|c| self.active_clients.get_mut(&c)) {
+                    self.open[active.class as usize] -= 1;
+                    active.admitted -= 1;
+                    if active.admitted == 0
                         && let Some(client) = client
                     {
-                        self.people.remove(&client);
-                        self.order.remove_client(client);
+                        self.active_clients.remove(&client);
+                        self.eviction_order.remove_client(client);
                     }
                 }
             }
         }
-        if let Some((carrier, _)) = carrier {
-            self.carriers.on_close(carrier, now);
-            self.holds_less(carrier);
+        if let Some((proxy_client, _)) = proxy_client {
+            self.proxies.on_close(proxy_client, now);
+            self.update_load(proxy_client);
         }
         if let Some(client) = client.filter(|_| counted) {
-            self.left(now, client);
+            self.record_close(now, client);
         }
-        self.fill(now, out);
+        self.admit_queued(now, out);
     }
 
-    /// Admits those who wait, as far as there is room: known clients and others by turns.
-    fn fill(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Admits queued connections while there is capacity, known and unknown clients in turn.
+    fn admit_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         loop {
-            let fronts = [ClientClass::Unknown, ClientClass::Known].map(|line| {
-                let id = *self.lines[line as usize].front()?;
-                // Its client may have become known, or not any more, while it waited.
+            let candidates = [ClientClass::Unknown, ClientClass::Known].map(|queue_class| {
+                let id = *self.queues[queue_class as usize].front()?;
+                // Its client's class may have changed while it waited.
                 let client = self.connections.get(&id).and_then(|c| c.client);
-                let class = client.and_then(|c| self.people.get(&c)).map_or(line, |person| person.class);
-                self.has_room(class, now).then_some((line, id, class))
+                let class = client
+                    .and_then(|c| self.active_clients.get(&c))
+                    .map_or(queue_class, |active| active.class);
+                self.has_capacity(class, now).then_some((queue_class, id, class))
             });
-            let next = match fronts {
+            let next = match candidates {
                 [None, None] => return,
-                [Some(stranger), None] => stranger,
+                [Some(unknown), None] => unknown,
                 [None, Some(known)] => known,
-                [Some(stranger), Some(known)] => {
-                    self.turn += self.turns;
-                    if self.turn >= 1.0 {
-                        self.turn -= 1.0;
+                [Some(unknown), Some(known)] => {
+                    self.known_turn += self.known_share;
+                    if self.known_turn >= 1.0 {
+                        self.known_turn -= 1.0;
                         known
                     } else {
-                        stranger
+                        unknown
                     }
                 }
             };
-            let (line, id, class) = next;
-            self.lines[line as usize].pop_front();
+            let (queue_class, id, class) = next;
+            self.queues[queue_class as usize].pop_front();
             self.counts.queued += 1;
             self.admit(now, id, class, out);
         }
     }
 
-    /// When [`Self::on_timer`] is to be called next.
+    /// When [`Self::on_timer`] must be called next.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.lines.iter().filter_map(|line| self.until(*line.front()?)).min()
+        self.queues.iter().filter_map(|queue| self.queued_until(*queue.front()?)).min()
     }
 
-    fn until(&self, id: ConnectionId) -> Option<Time> {
+    fn queued_until(&self, id: ConnectionId) -> Option<Time> {
         match self.connections.get(&id)?.state {
-            State::Held { until } => Some(until),
+            State::Queued { until } => Some(until),
             _ => None,
         }
     }
 
-    /// Time has passed: those who waited long enough are refused.
+    /// Time has passed: rejects connections that waited for too long.
     pub fn on_timer(&mut self, now: Time, out: &mut Vec<Action>) {
-        // Capacity may have come back by itself.
-        self.fill(now, out);
+        // The capacity may have grown back.
+        self.admit_queued(now, out);
         for class in [ClientClass::Unknown, ClientClass::Known] {
-            while let Some(id) = self.lines[class as usize].front().copied() {
-                if self.until(id).is_some_and(|until| until > now) {
+            while let Some(id) = self.queues[class as usize].front().copied() {
+                if self.queued_until(id).is_some_and(|until| until > now) {
                     break;
                 }
-                self.lines[class as usize].pop_front();
-                self.refuse(now, id, RejectReason::QueueTimeout, self.retry_after, out);
+                self.queues[class as usize].pop_front();
+                self.reject(now, id, RejectReason::QueueTimeout, self.retry_after, out);
             }
         }
     }
 
-    /// There was no descriptor for a connection, of a client's or to a backend: something outside the budget took them. The
-    /// room shrinks for a while, and one idle connection is asked to leave.
+    /// There was no descriptor for a client or backend connection: something outside the budget took them.
+    /// The capacity shrinks for a while, and one idle connection is evicted.
     pub fn on_descriptor_shortage(&mut self, now: Time, out: &mut Vec<Action>) {
         self.counts.exhausted += 1;
-        let room = self.total() - self.total() / PINCH;
-        self.pinched = Some((room.clamp(1, self.room.clients), now));
+        let capacity = self.total() - self.total() / SHORTAGE_DIVISOR;
+        self.reduced_capacity = Some((capacity.clamp(1, self.capacity.clients), now));
         let victim = [ClientClass::Unknown, ClientClass::Known]
             .iter()
-            .find_map(|c| self.order.next_victim(&[*c], now, self.newcomer));
+            .find_map(|c| self.eviction_order.next_victim(&[*c], now, self.newcomer_time));
         if let Some(victim) = victim {
             self.evict(victim, out);
         }
--- a/crates/admission/tests/helper/mod.rs
+++ b/crates/admission/tests/helper/mod.rs
@@ -9,7 +9,7 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Settings from the text of an operators' file.
+/// Parses the text of an operators' settings file.
 pub fn settings(text: &str) -> Settings {
     let operators = Operators::parse("test.toml", text).unwrap_or_else(|error| panic!("{error}"));
     operators.admission.unwrap_or_else(|| panic!("no table"))
@@ -25,13 +25,13 @@
 
 pub const CAPACITY: Capacity = Capacity { clients: 10, queued: 4, lingering: 2 };
 
-/// The decisions, with what they said last.
-pub struct Door {
+/// The admission control, with its latest actions.
+pub struct TestHost {
     pub admission: Admission,
     pub out: Vec<Action>,
 }
 
-impl Door {
+impl TestHost {
     pub fn new(text: &str, room: Capacity) -> Self {
         Self { admission: Admission::new(&settings(text), room), out: Vec::new() }
     }
@@ -41,18 +41,18 @@
         (id, std::mem::take(&mut self.out))
     }
 
-    /// Connects, and is admitted for sure.
+    /// Connects and asserts that the connection is admitted.
     pub fn admit(&mut self, now: Time, from: &str) -> ConnectionId {
         let (id, out) = self.connect(now, from);
         assert!(out.contains(&Action::Admit(id)), "{from}: {out:?}");
         id
     }
 
-    /// Connects, and is refused for sure; why.
-    pub fn refused(&mut self, now: Time, from: &str) -> (ConnectionId, RejectResponse, RejectReason) {
+    /// Connects and asserts that the connection is rejected; returns how and reason.
+    pub fn rejected(&mut self, now: Time, from: &str) -> (ConnectionId, RejectResponse, RejectReason) {
         let (id, out) = self.connect(now, from);
         match out.as_slice() {
-            [Action::Reject(refused, tell, why)] if *refused == id => (id, *tell, *why),
+            [Action::Reject(rejected, response, reason)] if *rejected == id => (id, *response, *reason),
             other => panic!("{from}: {other:?}"),
         }
     }
@@ -62,14 +62,14 @@
         std::mem::take(&mut self.out)
     }
 
-    /// One request, served.
+    /// Handles one request.
     pub fn serve(&mut self, now: Time, id: ConnectionId, share: Option<f64>) {
         self.admission.on_request_begin(now, id);
         self.admission.on_request(id);
         self.admission.on_response(now, id, share);
     }
 
-    /// A client that was served enough to be known, with nothing open.
+    /// Makes a client known by served requests; leaves no connection open.
     pub fn make_known(&mut self, now: Time, from: &str) {
         let id = self.admit(now, from);
         (0..3).for_each(|_| self.serve(now, id, Some(1.0)));
--- a/crates/admission/tests/parts.rs
+++ b/crates/admission/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The parts by themselves: rates, networks, what proxies say, the budget, slow clients.
+//! Tests of the separate modules: rates, networks, proxy headers, the budget, slow clients.
 
 mod helper;
 
@@ -14,16 +14,16 @@
 
 proptest! {
     #[test]
-    fn over_any_span_no_more_than_burst_and_rate_conform(
+    fn no_more_than_burst_and_rate_conform_over_any_time_span(
         gaps in prop::collection::vec(0.0..300.0_f64, 1..200), rate in 1.0..200.0_f64, burst in 1_u32..20,
     ) {
         let (flow, mut due, mut now) = (Rate::new(rate, f64::from(burst)), 0.0, 1e9);
-        let mut taken: Vec<f64> = Vec::new();
+        let mut accepted: Vec<f64> = Vec::new();
         for gap in gaps {
             now += gap;
             match flow.try_acquire(&mut due, now) {
-                Ok(()) => taken.push(now),
-                // What it says to wait is enough, and no less would be.
+                Ok(()) => accepted.push(now),
+                // The returned wait is sufficient and necessary.
                 Err(wait) => {
                     prop_assert!(wait > 0.0);
                     prop_assert!(flow.check(due, now + wait + 1e-3).is_ok());
@@ -31,8 +31,8 @@
                 }
             }
         }
-        for (n, from) in taken.iter().enumerate() {
-            for (m, to) in taken.iter().enumerate().skip(n) {
+        for (n, from) in accepted.iter().enumerate() {
+            for (m, to) in accepted.iter().enumerate().skip(n) {
                 let most = f64::from(burst) + (to - from) / 1000.0 * rate;
                 prop_assert!((m - n + 1) as f64 <= most + 1e-3);
             }
@@ -40,8 +40,9 @@
     }
 
     #[test]
-    fn whatever_bytes_come_no_header_reader_fails_or_claims_more_than_there_is(
-        bytes in prop::collection::vec(any::<u8>(), 0..400), cut in 0_usize..120, flip in 0_usize..60, with in any::<u8>(),
+    fn header_parsers_never_panic_or_claim_more_bytes_than_given(
+        bytes in prop::collection::vec(any::<u8>(), 0..400), cut in 0_usize..120, flip in 0_usize..60,
+        with in any::<u8>(),
     ) {
         let mut near = V2.to_vec();
         near[flip % V2.len()] ^= with;
@@ -58,17 +59,19 @@
     }
 
     #[test]
-    fn the_parts_of_the_budget_never_add_up_to_more_than_the_limit(limit in 60_usize..5000, held in 0_usize..5000, lingering in 0_usize..5000, more in 0_usize..20) {
-        let budget = Budget::divide(limit, held, lingering, more);
+    fn the_budget_never_exceeds_the_limit(
+        limit in 60_usize..5000, queued in 0_usize..5000, lingering in 0_usize..5000, extra in 0_usize..20,
+    ) {
+        let budget = Budget::divide(limit, queued, lingering, extra);
         prop_assert!(budget.total() <= limit, "{budget:?}");
         prop_assert!(budget.clients >= 1 && budget.backends >= 1);
-        // Whatever is held and lingers, clients and backends keep three quarters of what is theirs.
-        prop_assert!(budget.queued + budget.lingering <= (limit - OTHER_DESCRIPTORS - more) / 4);
+        // Clients and backends keep three quarters, however many connections are queued or linger.
+        prop_assert!(budget.queued + budget.lingering <= (limit - OTHER_DESCRIPTORS - extra) / 4);
     }
 }
 
 #[test]
-fn a_limit_that_is_too_small_is_told_and_leaves_one_of_each() {
+fn a_too_small_limit_is_reported_and_leaves_one_of_each() {
     for limit in 0..48 {
         let budget = Budget::divide(limit, 24, 8, 0);
         assert!(budget.clients >= 1 && budget.backends >= 1, "{limit}");
@@ -92,7 +95,7 @@
 }
 
 #[test]
-fn addresses_are_clients_by_their_prefix_and_ipv4_is_ipv4_in_any_form() {
+fn addresses_map_to_clients_by_prefix_and_mapped_ipv4_is_ipv4() {
     let networks = networks();
     let client = |text| networks.client(ip(text));
     assert_eq!(client("192.0.2.1"), client("::ffff:192.0.2.1"));
@@ -106,13 +109,14 @@
     assert!(networks.proxy(ip("::ffff:10.1.2.3")).is_some() && networks.proxy(ip("11.0.0.1")).is_none());
 }
 
-/// The example of the PROXY protocol's section 2.1, and one of version 2 by its section 2.2 with a field behind the addresses.
+/// The example of the PROXY protocol's section 2.1, and a version 2 header by section 2.2 with a field after
+/// the addresses.
 const V1: &[u8] = b"PROXY TCP4 192.168.0.1 192.168.0.11 56324 443\r\n";
 const V2: &[u8] =
     b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x10\xc0\0\x02\x01\xc0\0\x02\x09\xdc\x04\x01\xbb\x04\0\x01\0";
 
 #[test]
-fn both_versions_of_the_proxy_protocol_are_read_whole_and_in_pieces() {
+fn both_versions_of_the_proxy_protocol_are_parsed_complete_and_in_fragments() {
     for (text, client) in [(V1, "192.168.0.1"), (V2, "192.0.2.1")] {
         for cut in 0..text.len() {
             assert_eq!(client_origin::parse_proxy_header(&text[..cut]), ProxyHeader::Partial, "{cut}");
@@ -141,11 +145,11 @@
 }
 
 #[test]
-fn what_is_no_header_or_a_malformed_one_is_unusable() {
+fn missing_and_malformed_headers_are_invalid() {
     let mut version = V2.to_vec();
     version[12] = 0x31;
     let long = [b"PROXY TCP4 ".as_slice(), &[b'1'; 200]].concat();
-    // Said to be longer than anything that is read.
+    // Declares a length above the accepted maximum.
     let endless = [&V2[..14], &[0xff, 0xff], &[0; MAX_HEADER_LENGTH]].concat();
     for text in [
         b"GET / HTTP/1.1\r\n\r\n".as_slice(),
@@ -167,14 +171,14 @@
 }
 
 #[test]
-fn of_forwarded_steps_the_last_that_is_no_proxy_is_the_client() {
+fn the_last_forwarding_step_that_is_no_proxy_is_the_client() {
     let networks = networks();
     let forwarded = |values: &[&str]| client_origin::from_forwarded(values, &networks);
     assert_eq!(forwarded(&["for=192.0.2.1"]), Ok(Some(ip("192.0.2.1"))));
     assert_eq!(
         forwarded(&["for=203.0.113.9, for=192.0.2.1, for=10.1.1.1"]),
         Ok(Some(ip("192.0.2.1"))),
-        "what stands before was written by the client"
+        "earlier steps were written by the client"
     );
     assert_eq!(
         forwarded(&["for=203.0.113.9", "for=\"[2001:db8::1]:4711\";proto=https"]),
@@ -192,22 +196,22 @@
         assert_eq!(forwarded(&[bad]), Err(MalformedOrigin), "{bad}");
     }
     let many = vec!["for=10.0.0.1"; 40].join(", ");
-    assert_eq!(forwarded(&[&many]), Err(MalformedOrigin), "longer than any real way here");
+    assert_eq!(forwarded(&[&many]), Err(MalformedOrigin), "more steps than any real chain");
     let x = |values: &[&str]| client_origin::from_x_forwarded_for(values, &networks);
     assert_eq!(x(&["203.0.113.9, 192.0.2.1, 10.2.3.4"]), Ok(Some(ip("192.0.2.1"))));
     assert_eq!(x(&["203.0.113.9", "192.0.2.7"]), Ok(Some(ip("192.0.2.7"))));
-    assert_eq!(x(&["10.0.0.7"]), Ok(Some(ip("10.0.0.7"))), "a proxy that asks for itself");
+    assert_eq!(x(&["10.0.0.7"]), Ok(Some(ip("10.0.0.7"))), "a proxy's own request");
     assert_eq!(x(&["nobody"]), Err(MalformedOrigin));
 }
 
 #[test]
-fn slow_clients_have_a_time_for_each_thing_they_do() {
+fn slow_clients_have_a_deadline_for_each_activity() {
     let pace = SlowClientLimits::new(&Admission::default().pace);
     let since = at(1000);
     assert_eq!(pace.deadline(Activity::Processing, since), None);
     assert_eq!(pace.deadline(Activity::Idle, since), Some(at(3500)));
     assert_eq!(pace.deadline(Activity::ReadingHead, since), Some(at(2500)));
-    // Half a second of grace, then 16 kB a second; more bytes don't renew the time for the whole.
+    // Half a second of grace, then 16 kB per second; more bytes do not extend the request's deadline.
     assert_eq!(pace.deadline(Activity::ReadingBody { since: at(1100), bytes: 0 }, since), Some(at(1600)));
     assert_eq!(
         pace.deadline(Activity::ReadingBody { since: at(1100), bytes: 16_384 }, since),
@@ -219,18 +223,18 @@
     );
     assert_eq!(pace.deadline(Activity::WritingResponse { since, bytes: 8192 }, since), Some(at(2000)));
     let neutral = SlowClientLimits::new(&Admission::neutral().pace);
-    for doing in [
+    for activity in [
         Activity::Idle,
         Activity::ReadingHead,
         Activity::ReadingBody { since, bytes: 0 },
         Activity::WritingResponse { since, bytes: 0 },
     ] {
-        assert_eq!(neutral.deadline(doing, since), Some(at(3500)), "{doing:?}");
+        assert_eq!(neutral.deadline(activity, since), Some(at(3500)), "{activity:?}");
     }
 }
 
 #[test]
-fn the_example_in_the_repository_says_what_the_defaults_are() {
+fn the_example_settings_equal_the_defaults() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/settings-example.toml");
     let mut example = Operators::load(path.as_ref()).expect("usable").admission.expect("a table");
     assert_eq!((example.tier.len(), example.proxy.len()), (1, 1));
@@ -239,7 +243,7 @@
 }
 
 #[test]
-fn what_cannot_be_meant_is_told_with_file_line_and_key() {
+fn invalid_settings_are_reported_with_file_line_and_key() {
     for (text, line, key) in [
         ("[admission]\nipv4-prefix = 33", 2, "admission.ipv4-prefix"),
         ("[admission]\nipv6-prefix = 64\nipv6-site = 65", 3, "admission.ipv6-site"),
