--- a/crates/dataplane/src/back/backends.rs
+++ b/crates/dataplane/src/back/backends.rs
@@ -6,7 +6,7 @@
 use doorcourse::{BackendState, LoadReport, LoadReportSource, Name, Outcome};
 use fennelscale_settings::list::List;
 use fennelscale_settings::load;
-use fennelscale_wire::reuse::{Fault, Reuse};
+use fennelscale_wire::reuse::{ResponseFault, ReusePolicy};
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::request::Builder;
@@ -276,7 +276,7 @@
     connect_timeout: Duration,
     max_idle: Duration,
     reports: LoadReportSource,
-    reuse: Reuse,
+    reuse: ReusePolicy,
     protocol: Rc<dyn Protocol>,
     limits: ConnectionLimits,
     busy_count: Rc<Cell<usize>>,
@@ -289,7 +289,7 @@
 impl Backends {
     /// An empty set of backends. `reuse` has the rules for reusing connections.
     pub fn new(
-        connect_timeout: Duration, backend_idle: Duration, reports: LoadReportSource, reuse: Reuse,
+        connect_timeout: Duration, backend_idle: Duration, reports: LoadReportSource, reuse: ReusePolicy,
         protocol: Rc<dyn Protocol>, limits: ConnectionLimits,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -319,7 +319,7 @@
     async fn connect(&self, address: SocketAddr) -> std::io::Result<Option<HttpConnection>> {
         let started_at = Instant::now();
         loop {
-            match HttpConnection::connect(address, self.connect_timeout, self.reuse.times_answers()).await {
+            match HttpConnection::connect(address, self.connect_timeout, self.reuse.measures_response_time()).await {
                 Err(error) if is_descriptor_shortage(&error) => {
                     self.known.borrow_mut().values_mut().for_each(|backend| backend.idle.clear());
                     if let Some(handler) = self.shortage_handler.borrow().as_ref() {
@@ -405,7 +405,7 @@
             (self.protocol.build_request(&message, name, address, remaining), message.body.clone())
         };
         let repeatable = message.repeatable;
-        let must_be_new = self.reuse.needs_own(repeatable, message.target.path());
+        let must_be_new = self.reuse.needs_new_connection(repeatable, message.target.path());
         let requirements =
             ConnectionRequirements { repeatable, must_be_new, id: Some(&message.id), write_by };
         let started_at = Instant::now();
@@ -590,7 +590,7 @@
         }
         // Connections that are too recently used for reuse are at the end.
         while let Some(at) =
-            backend.idle.iter().rposition(|(_, since)| self.reuse.has_rested(since.elapsed()))
+            backend.idle.iter().rposition(|(_, since)| self.reuse.is_idle_long_enough(since.elapsed()))
         {
             let (connection, since) = backend.idle.remove(at);
             // An unsafe request written to a connection that is closed or about to be has an uncertain
@@ -635,7 +635,7 @@
         if let Some(backend) = known.get_mut(name).filter(|b| b.address == address) {
             backend.last_answer = Instant::now();
             backend.idle_timeout = idle_timeout.or(backend.idle_timeout);
-            let keep = backend.is_open() && self.reuse.may_keep(backend.last_fault.map(|at| at.elapsed()));
+            let keep = backend.is_open() && self.reuse.may_reuse(backend.last_fault.map(|at| at.elapsed()));
             backend
                 .idle
                 .extend(connection.filter(|_| keep).map(|connection| (connection, backend.last_answer)));
@@ -645,13 +645,13 @@
     /// Why a complete answer does not belong to this request, if that can be seen.
     fn mismatch(
         &self, connection: &HttpConnection, head: &response::Parts, id: Option<&HeaderValue>,
-    ) -> Option<Fault> {
+    ) -> Option<ResponseFault> {
         if connection.time_to_first_byte().is_some_and(|after| self.reuse.is_too_fast(after)) {
-            return Some(Fault::TooFast);
+            return Some(ResponseFault::TooFast);
         }
         let (id, header) = (id?, self.reuse.identity_header()?);
         let answer_id = head.headers.get(header).map(HeaderValue::as_bytes);
-        self.reuse.is_foreign(answer_id, id.as_bytes()).then_some(Fault::Misnamed)
+        self.reuse.is_for_other_request(answer_id, id.as_bytes()).then_some(ResponseFault::WrongRequest)
     }
 
     /// Records that a backend sent bytes that belong to no request; closes its idle connections if they may
@@ -660,7 +660,7 @@
         let mut known = self.known.borrow_mut();
         if let Some(backend) = known.get_mut(name).filter(|b| b.address == address) {
             backend.last_fault = Some(Instant::now());
-            if !self.reuse.may_keep(Some(Duration::ZERO)) {
+            if !self.reuse.may_reuse(Some(Duration::ZERO)) {
                 backend.idle.clear();
             }
         }
--- a/crates/dataplane/src/back/connection.rs
+++ b/crates/dataplane/src/back/connection.rs
@@ -3,7 +3,7 @@
 
 use crate::lifecycle::Lifecycle;
 use bytes::Bytes;
-use fennelscale_wire::reuse::Fault;
+use fennelscale_wire::reuse::ResponseFault;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
 use hyper::client::conn::http1;
@@ -42,7 +42,7 @@
     lifecycle: Lifecycle<Connection>,
     answer_started: Notify,
     /// Why received bytes could not be an answer to the request in flight.
-    fault: Cell<Option<Fault>>,
+    fault: Cell<Option<ResponseFault>>,
     /// When the request's last byte was written and how long after that the answer's first byte came, where
     /// answers are timed.
     written_at: Cell<Option<Instant>>,
@@ -64,8 +64,8 @@
             self.lifecycle.step(Event::Heard);
             let fault = match before {
                 Connection::Busy { written: Written::Whole, .. } | Connection::Ended => None,
-                Connection::Busy { written: Written::Part, .. } => Some(Fault::Early),
-                _ => Some(Fault::Unasked),
+                Connection::Busy { written: Written::Part, .. } => Some(ResponseFault::Early),
+                _ => Some(ResponseFault::Unsolicited),
             };
             if let Some(fault) = fault {
                 self.record_fault(fault);
@@ -78,7 +78,7 @@
     }
 
     /// Records the first fault of this connection, which is not used after it.
-    fn record_fault(&self, fault: Fault) {
+    fn record_fault(&self, fault: ResponseFault) {
         if self.fault.get().is_none() {
             self.fault.set(Some(fault));
         }
@@ -94,7 +94,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Ok(1..) => {
                     self.lifecycle.step(Event::Heard);
-                    self.record_fault(Fault::Unasked);
+                    self.record_fault(ResponseFault::Unsolicited);
                 }
                 Ok(0) | Err(_) => self.lifecycle.step(Event::Ended),
             },
@@ -227,13 +227,13 @@
     pub fn is_alive(&self) -> bool {
         let peeked = peek(&self.stream);
         if matches!(peeked, Ok(1..)) {
-            self.exchange.record_fault(Fault::Unasked);
+            self.exchange.record_fault(ResponseFault::Unsolicited);
         }
         self.appears_idle() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Why received bytes belong to no request, if there were any.
-    pub fn fault(&self) -> Option<Fault> {
+    pub fn fault(&self) -> Option<ResponseFault> {
         self.exchange.fault.get()
     }
 
--- a/crates/dataplane/src/front/acceptor.rs
+++ b/crates/dataplane/src/front/acceptor.rs
@@ -4,11 +4,11 @@
 use crate::back::connection::is_descriptor_shortage;
 use crate::front::client_connection::{AdmissionControl, ClientConnection};
 use crate::task::spawn;
-use fennelscale_admission::Id;
-use fennelscale_admission::admission::{Action, Admission, Room, Tell, Why};
+use fennelscale_admission::ConnectionId;
+use fennelscale_admission::admission::{Action, Admission, Capacity, RejectReason, RejectResponse};
 use fennelscale_admission::budget::Budget;
-use fennelscale_admission::origin::{self, Start};
-use fennelscale_admission::pace::Pace;
+use fennelscale_admission::client_origin::{self, ProxyHeader};
+use fennelscale_admission::slow_clients::SlowClientLimits;
 use fennelscale_settings::admission::Admission as Settings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -63,8 +63,8 @@
     pub connection_closed: Notify,
     settings: Settings,
     serve: RefCell<Option<Rc<Serve>>>,
-    pending: RefCell<HashMap<Id, PendingClient>>,
-    clients: RefCell<HashMap<Id, Rc<ClientConnection>>>,
+    pending: RefCell<HashMap<ConnectionId, PendingClient>>,
+    clients: RefCell<HashMap<ConnectionId, Rc<ClientConnection>>>,
     spare: SpareDescriptor,
     timer_changed: Notify,
     reported: Cell<u64>,
@@ -73,8 +73,8 @@
 impl Acceptor {
     /// Creates an acceptor with the operators' settings and its share of the file descriptors.
     pub fn new(settings: Settings, budget: Budget) -> Rc<Self> {
-        let room = Room { clients: budget.clients, held: budget.held, lingering: budget.lingering };
-        let admission = AdmissionControl::new(Admission::new(&settings, room), Pace::new(&settings.pace));
+        let room = Capacity { clients: budget.clients, queued: budget.queued, lingering: budget.lingering };
+        let admission = AdmissionControl::new(Admission::new(&settings, room), SlowClientLimits::new(&settings.pace));
         Rc::new(Self {
             admission,
             connection_closed: Notify::new(),
@@ -110,7 +110,7 @@
         self.spare.reserve(listener);
         // Without a queue of its own the gateway leaves connections it has no room for in the kernel's
         // backlog.
-        while !self.admission.with(|admission, _| admission.holds())
+        while !self.admission.with(|admission, _| admission.has_queue())
             && !self.update(|a, now, out| a.may_accept(now, out))
         {
             self.connection_closed.notified().await;
@@ -140,14 +140,14 @@
     fn on_accepted(self: &Rc<Self>, stream: TcpStream, peer: IpAddr) {
         // The admission module may request an action on the connection before its id is known here.
         let mut out = Vec::new();
-        let id = self.admission.with(|admission, now| admission.connected(now, peer, &mut out));
+        let id = self.admission.with(|admission, now| admission.on_connect(now, peer, &mut out));
         self.pending.borrow_mut().insert(id, (stream, Vec::new()));
         self.perform(out);
     }
 
     /// Releases the spare descriptor, so that one connection can be accepted and refused.
     async fn refuse_without_descriptor(self: &Rc<Self>, listener: &TcpListener) {
-        self.update(|admission, now, out| admission.exhausted(now, out));
+        self.update(|admission, now, out| admission.on_descriptor_shortage(now, out));
         let had = self.spare.release();
         if let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
             try_refuse(&stream, self.settings.retry_after.0);
@@ -163,7 +163,7 @@
     /// reserved again with the next accept.
     pub fn on_descriptor_shortage(self: &Rc<Self>) {
         self.spare.release();
-        self.update(|admission, now, out| admission.exhausted(now, out));
+        self.update(|admission, now, out| admission.on_descriptor_shortage(now, out));
     }
 
     /// Runs an operation on the admission module and performs the resulting actions.
@@ -182,18 +182,20 @@
             match action {
                 Action::Identify(id) => spawn(self.clone().identify(id)),
                 Action::Admit(id) => self.admit(id),
-                Action::Refuse(id, Tell::Answer(wait), _) => spawn(self.clone().refuse(id, wait)),
-                Action::Refuse(id, Tell::Brief(wait), _) => self.refuse_briefly(id, wait),
-                Action::Refuse(id, Tell::Reset, _) => self.reset(id),
+                Action::Reject(id, RejectResponse::RespondAndLinger(wait), _) => {
+                    spawn(self.clone().refuse(id, wait))
+                }
+                Action::Reject(id, RejectResponse::RespondAndClose(wait), _) => self.refuse_briefly(id, wait),
+                Action::Reject(id, RejectResponse::Reset, _) => self.reset(id),
                 Action::Evict(id) => self.evict(id),
             }
         }
-        if self.admission.with(|admission, _| admission.next_wake().is_some()) {
+        if self.admission.with(|admission, _| admission.next_deadline().is_some()) {
             self.timer_changed.notify_one();
         }
     }
 
-    fn admit(&self, id: Id) {
+    fn admit(&self, id: ConnectionId) {
         let Some((stream, buffered)) = self.pending.borrow_mut().remove(&id) else { return };
         let client = ClientConnection::new(id, &self.admission);
         self.clients.borrow_mut().insert(id, client.clone());
@@ -208,19 +210,19 @@
         self.closed(client.id);
     }
 
-    fn closed(self: &Rc<Self>, id: Id) {
-        self.update(|admission, now, out| admission.closed(now, id, out));
+    fn closed(self: &Rc<Self>, id: ConnectionId) {
+        self.update(|admission, now, out| admission.on_close(now, id, out));
         self.connection_closed.notify_one();
     }
 
-    fn evict(&self, id: Id) {
+    fn evict(&self, id: ConnectionId) {
         if let Some(client) = self.clients.borrow().get(&id) {
             client.close_requested.notify_one();
         }
     }
 
     /// Resets a connection, so that the client learns of it at once and the kernel keeps no state.
-    fn reset(self: &Rc<Self>, id: Id) {
+    fn reset(self: &Rc<Self>, id: ConnectionId) {
         if let Some((stream, _)) = self.pending.borrow_mut().remove(&id) {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
@@ -228,7 +230,7 @@
     }
 
     /// Answers 503 and closes at once.
-    fn refuse_briefly(self: &Rc<Self>, id: Id, wait: f64) {
+    fn refuse_briefly(self: &Rc<Self>, id: ConnectionId, wait: f64) {
         if let Some((stream, _)) = self.pending.borrow_mut().remove(&id) {
             // The event loop knows nothing yet about a connection that was just accepted, so the socket is
             // used directly.
@@ -238,7 +240,7 @@
     }
 
     /// Answers 503 and closes the connection once the client has read it or the time limit has passed.
-    async fn refuse(self: Rc<Self>, id: Id, wait: f64) {
+    async fn refuse(self: Rc<Self>, id: ConnectionId, wait: f64) {
         let pending = self.pending.borrow_mut().remove(&id);
         if let Some((mut stream, _)) = pending {
             let linger =
@@ -262,16 +264,16 @@
     }
 
     /// Reads a PROXY protocol header.
-    async fn identify(self: Rc<Self>, id: Id) {
+    async fn identify(self: Rc<Self>, id: ConnectionId) {
         let pending = self.pending.borrow_mut().remove(&id);
         let Some((mut stream, mut buffered)) = pending else { return };
         let limit = Duration::try_from_secs_f64(self.settings.pace.head.0 / 1000.0).unwrap_or_default();
         let read = async {
             loop {
-                match origin::proxy_header(&buffered) {
-                    Start::Header { length, client } => return Some((length, client)),
-                    Start::Unusable => return None,
-                    Start::Partial => {}
+                match client_origin::parse_proxy_header(&buffered) {
+                    ProxyHeader::Complete { length, client } => return Some((length, client)),
+                    ProxyHeader::Invalid => return None,
+                    ProxyHeader::Partial => {}
                 }
                 stream.read_buf(&mut buffered).await.ok().filter(|read| *read > 0)?;
             }
@@ -285,18 +287,18 @@
         };
         buffered.drain(..length);
         self.pending.borrow_mut().insert(id, (stream, buffered));
-        self.update(|admission, now, out| admission.identified(now, id, client.unwrap_or(peer), out));
+        self.update(|admission, now, out| admission.on_client_identified(now, id, client.unwrap_or(peer), out));
     }
 
     /// Runs the timers of the admission module, which refuse connections that waited too long.
     async fn run_timers(self: Rc<Self>) {
         loop {
-            match self.admission.with(|admission, _| admission.next_wake()) {
+            match self.admission.with(|admission, _| admission.next_deadline()) {
                 None => self.timer_changed.notified().await,
                 Some(at) => {
                     tokio::select! {
                         () = sleep_until(self.admission.instant(at)) => {
-                            self.update(|a, now, out| a.wake(now, out));
+                            self.update(|a, now, out| a.on_timer(now, out));
                         }
                         () = self.timer_changed.notified() => {}
                     }
@@ -310,12 +312,13 @@
         loop {
             sleep(REPORT_INTERVAL).await;
             let counts = self.admission.with(|admission, _| admission.counts());
-            let all = counts.refusals() + counts.exhausted;
+            let all = counts.rejections() + counts.exhausted;
             if self.reported.replace(all) == all {
                 continue;
             }
             let mut reasons = String::new();
-            for (why, count) in Why::ALL.iter().zip(counts.refused).filter(|(_, count)| *count > 0) {
+            for (why, count) in RejectReason::ALL.iter().zip(counts.rejected).filter(|(_, count)| *count > 0)
+            {
                 let _ = write!(reasons, ", {} {count}", why.name());
             }
             eprintln!(
@@ -323,8 +326,8 @@
                  by a reset; {} evicted; out of descriptors {} times",
                 counts.connected,
                 counts.admitted,
-                counts.held,
-                counts.refusals(),
+                counts.queued,
+                counts.rejections(),
                 counts.reset,
                 counts.evicted,
                 counts.exhausted
--- a/crates/dataplane/src/front/client_connection.rs
+++ b/crates/dataplane/src/front/client_connection.rs
@@ -4,8 +4,8 @@
 use crate::faults;
 use crate::lifecycle::Lifecycle;
 use fennelscale_admission::admission::Admission;
-use fennelscale_admission::pace::{Doing, Pace};
-use fennelscale_admission::{Id, Time};
+use fennelscale_admission::slow_clients::{Activity, SlowClientLimits};
+use fennelscale_admission::{ConnectionId, Time};
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -32,12 +32,12 @@
 pub struct AdmissionControl {
     admission: RefCell<Admission>,
     start: Instant,
-    pace: Pace,
+    pace: SlowClientLimits,
 }
 
 impl AdmissionControl {
     /// Creates the admission control with a clock that starts now.
-    pub fn new(admission: Admission, pace: Pace) -> Rc<Self> {
+    pub fn new(admission: Admission, pace: SlowClientLimits) -> Rc<Self> {
         Rc::new(Self { admission: RefCell::new(admission), start: Instant::now(), pace })
     }
 
@@ -60,7 +60,7 @@
 /// A client's connection.
 pub struct ClientConnection {
     /// The id of the connection in the admission module.
-    pub id: Id,
+    pub id: ConnectionId,
     /// The protocol state.
     pub lifecycle: Lifecycle<Inbound>,
     /// Notified when the connection shall be closed.
@@ -81,7 +81,7 @@
 
 impl ClientConnection {
     /// Creates the state of a connection that was just admitted.
-    pub fn new(id: Id, admission: &Rc<AdmissionControl>) -> Rc<Self> {
+    pub fn new(id: ConnectionId, admission: &Rc<AdmissionControl>) -> Rc<Self> {
         Rc::new(Self {
             id,
             lifecycle: Lifecycle::new(Inbound::accepted()),
@@ -101,20 +101,20 @@
         self.lifecycle.state() == Inbound::Open
     }
 
-    fn activity(&self) -> Doing {
+    fn activity(&self) -> Activity {
         match (self.lifecycle.state(), self.answer.get(), self.body.get()) {
-            (Inbound::Open, _, _) => Doing::Open,
-            (Inbound::Reading { .. }, _, Some((since, bytes))) => Doing::Body { since, bytes },
-            (Inbound::Reading { .. }, _, None) => Doing::Head,
-            (_, Some((since, bytes)), _) => Doing::Answer { since, bytes },
-            _ => Doing::Nothing,
+            (Inbound::Open, _, _) => Activity::Processing,
+            (Inbound::Reading { .. }, _, Some((since, bytes))) => Activity::ReadingBody { since, bytes },
+            (Inbound::Reading { .. }, _, None) => Activity::ReadingHead,
+            (_, Some((since, bytes)), _) => Activity::WritingResponse { since, bytes },
+            _ => Activity::Idle,
         }
     }
 
     fn deadline(&self) -> Time {
         self.admission
             .pace
-            .due(self.activity(), self.since.get())
+            .deadline(self.activity(), self.since.get())
             .unwrap_or_else(|| self.admission.now() + OPEN_REQUEST_CHECK)
     }
 
@@ -149,7 +149,7 @@
         if self.lifecycle.state() == (Inbound::Quiet { answered: true }) {
             self.admission.with(|admission, now| {
                 self.since.set(now);
-                admission.began(now, self.id);
+                admission.on_request_begin(now, self.id);
             });
         }
         self.lifecycle.step(Event::Bytes);
@@ -177,7 +177,7 @@
     /// Records that a request was received completely.
     pub fn request_received(&self) {
         self.lifecycle.step(Event::Taken);
-        self.admission.with(|admission, _| admission.taken(self.id));
+        self.admission.with(|admission, _| admission.on_request(self.id));
     }
 
     /// Records that an answer is ready. `value_share` is the value of a served request relative to the most
@@ -189,7 +189,7 @@
         self.admission.with(|admission, now| {
             self.since.set(now);
             self.answer.set(Some((now, 0)));
-            admission.answered(now, self.id, value_share);
+            admission.on_response(now, self.id, value_share);
         });
         self.update_timer();
     }
--- a/gateway/src/front/clients.rs
+++ b/gateway/src/front/clients.rs
@@ -8,7 +8,7 @@
 use crate::front::client_connection::{ClientConnection, ClientStream, READ_BUFFER_SIZE};
 use bytes::Bytes;
 use doorcourse::{Arrival, Name, RequestId, RetrySafety, Settings};
-use fennelscale_admission::origin;
+use fennelscale_admission::client_origin;
 use fennelscale_settings::admission::{Forged, Header};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -252,7 +252,7 @@
     /// Counts a request against its client if the connection belongs to a proxy that several clients share. A
     /// proxy's header on any other connection is a fault.
     fn check_origin(&self, headers: &HeaderMap, client: &ClientConnection) -> Result<(), Fault> {
-        let header = match self.acceptor.admission.with(|admission, _| admission.shared(client.id)) {
+        let header = match self.acceptor.admission.with(|admission, _| admission.shared_header(client.id)) {
             Some(header) => header,
             None if self.acceptor.settings().forged == Forged::Ignore => return Ok(()),
             None if headers.contains_key(FORWARDED) => {
@@ -265,18 +265,19 @@
         };
         let values = |name| {
             let values = headers.get_all(name).iter().map(|v| v.to_str());
-            values.collect::<Result<Vec<_>, _>>().map_err(|_| origin::Malformed)
+            values.collect::<Result<Vec<_>, _>>().map_err(|_| client_origin::MalformedOrigin)
         };
         self.acceptor.admission.with(|admission, now| {
             let address = match header {
                 Header::Forwarded => {
-                    values(FORWARDED).and_then(|v| origin::forwarded(&v, admission.networks()))
+                    values(FORWARDED).and_then(|v| client_origin::from_forwarded(&v, admission.networks()))
                 }
-                _ => values(X_FORWARDED_FOR).and_then(|v| origin::x_forwarded_for(&v, admission.networks())),
+                _ => values(X_FORWARDED_FOR)
+                    .and_then(|v| client_origin::from_x_forwarded_for(&v, admission.networks())),
             };
-            match address.map_err(|origin::Malformed| Fault::Bad("Forwarded or X-Forwarded-For"))? {
+            match address.map_err(|client_origin::MalformedOrigin| Fault::Bad("Forwarded or X-Forwarded-For"))? {
                 None => Ok(()),
-                Some(address) => admission.rides(now, client.id, address).map_err(Fault::TooMany),
+                Some(address) => admission.assign_request(now, client.id, address).map_err(Fault::TooMany),
             }
         })
     }
