--- a/crates/dataplane/src/back/backends.rs
+++ b/crates/dataplane/src/back/backends.rs
@@ -319,7 +319,9 @@
     async fn connect(&self, address: SocketAddr) -> std::io::Result<Option<HttpConnection>> {
         let started_at = Instant::now();
         loop {
-            match HttpConnection::connect(address, self.connect_timeout, self.reuse.measures_response_time()).await {
+            match HttpConnection::connect(address, self.connect_timeout, self.reuse.measures_response_time())
+                .await
+            {
                 Err(error) if is_descriptor_shortage(&error) => {
                     self.known.borrow_mut().values_mut().for_each(|backend| backend.idle.clear());
                     if let Some(handler) = self.shortage_handler.borrow().as_ref() {
--- a/crates/dataplane/src/front/acceptor.rs
+++ b/crates/dataplane/src/front/acceptor.rs
@@ -74,7 +74,8 @@
     /// Creates an acceptor with the operators' settings and its share of the file descriptors.
     pub fn new(settings: Settings, budget: Budget) -> Rc<Self> {
         let room = Capacity { clients: budget.clients, queued: budget.queued, lingering: budget.lingering };
-        let admission = AdmissionControl::new(Admission::new(&settings, room), SlowClientLimits::new(&settings.pace));
+        let admission =
+            AdmissionControl::new(Admission::new(&settings, room), SlowClientLimits::new(&settings.pace));
         Rc::new(Self {
             admission,
             connection_closed: Notify::new(),
@@ -287,7 +288,9 @@
         };
         buffered.drain(..length);
         self.pending.borrow_mut().insert(id, (stream, buffered));
-        self.update(|admission, now, out| admission.on_client_identified(now, id, client.unwrap_or(peer), out));
+        self.update(|admission, now, out| {
+            admission.on_client_identified(now, id, client.unwrap_or(peer), out)
+        });
     }
 
     /// Runs the timers of the admission module, which refuse connections that waited too long.
--- a/gateway/src/front/clients.rs
+++ b/gateway/src/front/clients.rs
@@ -275,7 +275,9 @@
                 _ => values(X_FORWARDED_FOR)
                     .and_then(|v| client_origin::from_x_forwarded_for(&v, admission.networks())),
             };
-            match address.map_err(|client_origin::MalformedOrigin| Fault::Bad("Forwarded or X-Forwarded-For"))? {
+            match address
+                .map_err(|client_origin::MalformedOrigin| Fault::Bad("Forwarded or X-Forwarded-For"))?
+            {
                 None => Ok(()),
                 Some(address) => admission.assign_request(now, client.id, address).map_err(Fault::TooMany),
             }
