--- a/system/node-settings/src/tests.rs
+++ b/system/node-settings/src/tests.rs
@@ -64,8 +64,8 @@
         ("bootstrap = true", "", "bootstrap"),
     ];
     for (from, to, field) in cases {
-        let fault = Settings::parse(&TEXT.replacen(from, to, 1)).unwrap_err();
-        let SettingsError::Field { field: named, found, help } = fault else { panic!("{fault}") };
+        let error = Settings::parse(&TEXT.replacen(from, to, 1)).unwrap_err();
+        let SettingsError::Field { field: named, found, help } = error else { panic!("{error}") };
         assert_eq!(named, field);
         assert!(!found.is_empty() && !help.is_empty());
     }
@@ -87,8 +87,8 @@
         ("mostPerS = 2.5", "mostPerS = -1", "failureOrders.mostPerS"),
         ("\"60s\"", "60", "failureOrders.longest"),
     ] {
-        let fault = Settings::parse(&format!("{TEXT}{}", table.replacen(from, to, 1))).unwrap_err();
-        assert!(matches!(&fault, SettingsError::Field { field: named, .. } if named == field), "{fault}");
+        let error = Settings::parse(&format!("{TEXT}{}", table.replacen(from, to, 1))).unwrap_err();
+        assert!(matches!(&error, SettingsError::Field { field: named, .. } if named == field), "{error}");
     }
 }
 
