--- a/system/host/src/call.rs
+++ b/system/host/src/call.rs
@@ -24,8 +24,9 @@
 const MAX_BODY: usize = 8 << 20;
 /// Concurrent client connections; further ones wait in the kernel's accept queue.
 const MAX_CONNECTIONS: usize = 200;
-/// Time limit for reading a whole request; [`SERVE_TIMEOUT`] limits the time until its response starts.
+/// Time limit for reading a whole request.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time limit for handling a call.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A request as received.
