--- a/system/proxy/src/backend_protocol.rs
+++ b/system/proxy/src/backend_protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol between proxy and backends on top of HTTP: headers, verdicts on answers, and the health_path
+//! The protocol between proxy and backends on top of HTTP: headers, verdicts on answers, and the health
 //! probe.
 
 use crate::request_trace::RequestTrace;
@@ -28,7 +28,7 @@
 
 /// The protocol of one service.
 pub struct BackendProtocol {
-    /// The path of the health_path check.
+    /// The path of the health check.
     pub health_path: String,
     /// The record of what happens to requests.
     pub trace: Rc<RefCell<RequestTrace>>,
